--- a/internal/articles/articles.go
+++ b/internal/articles/articles.go
@@ -18,7 +18,7 @@
 )
 
 //go:embed articles.cue
-var schema string
+var settingsSchema string
 
 // Variable is the environment variable that holds the path of the settings file, and DefaultPath where it is without one.
 const (
@@ -157,7 +157,7 @@
 // Parse reads settings from the text of a file. Errors are as in Load, without the file.
 func Parse(raw []byte) (*Settings, error) {
 	var f file
-	if err := survey.YAML(schema, raw, &f); err != nil {
+	if err := survey.YAML(settingsSchema, raw, &f); err != nil {
 		return nil, err
 	}
 	s := &Settings{
--- a/internal/dataplane/balancer_test.go
+++ b/internal/dataplane/balancer_test.go
@@ -12,12 +12,12 @@
 	"saltmast/internal/ration"
 )
 
-func helmOf(backends int) *Balancer {
+func helmOf(count int) *Balancer {
 	h := NewBalancer()
 	h.Node, h.Zone, h.Ratio, h.Allowance, h.Window = "n0", "z", 10, 1e6, time.Minute
 	h.Rand = rand.New(rand.NewPCG(1, 1))
 	var bs []berths.Berth
-	for i := range backends {
+	for i := range count {
 		bs = append(bs, berths.Berth{Node: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i), Zone: "z", Version: 1, Instance: fmt.Sprint("i", i),
 			Service: "s", Capacity: 4, State: berths.Serving})
 	}
--- a/internal/harbour/contact_test.go
+++ b/internal/harbour/contact_test.go
@@ -69,13 +69,13 @@
 		h, b := ashore(t)
 		h.o.Lost = 10 * time.Second
 		b.begun, b.since = time.Now(), time.Now()
-		lease := &duty.Lease{Members: 1}
-		b.leases = map[duty.Name]*duty.Lease{duty.Roll: lease}
+		held := &duty.Lease{Members: 1}
+		b.leases = map[duty.Name]*duty.Lease{duty.Roll: held}
 		n := func() []time.Time { return []time.Time{time.Now(), time.Now(), time.Now()} }
 		b.heard, b.vouched, b.answered = n(), n(), n()
 		lost := func() bool {
-			lease.Due(time.Since(b.begun))
-			lease.Granted(lease.Asked(), 0)
+			held.Due(time.Since(b.begun))
+			held.Granted(held.Asked(), 0)
 			b.tend(time.Now())
 			return !b.sought.IsZero()
 		}
@@ -236,9 +236,9 @@
 		now := time.Now()
 		b.begun, b.since, b.epoch = now.Add(-time.Minute), now.Add(-time.Minute), 2
 		b.heard, b.answered = []time.Time{now, now, now}, []time.Time{now, now, now}
-		lease := &duty.Lease{Members: 3}
-		b.leases = map[duty.Name]*duty.Lease{duty.Roll: lease}
-		lease.Due(time.Since(b.begun)) // asked just now, and nobody has answered
+		held := &duty.Lease{Members: 3}
+		b.leases = map[duty.Name]*duty.Lease{duty.Roll: held}
+		held.Due(time.Since(b.begun)) // asked just now, and nobody has answered
 		if b.tend(now) {
 			t.Error("soon, with nobody who could take a place")
 		}
--- a/internal/harbour/harbour.go
+++ b/internal/harbour/harbour.go
@@ -428,19 +428,19 @@
 // enough to do it.
 func (b *books) may(d duty.Name) bool {
 	now := time.Since(b.begun)
-	lease := b.leases[d]
-	if lease == nil {
-		lease = &duty.Lease{}
-		b.leases[d] = lease
+	held := b.leases[d]
+	if held == nil {
+		held = &duty.Lease{}
+		b.leases[d] = held
 	}
-	if lease.Holds(now) {
+	if held.Holds(now) {
 		return true
 	}
 	roll := b.h.council.Roll()
-	if lease.Members = len(roll.Voters); rand.IntN(2) > 0 || !lease.Due(now) {
+	if held.Members = len(roll.Voters); rand.IntN(2) > 0 || !held.Due(now) {
 		return false
 	}
-	asked := lease.Asked()
+	asked := held.Asked()
 	call := codebook.LeaseCall{Duty: d, By: b.h.o.Life, Epoch: roll.Epoch}
 	go func() {
 		given := 0
@@ -449,7 +449,7 @@
 			var l codebook.Leased
 			if t.Err == nil && signal.Decode(t.Body, &l) == nil && l.Given {
 				given++
-				b.h.own.Send(func(*books) { lease.Granted(asked, t.Place) })
+				b.h.own.Send(func(*books) { held.Granted(asked, t.Place) })
 			}
 			return false
 		})
--- a/internal/loadline/hops.go
+++ b/internal/loadline/hops.go
@@ -116,7 +116,7 @@
 }
 
 // files is how many descriptors the process has open.
-func (p *process) files() int {
+func (p *runningProgram) files() int {
 	pid, _ := p.present()
 	all, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	return len(all)
--- a/internal/loadline/loadline.go
+++ b/internal/loadline/loadline.go
@@ -126,10 +126,10 @@
 	l        Layout
 	ctx      context.Context
 	end      context.CancelCauseFunc
-	harbours []*process
-	pursers  []*process
-	tugs     []*process
-	hollows  []*process
+	harbours []*runningProgram
+	pursers  []*runningProgram
+	tugs     []*runningProgram
+	hollows  []*runningProgram
 	from     []int // first agent of each
 	asker    *dataplane.Asker
 	r        *Result
@@ -232,7 +232,7 @@
 func (x *run) up() error {
 	for i := range x.o.Core {
 		for _, program := range []string{"harbourmaster", "purser"} {
-			p := &process{name: fmt.Sprintf("%s-%d", program, i), args: x.part("part", program, "--counters", "0"),
+			p := &runningProgram{name: fmt.Sprintf("%s-%d", program, i), args: x.part("part", program, "--counters", "0"),
 				settings: filepath.Join(x.o.Dir, fmt.Sprintf("core-%d-%s.yaml", i, program))}
 			if err := x.settings(p.settings, i, true, true, program); err != nil {
 				return err
@@ -275,7 +275,7 @@
 	}
 	for i := range x.o.Tugs {
 		n := x.o.Agents + i
-		p := &process{name: fmt.Sprintf("tug-%d", i), args: x.part("part", "tug", "--counters", "0"), addr: x.l.Addr(n, free+codebook.GatePort),
+		p := &runningProgram{name: fmt.Sprintf("tug-%d", i), args: x.part("part", "tug", "--counters", "0"), addr: x.l.Addr(n, free+codebook.GatePort),
 			settings: filepath.Join(x.o.Dir, fmt.Sprintf("tug-%d.yaml", i))}
 		if err := x.settings(p.settings, n, false, false, "tug"); err != nil {
 			return err
@@ -361,7 +361,7 @@
 		core = append(core, p.addr)
 	}
 	for i := range n {
-		p := &process{name: fmt.Sprintf("hollow-%d", i), args: x.part("part", "hollow")}
+		p := &runningProgram{name: fmt.Sprintf("hollow-%d", i), args: x.part("part", "hollow")}
 		if err := p.start(threads); err != nil {
 			return err
 		}
@@ -482,7 +482,7 @@
 	return out
 }
 
-func (x *run) report(p *process) (r codebook.Reported, err error) {
+func (x *run) report(p *runningProgram) (r codebook.Reported, err error) {
 	if slices.Contains(x.tugs, p) {
 		return x.asker.Report(p.addr, codebook.ReportCall{Brief: true}, 5*time.Second)
 	}
@@ -540,7 +540,7 @@
 	}
 }
 
-func (x *run) all() []*process {
+func (x *run) all() []*runningProgram {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return slices.Concat(x.harbours, x.pursers, x.tugs, x.hollows)
@@ -613,7 +613,7 @@
 
 func (x *run) gather() snapshot {
 	s := snapshot{time.Now(), map[string][]sums{}}
-	for role, of := range map[string][]*process{"harbourmaster": x.harbours, "purser": x.pursers, "tug": x.tugs} {
+	for role, of := range map[string][]*runningProgram{"harbourmaster": x.harbours, "purser": x.pursers, "tug": x.tugs} {
 		for _, p := range of {
 			t := sums{usage: p.usage(), kinds: map[string]Rate{}, of: 1}
 			if !p.gone() {
--- a/internal/loadline/phases.go
+++ b/internal/loadline/phases.go
@@ -394,7 +394,7 @@
 	}
 	p.Figures["first_ack_ms"], p.Figures["longest_gap_ms"] = float64(first)/1e6, float64(gap)/1e6
 	begun := time.Now()
-	for program, c := range map[string]*process{"purser": x.pursers[1], "harbourmaster": x.harbours[1]} {
+	for program, c := range map[string]*runningProgram{"purser": x.pursers[1], "harbourmaster": x.harbours[1]} {
 		if err := x.settings(c.settings, 1, true, false, program); err != nil {
 			return p, err
 		}
--- a/internal/loadline/process.go
+++ b/internal/loadline/process.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// process is one program that this run started.
-type process struct {
+// runningProgram is one program that this run started.
+type runningProgram struct {
 	name     string
 	addr     string // of its calls by signal, or its gate; empty: hollow agents
 	settings string
@@ -63,7 +63,7 @@
 func (t *tail) String() string { t.mu.Lock(); defer t.mu.Unlock(); return string(t.b) }
 
 // start starts it, with so many threads of Go at once; 0: as the machine has it.
-func (p *process) start(threads int) error {
+func (p *runningProgram) start(threads int) error {
 	p.last = &tail{}
 	p.now.Lock()
 	defer p.now.Unlock()
@@ -100,7 +100,7 @@
 }
 
 // kill ends it at once and waits for that.
-func (p *process) kill() {
+func (p *runningProgram) kill() {
 	pid, ended := p.present()
 	if pid == 0 {
 		return
@@ -110,7 +110,7 @@
 }
 
 // present is the number of the process, 0 where there is none, and what is closed when it has ended.
-func (p *process) present() (pid int, ended chan struct{}) {
+func (p *runningProgram) present() (pid int, ended chan struct{}) {
 	p.now.Lock()
 	defer p.now.Unlock()
 	if p.cmd == nil || p.cmd.Process == nil || p.ended == nil {
@@ -119,7 +119,7 @@
 	return p.cmd.Process.Pid, p.ended
 }
 
-func (p *process) gone() bool {
+func (p *runningProgram) gone() bool {
 	pid, ended := p.present()
 	if pid == 0 {
 		return true
@@ -133,7 +133,7 @@
 }
 
 // do gives an order to hollow agents.
-func (p *process) do(v any) (t told, err error) {
+func (p *runningProgram) do(v any) (t told, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	raw, err := json.Marshal(v)
@@ -164,7 +164,7 @@
 // ticks a second of /proc, on all Linux machines.
 const ticks = 100
 
-func (p *process) usage() (u usage) {
+func (p *runningProgram) usage() (u usage) {
 	if p.gone() {
 		return u
 	}
--- a/internal/manifest/check.go
+++ b/internal/manifest/check.go
@@ -12,7 +12,7 @@
 )
 
 //go:embed manifest.cue
-var schema string
+var configurationSchema string
 
 // Check tells whether each item of the call is valid by itself: first its types and bounds, by the schema in CUE, then what
 // spans several fields. What spans several items is for the Check of a set that the call was joined to. An error is an
@@ -96,7 +96,7 @@
 	if len(items) == 0 {
 		return nil
 	}
-	err := survey.JSON(schema, append(doc, "}}"...), nil)
+	err := survey.JSON(configurationSchema, append(doc, "}}"...), nil)
 	if err == nil {
 		return nil
 	}
--- a/internal/tug/start_test.go
+++ b/internal/tug/start_test.go
@@ -166,9 +166,9 @@
 // A proxy isn't ready before the last part of the table, wherever its source ends and while entries change; it uses what it was
 // told, and is itself a source of all of it.
 func TestTableByParts(t *testing.T) {
-	const backends = 40
+	const backendCount = 40
 	release := strings.Repeat("x", codebook.PartBytes/5)
-	for breakAt := int64(1); breakAt <= backends/4+1; breakAt++ {
+	for breakAt := int64(1); breakAt <= backendCount/4+1; breakAt++ {
 		synctest.Test(t, func(t *testing.T) {
 			s := sea.New(1)
 			var cores []*sea.Machine
@@ -180,7 +180,7 @@
 				m := s.Machine(fmt.Sprintf("10.1.0.%d", 2+i), "zone-1")
 				p := m.Start()
 				h := &teller{life: uint64(11 + i), stands: many(1), chosen: manifest.Ballot{N: 1, By: 1}, table: berths.New(), onBreak: p.End}
-				for n := range backends {
+				for n := range backendCount {
 					h.table.Join(berths.Berth{Node: fmt.Sprintf("n-%02d", n), Addr: "10.2.0.1:7", Zone: "zone-1", Version: 1, Release: release})
 				}
 				if i == 0 {
@@ -217,7 +217,7 @@
 			g1, _, p1 := side(t, s, "10.1.0.10", "zone-1", "10.1.0.2:80", "10.1.0.3:80")
 			first.Store(g1)
 			within(20*time.Second, func() bool { return g1.ready() == nil })
-			if n := knows(g1); g1.ready() != nil || n != backends {
+			if n := knows(g1); g1.ready() != nil || n != backendCount {
 				t.Errorf("the source ends with part %d: %v, %d backends", breakAt, g1.ready(), n)
 			}
 			g2, m2, p2 := side(t, s, "10.1.0.11", "zone-1", "10.1.0.2:80", "10.1.0.3:80") // reaches the first alone
@@ -225,17 +225,17 @@
 				s.Cut(m2, c)
 			}
 			g2.way.Learn([]berths.Berth{g1.way.Gate.Berth()})
-			for began := time.Now(); knows(g2) < backends && time.Since(began) < 20*time.Second; {
+			for began := time.Now(); knows(g2) < backendCount && time.Since(began) < 20*time.Second; {
 				time.Sleep(50 * time.Millisecond)
 			}
 			asked := g2.byOther.Load()
-			if n := knows(g2); n != backends || asked < 8 {
+			if n := knows(g2); n != backendCount || asked < 8 {
 				t.Errorf("by another proxy: %d backends in %d answers", n, asked)
 			}
 			g2.mu.Lock()
 			at := g2.sources[g1.way.Gate.Berth().Addr]
 			g2.mu.Unlock()
-			if at.life != g1.life || at.at < backends {
+			if at.life != g1.life || at.at < backendCount {
 				t.Errorf("the other has told up to %+v", at)
 			}
 			p1.End()
