--- a/cmd/latchkit/scale.go
+++ b/cmd/latchkit/scale.go
@@ -17,13 +17,13 @@
 	"saltmast/internal/harbour"
 	"saltmast/internal/launch"
 	"saltmast/internal/loadline"
+	"saltmast/internal/proxy"
 	"saltmast/internal/purser"
-	"saltmast/internal/tug"
 )
 
 // partMain is one program of a scale run.
 func partMain(name string, argv []string) int {
-	programs := map[string]launch.Program{"tug": tug.Program, "harbourmaster": harbour.Program, "purser": purser.Program}
+	programs := map[string]launch.Program{"tug": proxy.Program, "harbourmaster": harbour.Program, "purser": purser.Program}
 	if p, ok := programs[name]; ok {
 		return launch.Main(p, argv)
 	}
--- a/cmd/tug/main.go
+++ b/cmd/tug/main.go
@@ -5,7 +5,7 @@
 	"os"
 
 	"saltmast/internal/launch"
-	"saltmast/internal/tug"
+	"saltmast/internal/proxy"
 )
 
-func main() { os.Exit(launch.Main(tug.Program, os.Args[1:])) }
+func main() { os.Exit(launch.Main(proxy.Program, os.Args[1:])) }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"saltmast"
+	"saltmast/internal/bodybuffer"
 	"saltmast/internal/config"
 	"saltmast/internal/conns"
 	"saltmast/internal/core"
@@ -21,7 +22,6 @@
 	"saltmast/internal/front/http"
 	thriftfront "saltmast/internal/front/thrift"
 	"saltmast/internal/handover"
-	"saltmast/internal/keep"
 	"saltmast/internal/peers"
 	settleslog "saltmast/internal/settles/log"
 	"saltmast/internal/shared"
@@ -69,7 +69,7 @@
 	clock       core.Clock
 	thriftFront *thriftfront.Front // nil: off
 
-	bodies    *keep.Account
+	bodies    *bodybuffer.Account
 	service   *service       // nil: no second address
 	listeners []net.Listener // the clients' own, of all fronts
 
@@ -110,7 +110,7 @@
 	table := discovery.NewMembers()
 	table.Apply(known)
 	a := &Agent{table: table, log: log, acceptFor: acceptFor, config: c, clock: clock, room: c.OpenRequests(),
-		bodies: keep.New(c.BodyBytes(1), c.Passings(1))}
+		bodies: bodybuffer.New(c.BodyBytes(1), c.Passings(1))}
 	a.nameZones(c)
 	event := func(l discovery.Listing, kind saltmast.ListKind) saltmast.List { return (*a.zones.Load())(l, kind) }
 	first := event(known, saltmast.ListCached)
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"testing"
 
-	"saltmast/internal/keep"
+	"saltmast/internal/bodybuffer"
 )
 
 // noise is a body that no two of which are alike.
@@ -105,7 +105,7 @@
 func TestLongAnswers(t *testing.T) {
 	t.Parallel()
 	long := noise(2<<20, 1)
-	longest := noise(keep.Most, 2)
+	longest := noise(bodybuffer.Most, 2)
 	p := newPeer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
 		switch r.URL.Path {
 		case "/look/length":
@@ -168,8 +168,8 @@
 		if r.URL.Path != "/look/long" {
 			return echo(c, r, nil)
 		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", keep.Most)
-		_, err := c.Write(make([]byte, keep.Most))
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bodybuffer.Most)
+		_, err := c.Write(make([]byte, bodybuffer.Most))
 		over <- err
 		return false
 	})
@@ -194,8 +194,8 @@
 		if r.URL.Path != "/look/long" {
 			return echo(c, r, nil)
 		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", keep.Most)
-		c.Write(make([]byte, keep.Most))
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bodybuffer.Most)
+		c.Write(make([]byte, bodybuffer.Most))
 		return false
 	})
 	c := configOf(t, newLists(t).Addr, entry("s0", p.Addr(), "SERVING"))
@@ -407,7 +407,7 @@
 	c := dialRaw(t, a, post(id, "Transfer-Encoding: chunked\r\n"))
 	go func() {
 		piece := []byte("100000\r\n" + strings.Repeat("x", 1<<20) + "\r\n")
-		for range keep.Most>>20 + 1 {
+		for range bodybuffer.Most>>20 + 1 {
 			if _, err := c.Write(piece); err != nil {
 				return
 			}
--- a/internal/agent/share_test.go
+++ b/internal/agent/share_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
+	"saltmast/internal/bodybuffer"
 	"saltmast/internal/config"
 	"saltmast/internal/handover"
-	"saltmast/internal/keep"
 )
 
 // While two processes live their connections together keep the agent's bound, and a newcomer has what the old one gave back.
@@ -15,7 +15,7 @@
 	c := &config.Config{Sockets: 384, Calls: "127.0.0.1:1"}
 	whole := c.Connections(2)
 	part := func(newcomer, leaving bool, clients, backends int) int {
-		a := &Agent{config: c, bodies: keep.New(0, 0), others: 1, newcomer: newcomer,
+		a := &Agent{config: c, bodies: bodybuffer.New(0, 0), others: 1, newcomer: newcomer,
 			held: handover.Usage{Leaving: leaving, Clients: clients, Backends: backends}}
 		return a.split()
 	}
--- a/internal/berths/berths.go
+++ b/internal/backends/berths.go
@@ -1,6 +1,6 @@
-// Package berths is the table of backends: which one lies beside which proxy, in which life and state. It is pure. Each entry
+// Package backends is the table of backends: which one lies beside which proxy, in which life and state. It is pure. Each entry
 // has one source, the proxy beside the backend, which alone raises its version; copies are joined entry by entry.
-package berths
+package backends
 
 import (
 	"cmp"
--- a/internal/berths/sweep_test.go
+++ b/internal/backends/sweep_test.go
@@ -1,4 +1,4 @@
-package berths
+package backends
 
 import (
 	"fmt"
--- a/internal/keep/keep.go
+++ b/internal/bodybuffer/keep.go
@@ -1,6 +1,6 @@
-// Package keep decides, without I/O, which bodies are kept in memory and which pass on as they come, under one account. A kept
+// Package bodybuffer decides, without I/O, which bodies are kept in memory and which pass on as they come, under one account. A kept
 // body can be sent again; one that passes is sent once. Start reading at Account.
-package keep
+package bodybuffer
 
 import "sync"
 
--- a/internal/keep/keep_test.go
+++ b/internal/bodybuffer/keep_test.go
@@ -1,4 +1,4 @@
-package keep
+package bodybuffer
 
 import (
 	"testing"
--- a/internal/codebook/codebook.go
+++ b/internal/codebook/codebook.go
@@ -8,12 +8,12 @@
 	"net"
 	"strconv"
 
+	"saltmast/internal/backends"
 	"saltmast/internal/ballot"
-	"saltmast/internal/berths"
 	"saltmast/internal/duty"
+	"saltmast/internal/idempotency"
 	"saltmast/internal/manifest"
 	"saltmast/internal/relief"
-	"saltmast/internal/tally"
 )
 
 // Places of the programs' own ports within the free range, on every machine.
@@ -154,15 +154,15 @@
 
 // ClaimCall claims a key.
 type ClaimCall struct {
-	Key   string   `cbor:"1,keyasint"`
-	ID    tally.ID `cbor:"2,keyasint"`
-	Epoch uint64   `cbor:"3,keyasint"`
+	Key   string         `cbor:"1,keyasint"`
+	ID    idempotency.ID `cbor:"2,keyasint"`
+	Epoch uint64         `cbor:"3,keyasint"`
 }
 
 // ReleaseCall gives a claim back that surely did not run and never will.
 type ReleaseCall struct {
-	Key string   `cbor:"1,keyasint"`
-	ID  tally.ID `cbor:"2,keyasint"`
+	Key string         `cbor:"1,keyasint"`
+	ID  idempotency.ID `cbor:"2,keyasint"`
 }
 
 // MusterCall comes from a member that lost its disk. Step 1 asks under which incarnation it is known; step 2 tells its new
@@ -270,15 +270,15 @@
 
 // PullCall asks a harbourmaster for news, and tells it what the caller is the source of.
 type PullCall struct {
-	Self   *berths.Berth   `cbor:"1,keyasint,omitempty"` // of a tug
-	Master *Master         `cbor:"2,keyasint,omitempty"` // of a harbourmaster
-	Life   uint64          `cbor:"3,keyasint"`           // the harbourmaster's life that At is of; 0: none
-	At     uint64          `cbor:"4,keyasint"`           // its last change that the caller has
-	Have   manifest.Ballot `cbor:"5,keyasint"`           // of the configuration
-	Epoch  uint64          `cbor:"6,keyasint"`           // of the roll
-	HoldMs uint32          `cbor:"8,keyasint"`
-	Others []berths.Berth  `cbor:"9,keyasint,omitempty"` // of tugs that reach no harbourmaster and told this one
-	Sum    uint64          `cbor:"10,keyasint"`          // of the list of harbourmasters that the answerer told last
+	Self   *backends.Berth  `cbor:"1,keyasint,omitempty"` // of a tug
+	Master *Master          `cbor:"2,keyasint,omitempty"` // of a harbourmaster
+	Life   uint64           `cbor:"3,keyasint"`           // the harbourmaster's life that At is of; 0: none
+	At     uint64           `cbor:"4,keyasint"`           // its last change that the caller has
+	Have   manifest.Ballot  `cbor:"5,keyasint"`           // of the configuration
+	Epoch  uint64           `cbor:"6,keyasint"`           // of the roll
+	HoldMs uint32           `cbor:"8,keyasint"`
+	Others []backends.Berth `cbor:"9,keyasint,omitempty"` // of tugs that reach no harbourmaster and told this one
+	Sum    uint64           `cbor:"10,keyasint"`          // of the list of harbourmasters that the answerer told last
 
 	Cursor *Cursor `cbor:"11,keyasint,omitempty"` // goes on with items that this life told in part
 }
@@ -307,16 +307,16 @@
 
 // News is what a harbourmaster tells.
 type News struct {
-	Life    uint64          `cbor:"1,keyasint"`
-	At      uint64          `cbor:"2,keyasint"` // the last change of this life that the entries bring; the next part goes on from there
-	Berths  []berths.Berth  `cbor:"3,keyasint"` // in the order of changes; each may be used as it comes
-	Chosen  manifest.Ballot `cbor:"4,keyasint"` // that the items make whole; zero amid parts
-	Items   []manifest.Item `cbor:"5,keyasint"`
-	Roll    *Roll           `cbor:"6,keyasint,omitempty"`
-	Masters []Master        `cbor:"7,keyasint,omitempty"`
-	FreshMs uint32          `cbor:"8,keyasint"`            // since it heard a majority of those that count
-	Sum     uint64          `cbor:"9,keyasint"`            // of the list of harbourmasters that it knows, told where the caller has another
-	HeldMs  uint32          `cbor:"10,keyasint,omitempty"` // of Watched
+	Life    uint64           `cbor:"1,keyasint"`
+	At      uint64           `cbor:"2,keyasint"` // the last change of this life that the entries bring; the next part goes on from there
+	Berths  []backends.Berth `cbor:"3,keyasint"` // in the order of changes; each may be used as it comes
+	Chosen  manifest.Ballot  `cbor:"4,keyasint"` // that the items make whole; zero amid parts
+	Items   []manifest.Item  `cbor:"5,keyasint"`
+	Roll    *Roll            `cbor:"6,keyasint,omitempty"`
+	Masters []Master         `cbor:"7,keyasint,omitempty"`
+	FreshMs uint32           `cbor:"8,keyasint"`            // since it heard a majority of those that count
+	Sum     uint64           `cbor:"9,keyasint"`            // of the list of harbourmasters that it knows, told where the caller has another
+	HeldMs  uint32           `cbor:"10,keyasint,omitempty"` // of Watched
 
 	Cursor *Cursor `cbor:"11,keyasint,omitempty"` // there are more items: nothing of them may come into force yet
 	Whole  bool    `cbor:"12,keyasint,omitempty"` // items begin here that are all that stand: what isn't among them is gone
@@ -334,7 +334,7 @@
 // Tell tells what the caller lacks of the table's entries and of the set's items, as much as one message may hold. While both
 // are wanted, neither keeps the other waiting. bare: tombstones of ballots up to that are no more in the set, so that whoever
 // has only what is older, or nothing, is told all that stands. n names the teller's life.
-func (n *News) Tell(m PullCall, table *berths.Table, chosen manifest.Ballot, stands manifest.Set, bare manifest.Ballot) {
+func (n *News) Tell(m PullCall, table *backends.Table, chosen manifest.Ballot, stands manifest.Set, bare manifest.Ballot) {
 	at, room := m.At, PartBytes
 	if m.Life != n.Life && at != Tells { // what another life counted tells nothing here
 		at = 0
--- a/internal/codebook/report.go
+++ b/internal/codebook/report.go
@@ -5,7 +5,7 @@
 	"hash/fnv"
 	"slices"
 
-	"saltmast/internal/berths"
+	"saltmast/internal/backends"
 	"saltmast/internal/manifest"
 	"saltmast/internal/signal"
 )
@@ -60,15 +60,15 @@
 
 // BerthReport is an entry of the table of berths, as a program knows it.
 type BerthReport struct {
-	Node     string       `cbor:"1,keyasint"`
-	Addr     string       `cbor:"2,keyasint"`
-	Zone     string       `cbor:"3,keyasint,omitempty"`
-	Version  uint64       `cbor:"4,keyasint"`
-	Life     uint64       `cbor:"5,keyasint"`
-	Instance string       `cbor:"6,keyasint,omitempty"`
-	Service  string       `cbor:"7,keyasint,omitempty"`
-	Capacity int          `cbor:"8,keyasint,omitempty"`
-	State    berths.State `cbor:"9,keyasint,omitempty"`
+	Node     string         `cbor:"1,keyasint"`
+	Addr     string         `cbor:"2,keyasint"`
+	Zone     string         `cbor:"3,keyasint,omitempty"`
+	Version  uint64         `cbor:"4,keyasint"`
+	Life     uint64         `cbor:"5,keyasint"`
+	Instance string         `cbor:"6,keyasint,omitempty"`
+	Service  string         `cbor:"7,keyasint,omitempty"`
+	Capacity int            `cbor:"8,keyasint,omitempty"`
+	State    backends.State `cbor:"9,keyasint,omitempty"`
 
 	InFlight int     `cbor:"10,keyasint,omitempty"` // a tug's own attempts there
 	AwayMs   uint32  `cbor:"11,keyasint,omitempty"` // for so long it is tried last: it could not be reached
@@ -179,7 +179,7 @@
 }
 
 // Reports makes the report of an entry.
-func Reports(b berths.Berth) BerthReport {
+func Reports(b backends.Berth) BerthReport {
 	return BerthReport{Node: b.Node, Addr: b.Addr, Zone: b.Zone, Version: b.Version, Life: b.Life, Instance: b.Instance, Service: b.Service,
 		Capacity: b.Capacity, State: b.State}
 }
--- a/internal/dataplane/admission.go
+++ b/internal/dataplane/admission.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"saltmast/internal/berths"
+	"saltmast/internal/backends"
 	"saltmast/internal/errcode"
 )
 
@@ -123,7 +123,7 @@
 	case g.berth.Instance != a.Instance || g.berth.Service != a.Service:
 		g.mu.Unlock()
 		return errcode.Elsewhere
-	case g.berth.State != berths.Serving:
+	case g.berth.State != backends.Serving:
 		g.mu.Unlock()
 		return errcode.Leaving
 	case g.running < g.limit(a.Rank):
--- a/internal/dataplane/answers_test.go
+++ b/internal/dataplane/answers_test.go
@@ -11,7 +11,7 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/tally"
+	"saltmast/internal/idempotency"
 )
 
 // However many early answers come ahead of the one to a request, within a bound, it gets that one.
@@ -39,10 +39,10 @@
 func TestKeptAnswerToAHead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWay(t, strings.Replace(lookup, "idempotent", "deduplicated", 1), func(io.Writer, *http.Request) { t.Error("it ran again") })
-		id := tally.ID{Life: 7, N: 1}
-		w.book.Ask(func(b *tally.Book[*Answer]) {
+		id := idempotency.ID{Life: 7, N: 1}
+		w.book.Ask(func(b *idempotency.Book[*Answer]) {
 			b.Begin(w.now(), "k", id)
-			b.End("k", id, tally.Done, &Answer{Status: 200, Header: []Field{{Name: HeaderID, Value: "A"}}, Body: []byte("kept"), Length: 4}, 4, "")
+			b.End("k", id, idempotency.Done, &Answer{Status: 200, Header: []Field{{Name: HeaderID, Value: "A"}}, Body: []byte("kept"), Length: 4}, 4, "")
 		})
 		c, err := w.p.Dial(t.Context(), w.front, 0)
 		if err != nil {
--- a/internal/dataplane/balancer.go
+++ b/internal/dataplane/balancer.go
@@ -4,11 +4,11 @@
 	"math/rand/v2"
 	"time"
 
-	"saltmast/internal/berths"
+	"saltmast/internal/backends"
 	"saltmast/internal/errcode"
 	"saltmast/internal/manifest"
-	"saltmast/internal/ration"
 	"saltmast/internal/retry"
+	"saltmast/internal/retrybudget"
 )
 
 // Balancer decides for one proxy, without I/O: which backend gets an attempt, whether there is another one and after what wait.
@@ -24,7 +24,7 @@
 	bucket  retry.Bucket
 	rows    map[string]*row   // by node
 	of      map[string][]*row // by service
-	rations map[string]*ration.Ration
+	rations map[string]*retrybudget.Ration
 	nodes   int             // the most that were known
 	silent  map[string]bool // addresses of proxies that the roster says don't answer
 	scratch []retry.Candidate
@@ -49,7 +49,7 @@
 
 // row is what is known of one backend.
 type row struct {
-	berths.Berth
+	backends.Berth
 	inFlight int
 	used     bool
 	warmAt   time.Duration
@@ -62,11 +62,11 @@
 
 // NewBalancer returns one that knows of no backends.
 func NewBalancer() *Balancer {
-	return &Balancer{bucket: retry.NewBucket(bucketTokens), rows: map[string]*row{}, of: map[string][]*row{}, rations: map[string]*ration.Ration{}, nodes: 1}
+	return &Balancer{bucket: retry.NewBucket(bucketTokens), rows: map[string]*row{}, of: map[string][]*row{}, rations: map[string]*retrybudget.Ration{}, nodes: 1}
 }
 
 // Learn takes entries of the table of berths.
-func (h *Balancer) Learn(now time.Duration, news []berths.Berth) {
+func (h *Balancer) Learn(now time.Duration, news []backends.Berth) {
 	for _, b := range news {
 		if b.Addr == "" { // of a node that is gone, the version is all that is left
 			delete(h.rows, b.Node)
@@ -96,7 +96,7 @@
 func (h *Balancer) sort() {
 	clear(h.of)
 	for _, r := range h.rows {
-		if r.State == berths.Serving && r.Instance != "" {
+		if r.State == backends.Serving && r.Instance != "" {
 			h.of[r.Service] = append(h.of[r.Service], r)
 		}
 	}
@@ -134,10 +134,10 @@
 	cold                          bool // still warming up, by its own word
 }
 
-func (h *Balancer) ration(service string) *ration.Ration {
+func (h *Balancer) ration(service string) *retrybudget.Ration {
 	r := h.rations[service]
 	if r == nil {
-		r = &ration.Ration{Window: h.Window, Ratio: h.Ratio, Allowance: h.Allowance, Machines: h.nodes}
+		r = &retrybudget.Ration{Window: h.Window, Ratio: h.Ratio, Allowance: h.Allowance, Machines: h.nodes}
 		h.rations[service] = r
 	}
 	return r
--- a/internal/dataplane/front.go
+++ b/internal/dataplane/front.go
@@ -16,9 +16,9 @@
 	"saltmast/internal/disconnect"
 	"saltmast/internal/errcode"
 	"saltmast/internal/http1"
+	"saltmast/internal/idempotency"
 	"saltmast/internal/manifest"
 	"saltmast/internal/sock"
-	"saltmast/internal/tally"
 )
 
 // resting is a connection that others take up again. Its goroutine alone reads, writes and closes it, and nobody else knows
@@ -437,7 +437,7 @@
 	spent bool      // some of rest was read
 
 	key   string
-	claim tally.ID
+	claim idempotency.ID
 	log   passage
 }
 
--- a/internal/dataplane/gate_test.go
+++ b/internal/dataplane/gate_test.go
@@ -10,11 +10,11 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/berths"
+	"saltmast/internal/backends"
 	"saltmast/internal/errcode"
+	"saltmast/internal/idempotency"
 	"saltmast/internal/manifest"
 	"saltmast/internal/pilot"
-	"saltmast/internal/tally"
 )
 
 func gateOf(t *testing.T) *Gate {
@@ -26,7 +26,7 @@
 // changes nothing, and one that says again what stands makes no news.
 func TestBeats(t *testing.T) {
 	g := gateOf(t)
-	beat := func(id string, count uint64, s berths.State) {
+	beat := func(id string, count uint64, s backends.State) {
 		if err := g.Beat(pilot.Beat{ID: id, Service: "ledger", Capacity: 2, Count: count, State: s}); err != nil {
 			t.Fatal(err)
 		}
@@ -36,18 +36,18 @@
 		name  string
 		do    func()
 		id    string
-		state berths.State
+		state backends.State
 		news  bool
 	}{
-		{"first", func() { beat("i-1", 1, berths.Serving) }, "i-1", berths.Serving, true},
-		{"again", func() { beat("i-1", 2, berths.Serving) }, "i-1", berths.Serving, false},
-		{"drains", func() { beat("i-1", 4, berths.Draining) }, "i-1", berths.Draining, true},
-		{"a late beat", func() { beat("i-1", 3, berths.Serving) }, "i-1", berths.Draining, false},
-		{"a new life", func() { beat("i-2", 1, berths.Serving) }, "i-2", berths.Serving, true},
-		{"a late beat of the old one", func() { beat("i-1", 5, berths.Serving) }, "i-2", berths.Serving, false},
-		{"the old one's end", func() { leave("i-1") }, "i-2", berths.Serving, false},
-		{"its end", func() { leave("i-2") }, "i-2", berths.None, true},
-		{"a late beat behind its end", func() { beat("i-2", 9, berths.Serving) }, "i-2", berths.None, false},
+		{"first", func() { beat("i-1", 1, backends.Serving) }, "i-1", backends.Serving, true},
+		{"again", func() { beat("i-1", 2, backends.Serving) }, "i-1", backends.Serving, false},
+		{"drains", func() { beat("i-1", 4, backends.Draining) }, "i-1", backends.Draining, true},
+		{"a late beat", func() { beat("i-1", 3, backends.Serving) }, "i-1", backends.Draining, false},
+		{"a new life", func() { beat("i-2", 1, backends.Serving) }, "i-2", backends.Serving, true},
+		{"a late beat of the old one", func() { beat("i-1", 5, backends.Serving) }, "i-2", backends.Serving, false},
+		{"the old one's end", func() { leave("i-1") }, "i-2", backends.Serving, false},
+		{"its end", func() { leave("i-2") }, "i-2", backends.None, true},
+		{"a late beat behind its end", func() { beat("i-2", 9, backends.Serving) }, "i-2", backends.None, false},
 	} {
 		was := g.Berth().Version
 		step.do()
@@ -62,7 +62,7 @@
 // when the backend leaves, by whatever way, also if a place is free in that moment.
 func TestPlaces(t *testing.T) {
 	g := gateOf(t)
-	g.Beat(pilot.Beat{ID: "i-1", Service: "ledger", Capacity: 1, Count: 1, State: berths.Serving})
+	g.Beat(pilot.Beat{ID: "i-1", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
 	a := func(id string, rank int, hold uint32) *ask {
 		return &ask{Instance: id, Service: "ledger", Rank: rank, Hold: hold}
 	}
@@ -87,14 +87,14 @@
 	for n, end := range []func(id string){
 		func(id string) { g.Leave(id) },
 		func(id string) {
-			g.Beat(pilot.Beat{ID: id, Service: "ledger", Capacity: 1, Count: 2, State: berths.Draining})
+			g.Beat(pilot.Beat{ID: id, Service: "ledger", Capacity: 1, Count: 2, State: backends.Draining})
 		},
 		func(string) {
-			g.Beat(pilot.Beat{ID: "i-9", Service: "ledger", Capacity: 1, Count: 1, State: berths.Serving})
+			g.Beat(pilot.Beat{ID: "i-9", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
 		},
 	} {
 		id := fmt.Sprint("i-", n+1)
-		g.Beat(pilot.Beat{ID: id, Service: "ledger", Capacity: 1, Count: 1, State: berths.Serving})
+		g.Beat(pilot.Beat{ID: id, Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
 		go func() { got <- g.enter(context.Background(), a(id, 1, 60_000)) }()
 		for _, waiting := g.load(); waiting == 0; _, waiting = g.load() {
 			runtime.Gosched()
@@ -116,7 +116,7 @@
 // Where no more may wait, one that ranks before the last of those that do takes its turn, and that one is turned away at once.
 func TestPlacesByRank(t *testing.T) {
 	g := gateOf(t)
-	g.Beat(pilot.Beat{ID: "i-1", Service: "ledger", Capacity: 1, Count: 1, State: berths.Serving})
+	g.Beat(pilot.Beat{ID: "i-1", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
 	ask := func(rank int) *ask { return &ask{Instance: "i-1", Service: "ledger", Rank: rank, Hold: 60_000} }
 	wait := func(rank int) chan errcode.Kind {
 		got := make(chan errcode.Kind, 1)
@@ -160,7 +160,7 @@
 		g := newGate(Options{Node: "n", Service: "ledger", GateAddr: "a:1", Life: 7, Begun: time.Now(), Heartbeat: time.Minute,
 			KeyWindow: time.Minute, AnswerBytes: 1 << 20, Log: func(string, string) {}}, nil)
 		defer g.book.End()
-		g.Beat(pilot.Beat{ID: "i-1", Service: "ledger", Capacity: 10, Count: 1, State: berths.Serving})
+		g.Beat(pilot.Beat{ID: "i-1", Service: "ledger", Capacity: 10, Count: 1, State: backends.Serving})
 		enter := func(rank int) errcode.Kind {
 			return g.enter(context.Background(), &ask{Instance: "i-1", Service: "ledger", Rank: rank})
 		}
@@ -200,7 +200,7 @@
 		g := newGate(Options{Node: "n", Service: "ledger", GateAddr: "a:1", Life: 7, Begun: time.Now(), Heartbeat: time.Minute,
 			KeyWindow: time.Minute, AnswerBytes: 1 << 20, Log: func(string, string) {}}, nil)
 		defer g.book.End()
-		g.Beat(pilot.Beat{ID: "i-1", Service: "ledger", Capacity: 6, Count: 1, State: berths.Serving})
+		g.Beat(pilot.Beat{ID: "i-1", Service: "ledger", Capacity: 6, Count: 1, State: backends.Serving})
 		var served [3]atomic.Int64
 		var all sync.WaitGroup
 		const day = 10 * time.Second
@@ -250,21 +250,21 @@
 // What is told of a key depends on whose claim is asked for; an answer that is told again bears the id of who asks, and the one
 // that is kept stays as it is.
 func TestRecalled(t *testing.T) {
-	id, other := tally.ID{Life: 1, N: 1}, tally.ID{Life: 1, N: 2}
+	id, other := idempotency.ID{Life: 1, N: 1}, idempotency.ID{Life: 1, N: 2}
 	kept := &Answer{Status: 200, Header: []Field{{Name: HeaderID, Value: "first"}, {Name: HeaderSeal, Value: "s"}}}
 	for _, c := range []struct {
 		name  string
-		op    tally.Op[*Answer]
+		op    idempotency.Op[*Answer]
 		known bool
-		by    tally.ID
+		by    idempotency.ID
 		want  errcode.Kind
 	}{
-		{"done", tally.Op[*Answer]{ID: id, State: tally.Done, Answer: kept}, true, id, errcode.OK},
-		{"another claim", tally.Op[*Answer]{ID: id, State: tally.Done, Answer: kept}, true, other, errcode.Gone},
-		{"unheard of", tally.Op[*Answer]{}, false, id, errcode.Gone},
-		{"at work", tally.Op[*Answer]{ID: id, State: tally.AtWork}, true, id, errcode.KeyAtWork},
-		{"unknown", tally.Op[*Answer]{ID: id, State: tally.Unknown}, true, id, errcode.KeyUnknown},
-		{"void", tally.Op[*Answer]{ID: id, State: tally.Void}, true, id, errcode.KeySplit},
+		{"done", idempotency.Op[*Answer]{ID: id, State: idempotency.Done, Answer: kept}, true, id, errcode.OK},
+		{"another claim", idempotency.Op[*Answer]{ID: id, State: idempotency.Done, Answer: kept}, true, other, errcode.Gone},
+		{"unheard of", idempotency.Op[*Answer]{}, false, id, errcode.Gone},
+		{"at work", idempotency.Op[*Answer]{ID: id, State: idempotency.AtWork}, true, id, errcode.KeyAtWork},
+		{"unknown", idempotency.Op[*Answer]{ID: id, State: idempotency.Unknown}, true, id, errcode.KeyUnknown},
+		{"void", idempotency.Op[*Answer]{ID: id, State: idempotency.Void}, true, id, errcode.KeySplit},
 	} {
 		if o := recalled(c.op, c.known, c.by); o.Code != c.want || (o.answer != nil) != (c.want == errcode.OK) {
 			t.Errorf("%s: %v, answer %v", c.name, o.Code, o.answer)
@@ -272,9 +272,9 @@
 	}
 	// The gate's own book tells of single attempts: none of them proves that a claim is void.
 	g := gateOf(t)
-	g.book.Ask(func(b *tally.Book[*Answer]) {
+	g.book.Ask(func(b *idempotency.Book[*Answer]) {
 		b.Begin(0, "k", id)
-		b.End("k", id, tally.Void, nil, 0, "")
+		b.End("k", id, idempotency.Void, nil, 0, "")
 	})
 	if o := g.recallAnswer(&ask{Key: "k", Claim: id}); o.Code != errcode.Gone {
 		t.Errorf("an attempt that was declined: %v", o.Code)
--- a/internal/dataplane/hop.go
+++ b/internal/dataplane/hop.go
@@ -14,11 +14,11 @@
 	"saltmast/internal/disconnect"
 	"saltmast/internal/errcode"
 	"saltmast/internal/http1"
+	"saltmast/internal/idempotency"
 	"saltmast/internal/links"
 	"saltmast/internal/pacing"
 	"saltmast/internal/signal"
 	"saltmast/internal/sock"
-	"saltmast/internal/tally"
 )
 
 // A hop carries one request from the proxy where it began to the proxy beside a backend, and the answer back. One
@@ -53,20 +53,20 @@
 
 // ask is the head of a request on a hop.
 type ask struct {
-	Kind     uint8    `cbor:"1,keyasint"`
-	Instance string   `cbor:"2,keyasint"` // the backend that is meant
-	Service  string   `cbor:"3,keyasint"`
-	Method   string   `cbor:"4,keyasint"`
-	Target   string   `cbor:"5,keyasint"`
-	Header   []Field  `cbor:"6,keyasint"`
-	Length   int64    `cbor:"7,keyasint"` // of the body; pieces
-	Left     uint32   `cbor:"8,keyasint"` // milliseconds that the client waits on
-	Hold     uint32   `cbor:"9,keyasint"` // milliseconds that it may wait for a place
-	Rank     int      `cbor:"10,keyasint"`
-	ID       string   `cbor:"12,keyasint"` // of the attempt, as the client gave it
-	Key      string   `cbor:"13,keyasint,omitempty"`
-	Claim    tally.ID `cbor:"14,keyasint"`
-	Number   uint64   `cbor:"15,keyasint,omitempty"` // of the ask, of all that its proxy made; its answer bears it too
+	Kind     uint8          `cbor:"1,keyasint"`
+	Instance string         `cbor:"2,keyasint"` // the backend that is meant
+	Service  string         `cbor:"3,keyasint"`
+	Method   string         `cbor:"4,keyasint"`
+	Target   string         `cbor:"5,keyasint"`
+	Header   []Field        `cbor:"6,keyasint"`
+	Length   int64          `cbor:"7,keyasint"` // of the body; pieces
+	Left     uint32         `cbor:"8,keyasint"` // milliseconds that the client waits on
+	Hold     uint32         `cbor:"9,keyasint"` // milliseconds that it may wait for a place
+	Rank     int            `cbor:"10,keyasint"`
+	ID       string         `cbor:"12,keyasint"` // of the attempt, as the client gave it
+	Key      string         `cbor:"13,keyasint,omitempty"`
+	Claim    idempotency.ID `cbor:"14,keyasint"`
+	Number   uint64         `cbor:"15,keyasint,omitempty"` // of the ask, of all that its proxy made; its answer bears it too
 
 	// Cancelable says that a run of it may be broken off once nobody waits for its answer. From a proxy of an earlier version
 	// it is false, and the run goes on.
@@ -77,19 +77,19 @@
 
 // told is the head of an answer on a hop.
 type told struct {
-	Code    errcode.Kind `cbor:"1,keyasint"` // OK: the backend's answer follows
-	Sent    bool         `cbor:"2,keyasint"` // the request went to the backend
-	Status  int          `cbor:"3,keyasint"`
-	Header  []Field      `cbor:"4,keyasint"`
-	Length  int64        `cbor:"5,keyasint"`
-	Running int          `cbor:"6,keyasint"`            // requests at the backend now
-	Waiting int          `cbor:"7,keyasint"`            // and before it
-	State   tally.State  `cbor:"9,keyasint"`            // of a recall
-	Held    uint32       `cbor:"12,keyasint,omitempty"` // milliseconds that it waited for a place
-
-	Number  uint64        `cbor:"13,keyasint,omitempty"` // of the ask that it answers
-	Verdict tally.Verdict `cbor:"10,keyasint,omitempty"` // of a claim
-	Holder  *tally.ID     `cbor:"11,keyasint,omitempty"`
+	Code    errcode.Kind      `cbor:"1,keyasint"` // OK: the backend's answer follows
+	Sent    bool              `cbor:"2,keyasint"` // the request went to the backend
+	Status  int               `cbor:"3,keyasint"`
+	Header  []Field           `cbor:"4,keyasint"`
+	Length  int64             `cbor:"5,keyasint"`
+	Running int               `cbor:"6,keyasint"`            // requests at the backend now
+	Waiting int               `cbor:"7,keyasint"`            // and before it
+	State   idempotency.State `cbor:"9,keyasint"`            // of a recall
+	Held    uint32            `cbor:"12,keyasint,omitempty"` // milliseconds that it waited for a place
+
+	Number  uint64              `cbor:"13,keyasint,omitempty"` // of the ask that it answers
+	Verdict idempotency.Verdict `cbor:"10,keyasint,omitempty"` // of a claim
+	Holder  *idempotency.ID     `cbor:"11,keyasint,omitempty"`
 }
 
 // appendMessage appends a head and what is there of the body.
--- a/internal/dataplane/keyed.go
+++ b/internal/dataplane/keyed.go
@@ -11,8 +11,8 @@
 	"saltmast/internal/council"
 	"saltmast/internal/disconnect"
 	"saltmast/internal/errcode"
+	"saltmast/internal/idempotency"
 	"saltmast/internal/signal"
-	"saltmast/internal/tally"
 )
 
 const (
@@ -28,12 +28,12 @@
 	if v.key = v.r.Header.Get(HeaderKey); v.key == "" || len(v.key) > 512 {
 		return nil, errcode.Unreadable
 	}
-	id := tally.ID{Life: g.o.Life, N: g.claim.Add(1), At: g.o.GateAddr}
-	var known tally.Op[*Answer]
+	id := idempotency.ID{Life: g.o.Life, N: g.claim.Add(1), At: g.o.GateAddr}
+	var known idempotency.Op[*Answer]
 	begun := false
-	g.book.Ask(func(b *tally.Book[*Answer]) { known, begun = b.Begin(g.now(), v.key, id) })
+	g.book.Ask(func(b *idempotency.Book[*Answer]) { known, begun = b.Begin(g.now(), v.key, id) })
 	if !begun {
-		if known.State == tally.Unknown && known.Where != "" { // the proxy beside the backend may have got the answer since
+		if known.State == idempotency.Unknown && known.Where != "" { // the proxy beside the backend may have got the answer since
 			return v.told(v.recall(known.Where, known.ID))
 		}
 		return v.told(recalled(known, true, known.ID))
@@ -48,14 +48,14 @@
 	case errcode.KeyAtWork: // another has it
 		g.Counts.Lost.Add(1)
 		mine := v.claim // not the first one where votes were split
-		g.book.Send(func(b *tally.Book[*Answer]) { b.Forget(v.key, mine) })
+		g.book.Send(func(b *idempotency.Book[*Answer]) { b.Forget(v.key, mine) })
 		return v.ofAnother(holder)
 	case errcode.KeySplit: // those who hold a part of the votes may know more
 		v.release()
 		if holder.At != "" {
 			if o := v.recall(holder.At, holder); o.Code == errcode.OK && o.answer != nil || o.Code == errcode.KeyAtWork {
 				return v.told(o)
-			} else if o.State == tally.Void {
+			} else if o.State == idempotency.Void {
 				v.free(holder)
 			}
 		}
@@ -67,32 +67,32 @@
 	a, k, where := v.attempts()
 	switch {
 	case a != nil && a.Rest == nil:
-		v.end(tally.Done, a, where)
+		v.end(idempotency.Done, a, where)
 	case a == nil && k.NotRun():
 		v.release()
 	default:
-		v.end(tally.Unknown, nil, where)
+		v.end(idempotency.Unknown, nil, where)
 	}
 	return a, k
 }
 
-func (v *voyage) end(s tally.State, a *Answer, where string) {
+func (v *voyage) end(s idempotency.State, a *Answer, where string) {
 	size := 0
 	if a != nil {
 		size = a.size()
 	}
-	v.g.book.Ask(func(b *tally.Book[*Answer]) { b.End(v.key, v.claim, s, a, size, where) })
+	v.g.book.Ask(func(b *idempotency.Book[*Answer]) { b.End(v.key, v.claim, s, a, size, where) })
 }
 
 // release gives the claim back: nothing ran under it, and nothing will.
 func (v *voyage) release() {
 	v.g.Counts.Void.Add(1)
-	v.end(tally.Void, nil, "")
+	v.end(idempotency.Void, nil, "")
 	v.free(v.claim)
 }
 
 // free tells all members that a claim is void.
-func (v *voyage) free(id tally.ID) {
+func (v *voyage) free(id idempotency.ID) {
 	msg := signal.Encode(codebook.ReleaseCall{Key: v.key, ID: id})
 	roll := v.g.o.Council.Roll()
 	for i := range roll.Voters {
@@ -103,29 +103,29 @@
 }
 
 // claimKey claims the key. KeyAtWork: holder has it.
-func (v *voyage) claimKey() (k errcode.Kind, holder tally.ID) {
+func (v *voyage) claimKey() (k errcode.Kind, holder idempotency.ID) {
 	g := v.g
 	g.Counts.Claims.Add(1)
 	begun := time.Now()
 	end := begun.Add(min(claimTime, time.Until(v.cut)))
 	for try := 0; ; try++ {
-		var verdict tally.Verdict
+		var verdict idempotency.Verdict
 		verdict, holder = g.claimAnyhow(v.key, v.claim, time.Until(end))
 		v.log.claim = time.Since(begun)
 		g.Counts.ClaimMicros.Add(v.log.claim.Microseconds())
 		switch verdict {
-		case tally.Won:
+		case idempotency.Won:
 			return errcode.OK, holder
-		case tally.Lost:
+		case idempotency.Lost:
 			v.free(v.claim)
 			return errcode.KeyAtWork, holder
-		case tally.Split:
+		case idempotency.Split:
 			g.Counts.Split.Add(1)
 			v.free(v.claim)
 			// Whoever is told may have had a majority with a member that is silent now: it knows.
 			switch o := v.recall(holder.At, holder); {
 			case o.Code == errcode.KeyAtWork:
-			case o.State == tally.Void && o.Code != errcode.OK:
+			case o.State == idempotency.Void && o.Code != errcode.OK:
 				v.free(holder)
 			default:
 				return errcode.KeyAtWork, holder
@@ -135,8 +135,8 @@
 			}
 			time.Sleep(5*time.Millisecond + rand.N(20*time.Millisecond))
 			old := v.claim // void for good
-			v.claim = tally.ID{Life: g.o.Life, N: g.claim.Add(1), At: g.o.GateAddr}
-			g.book.Ask(func(b *tally.Book[*Answer]) {
+			v.claim = idempotency.ID{Life: g.o.Life, N: g.claim.Add(1), At: g.o.GateAddr}
+			g.book.Ask(func(b *idempotency.Book[*Answer]) {
 				b.Forget(v.key, old)
 				b.Begin(g.now(), v.key, v.claim)
 			})
@@ -156,10 +156,10 @@
 // claimAnyhow claims a key with the members, and by another proxy beside where they are slow to answer this one: a machine
 // that is cut off from the core often still reaches its neighbours. One id may be claimed along several ways: members grant
 // it again.
-func (g *DataPlane) claimAnyhow(key string, id tally.ID, wait time.Duration) (tally.Verdict, tally.ID) {
+func (g *DataPlane) claimAnyhow(key string, id idempotency.ID, wait time.Duration) (idempotency.Verdict, idempotency.ID) {
 	type result struct {
-		verdict tally.Verdict
-		holder  tally.ID
+		verdict idempotency.Verdict
+		holder  idempotency.ID
 		direct  bool
 	}
 	ch := make(chan result, 3)
@@ -179,7 +179,7 @@
 		case r := <-ch:
 			under--
 			if r.direct {
-				if r.verdict != tally.Open {
+				if r.verdict != idempotency.Open {
 					g.out.Store(0)
 				} else { // at once, where connections are refused or were given up a moment ago
 					g.out.Store(int64(g.now() + outFor))
@@ -188,7 +188,7 @@
 					}
 				}
 			}
-			if r.verdict != tally.Open {
+			if r.verdict != idempotency.Open {
 				return r.verdict, r.holder
 			}
 		case <-t.C:
@@ -205,12 +205,12 @@
 					o := g.hops.do(context.Background(), addr, a, nil, nil, time.Now().Add(wait))
 					r := result{verdict: o.Verdict}
 					if o.err != nil || o.Code != errcode.OK {
-						r.verdict = tally.Open
+						r.verdict = idempotency.Open
 					}
 					if o.Holder != nil {
 						r.holder = *o.Holder
 					}
-					if r.verdict == tally.Open {
+					if r.verdict == idempotency.Open {
 						g.relay.Store(nil)
 					} else {
 						g.relay.Store(&addr)
@@ -220,20 +220,20 @@
 			}
 		}
 	}
-	return tally.Open, tally.ID{}
+	return idempotency.Open, idempotency.ID{}
 }
 
 // vote claims a key with the members. Where their epoch has ended without a majority, it is claimed in the next under the same
 // id.
-func (g *DataPlane) vote(key string, id tally.ID, wait time.Duration) (verdict tally.Verdict, holder tally.ID) {
+func (g *DataPlane) vote(key string, id idempotency.ID, wait time.Duration) (verdict idempotency.Verdict, holder idempotency.ID) {
 	for end := time.Now().Add(wait); ; {
 		roll := g.o.Council.Roll()
 		n := len(roll.Voters)
-		vote := tally.Vote{Voters: n}
+		vote := idempotency.Vote{Voters: n}
 		msg := signal.Encode(codebook.ClaimCall{Key: key, ID: id, Epoch: roll.Epoch})
 		gone := 0
 		g.o.Council.Gather(codebook.Claim, func(int) []byte { return msg }, time.Until(end), func(t council.Told) bool {
-			var gr tally.Grant
+			var gr idempotency.Grant
 			if t.Err != nil || signal.Decode(t.Body, &gr) != nil {
 				if vote.Missed(); errcode.Of(t.Err) == errcode.Gone {
 					if gone++; gone == 1 {
@@ -244,18 +244,18 @@
 				vote.Add(gr)
 			}
 			verdict, holder = vote.Verdict()
-			return verdict != tally.Open || gone > n-ballot.Majority(n)
+			return verdict != idempotency.Open || gone > n-ballot.Majority(n)
 		})
-		if verdict != tally.Open || gone == 0 || !g.o.Council.Await(roll.Epoch, end) {
+		if verdict != idempotency.Open || gone == 0 || !g.o.Council.Await(roll.Epoch, end) {
 			return verdict, holder
 		}
 	}
 }
 
 // ofAnother answers a repeat by what the holder of the key knows, or else whoever may have run it.
-func (v *voyage) ofAnother(holder tally.ID) (*Answer, errcode.Kind) {
+func (v *voyage) ofAnother(holder idempotency.ID) (*Answer, errcode.Kind) {
 	o := v.recall(holder.At, holder)
-	if o.State == tally.Void && o.Code != errcode.OK { // it never ran and never will: whoever asks may try anew
+	if o.State == idempotency.Void && o.Code != errcode.OK { // it never ran and never will: whoever asks may try anew
 		v.free(holder)
 		return nil, errcode.KeySplit
 	}
@@ -285,7 +285,7 @@
 }
 
 // recall asks a proxy for the answer of the key.
-func (v *voyage) recall(addr string, id tally.ID) outcome {
+func (v *voyage) recall(addr string, id idempotency.ID) outcome {
 	a := &ask{Kind: recall, Key: v.key, Claim: id}
 	if addr == v.g.o.GateAddr {
 		return v.g.Gate.recallHere(a, v.g.recallOwn)
@@ -305,7 +305,7 @@
 		return o.answer.under(v.r.Header.Get(HeaderID)), errcode.OK
 	case o.Code == errcode.KeyAtWork:
 		return nil, errcode.KeyAtWork
-	case o.State == tally.Void && o.Code == errcode.KeySplit:
+	case o.State == idempotency.Void && o.Code == errcode.KeySplit:
 		return nil, errcode.KeySplit
 	}
 	return nil, errcode.KeyUnknown
--- a/internal/dataplane/loss_test.go
+++ b/internal/dataplane/loss_test.go
@@ -10,10 +10,10 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/berths"
+	"saltmast/internal/backends"
 	"saltmast/internal/errcode"
 	"saltmast/internal/pilot"
-	"saltmast/internal/ration"
+	"saltmast/internal/retrybudget"
 )
 
 // Each request that was not answered within its target is put down to one cause. The target is 100.
@@ -115,11 +115,11 @@
 		ask(get, nil, "late_backoff", missed)
 		took, first = 500*time.Millisecond, 800*time.Millisecond
 		ask(get, nil, "late_backend", missed)
-		w.balancer.Ask(func(h *Balancer) { h.Allowance, h.Ratio, h.rations = 0, 0, map[string]*ration.Ration{} })
+		w.balancer.Ask(func(h *Balancer) { h.Allowance, h.Ratio, h.rations = 0, 0, map[string]*retrybudget.Ration{} })
 		first = 0
 		ask(get, nil, "failed_ration", missed)
 		took = 1001 * time.Millisecond
-		w.Gate.Beat(pilot.Beat{ID: "i-2", Service: "ledger", Capacity: 2, Count: 1, State: berths.Serving, Warm: time.Minute})
+		w.Gate.Beat(pilot.Beat{ID: "i-2", Service: "ledger", Capacity: 2, Count: 1, State: backends.Serving, Warm: time.Minute})
 		ask(get, nil, "late_cold_backend", missed)
 		w.Gate.Leave("i-2")
 		ask(get, nil, "refused_no_backend", missed)
--- a/internal/dataplane/report.go
+++ b/internal/dataplane/report.go
@@ -7,9 +7,9 @@
 
 	"saltmast/internal/codebook"
 	"saltmast/internal/errcode"
+	"saltmast/internal/idempotency"
 	"saltmast/internal/signal"
 	"saltmast/internal/sock"
-	"saltmast/internal/tally"
 )
 
 // reportOf asks for what is known here: the body is a ReportCall, the answer's Reported. Its number stands apart from those of
@@ -57,10 +57,10 @@
 	own.Running, own.Waiting = g.Gate.load()
 }
 
-func bookOf(o *signal.Owner[tally.Book[*Answer]]) (k codebook.Book) {
-	o.Ask(func(b *tally.Book[*Answer]) {
+func bookOf(o *signal.Owner[idempotency.Book[*Answer]]) (k codebook.Book) {
+	o.Ask(func(b *idempotency.Book[*Answer]) {
 		_, bytes := b.Len()
-		k = codebook.Book{AtWork: b.In(tally.AtWork), Done: b.In(tally.Done), Unknown: b.In(tally.Unknown), Void: b.In(tally.Void), Bytes: bytes}
+		k = codebook.Book{AtWork: b.In(idempotency.AtWork), Done: b.In(idempotency.Done), Unknown: b.In(idempotency.Unknown), Void: b.In(idempotency.Void), Bytes: bytes}
 	})
 	return k
 }
--- a/internal/dataplane/way_test.go
+++ b/internal/dataplane/way_test.go
@@ -12,13 +12,13 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/berths"
+	"saltmast/internal/backends"
 	"saltmast/internal/codebook"
 	"saltmast/internal/council"
 	"saltmast/internal/drydock/sea"
+	"saltmast/internal/idempotency"
 	"saltmast/internal/pilot"
 	"saltmast/internal/sock"
-	"saltmast/internal/tally"
 )
 
 // way is one proxy with a backend beside it, on a network in memory and in virtual time.
@@ -67,9 +67,9 @@
 	on.DataPlane = New(Options{Node: "n", Zone: "north", Service: "ledger", App: ip + ":80", GateAddr: ip + ":82", Life: 7, Begun: time.Now(),
 		Heartbeat: time.Hour, Ratio: 1, Allowance: 100, Window: 10 * time.Second, KeyWindow: time.Minute, AnswerBytes: 1 << 20,
 		LinkMbps: narrowMbps, Net: p, Council: council.New(p), Log: func(event, text string) { t.Log(event, text) }})
-	on.Gate.OnChange(func(b berths.Berth) { on.Hear(b) })
+	on.Gate.OnChange(func(b backends.Berth) { on.Hear(b) })
 	on.limit(t, route, "{}")
-	on.Gate.Beat(pilot.Beat{ID: "i-1", Service: "ledger", Capacity: 2, Count: 1, State: berths.Serving})
+	on.Gate.Beat(pilot.Beat{ID: "i-1", Service: "ledger", Capacity: 2, Count: 1, State: backends.Serving})
 	go on.Serve(listen(on.front))
 	t.Cleanup(func() {
 		p.End()
@@ -145,7 +145,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWay(t, lookup, func(io.Writer, *http.Request) { t.Error("it ran") })
 		w.Gate.Leave("i-1")
-		w.Learn([]berths.Berth{{Node: "m", Addr: "10.0.0.2:82", Zone: "south", Version: 1, Instance: "i-2", Service: "ledger", Capacity: 1, State: berths.Serving}})
+		w.Learn([]backends.Berth{{Node: "m", Addr: "10.0.0.2:82", Zone: "south", Version: 1, Instance: "i-2", Service: "ledger", Capacity: 1, State: backends.Serving}})
 		n := 0
 		w.hops.pool.Net = dials{w.p, func() {
 			if n++; n == 1 {
@@ -197,10 +197,10 @@
 			KeyWindow: time.Minute, Net: m, Log: func(string, string) {}}, nil)
 		go there.Serve(l, nil)
 		defer func() { m.End(); there.CloseAll(); there.book.End() }()
-		there.Beat(pilot.Beat{ID: "i-2", Service: "ledger", Capacity: 1, Count: 1, State: berths.Serving})
+		there.Beat(pilot.Beat{ID: "i-2", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
 		there.enter(context.Background(), &ask{Instance: "i-2", Service: "ledger"}) // takes its only place
 		w.Gate.Leave("i-1")
-		w.Learn([]berths.Berth{there.Berth()})
+		w.Learn([]backends.Berth{there.Berth()})
 		r, _, err := w.ask(t, "PUT /a/1 HTTP/1.1\nContent-Length: 3000000", func(c net.Conn) { io.WriteString(c, strings.Repeat("x", 3000000)) })
 		if err != nil || r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
 			t.Errorf("%v, %v", r, err)
@@ -220,10 +220,10 @@
 			t.Fatal(err)
 		}
 		other := gateOf(t)
-		go other.Serve(l, func(a *ask, _ []byte) outcome { return outcome{told: told{Verdict: tally.Won}} })
-		w.Learn([]berths.Berth{{Node: "other", Addr: "10.0.0.2:82", Version: 1}})
+		go other.Serve(l, func(a *ask, _ []byte) outcome { return outcome{told: told{Verdict: idempotency.Won}} })
+		w.Learn([]backends.Berth{{Node: "other", Addr: "10.0.0.2:82", Version: 1}})
 		for n := range uint64(20) {
-			if v, _ := w.claimAnyhow("k", tally.ID{Life: 7, N: n + 1}, claimTime); v != tally.Won {
+			if v, _ := w.claimAnyhow("k", idempotency.ID{Life: 7, N: n + 1}, claimTime); v != idempotency.Won {
 				t.Errorf("claim %d: verdict %d", n, v)
 			}
 			time.Sleep(time.Duration(n) * 10 * time.Millisecond)
--- a/internal/drydock/flaws.go
+++ b/internal/drydock/flaws.go
@@ -9,8 +9,8 @@
 
 	"saltmast/internal/codebook"
 	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/idempotency"
 	"saltmast/internal/signal"
-	"saltmast/internal/tally"
 )
 
 // What flawed worlds are made of, where settings are not enough.
@@ -107,8 +107,8 @@
 func (m *tugMachine) giveBack(key string) {
 	for _, core := range m.w.core {
 		c := signal.NewClient(m.crowd(), net.JoinHostPort(core.m.IP, strconv.Itoa(firstFree+codebook.PurserPort)))
-		var g tally.Grant
-		mine := tally.ID{Life: 1, N: 1, At: "nowhere"}
+		var g idempotency.Grant
+		mine := idempotency.ID{Life: 1, N: 1, At: "nowhere"}
 		if c.Call(codebook.Claim, codebook.ClaimCall{Key: key, ID: mine, Epoch: 1}, &g, time.Second) == nil {
 			id := g.Holder
 			if g.Given {
--- a/internal/drydock/syncs_test.go
+++ b/internal/drydock/syncs_test.go
@@ -8,9 +8,9 @@
 	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
 	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/idempotency"
 	"saltmast/internal/purser"
 	"saltmast/internal/signal"
-	"saltmast/internal/tally"
 )
 
 // quay is a world of core machines alone, with a change and a key that two of three voters know.
@@ -20,10 +20,10 @@
 	version int
 }
 
-var keyed = tally.ID{Life: 7, N: 1, At: "10.9.0.2:1"}
+var keyed = idempotency.ID{Life: 7, N: 1, At: "10.9.0.2:1"}
 
 // grants asks the voters of a roll for the key on behalf of a claimant, and gives how many grant it, of how many.
-func (q *quay) grants(id tally.ID) (given, of int) {
+func (q *quay) grants(id idempotency.ID) (given, of int) {
 	var roll codebook.Roll
 	for _, c := range q.core {
 		if r := c.pr.P.Status().Roll; r.Epoch > roll.Epoch {
@@ -32,7 +32,7 @@
 	}
 	for _, v := range roll.Voters {
 		c := signal.NewClient(q.op.p, v.Addr)
-		var g tally.Grant
+		var g idempotency.Grant
 		if c.Call(codebook.Claim, codebook.ClaimCall{Key: "k", ID: id, Epoch: roll.Epoch}, &g, 300*time.Millisecond) == nil && g.Given {
 			given++
 		}
@@ -59,7 +59,7 @@
 
 // stands looks whether all that was acknowledged is there, and nobody else gets the key.
 func (q *quay) stands(why string) {
-	if given, of := q.grants(tally.ID{Life: 8, N: 1, At: "10.9.0.2:2"}); given >= ballot.Majority(of) {
+	if given, of := q.grants(idempotency.ID{Life: 8, N: 1, At: "10.9.0.2:2"}); given >= ballot.Majority(of) {
 		q.must(fmt.Errorf("%s: %d of %d grant the key to another", why, given, of))
 	}
 	q.op.readBack()
@@ -158,7 +158,7 @@
 	if serving >= 2 {
 		return false
 	}
-	if given, _ := q.grants(tally.ID{Life: 8, N: 1, At: "10.9.0.2:2"}); given > serving {
+	if given, _ := q.grants(idempotency.ID{Life: 8, N: 1, At: "10.9.0.2:2"}); given > serving {
 		q.must(fmt.Errorf("%s: %d grant the key to another, %d serve", why, given, serving))
 	}
 	if q.op.readBack(); q.log.ReadOK {
--- a/internal/drydock/world.go
+++ b/internal/drydock/world.go
@@ -24,9 +24,9 @@
 	"saltmast/internal/drydock/sea"
 	"saltmast/internal/drydock/surveyor"
 	"saltmast/internal/harbour"
+	"saltmast/internal/proxy"
 	"saltmast/internal/purser"
 	"saltmast/internal/sock"
-	"saltmast/internal/tug"
 )
 
 // The places of every machine.
@@ -152,7 +152,7 @@
 	ill     atomic.Pointer[ailment]
 	gone    bool // its backend did, for good: of storms
 	proc    *sea.Process
-	tug     *tug.Tug
+	tug     *proxy.Tug
 
 	mu      sync.Mutex
 	people  *sea.Process // clients and platform: they end with the machine's power alone
@@ -373,7 +373,7 @@
 	m.proc = m.m.Start()
 	m.w.log.Contact.AddAnew(surveyor.Anew{Machine: m.name, At: m.w.now(), Reaches: m.reaches})
 	var err error
-	m.tug, err = tug.Start(s, m.w.note(m.name+" tug"), m.spoilt(m.proc))
+	m.tug, err = proxy.Start(s, m.w.note(m.name+" tug"), m.spoilt(m.proc))
 	return err
 }
 
--- a/internal/front/http/body.go
+++ b/internal/front/http/body.go
@@ -7,8 +7,8 @@
 	"net/http"
 	"time"
 
+	"saltmast/internal/bodybuffer"
 	"saltmast/internal/http1"
-	"saltmast/internal/keep"
 	"saltmast/internal/upstream"
 )
 
@@ -19,14 +19,14 @@
 }
 
 // readBody reads a body as far as it is kept. coming: the rest is to pass on as it comes. A status says what is wrong.
-func (c *conn) readBody(r *http1.Request, s *http1.Body, hold *keep.Hold, way keep.Way) (body []byte, coming *upstream.Coming, status int, why string) {
+func (c *conn) readBody(r *http1.Request, s *http1.Body, hold *bodybuffer.Hold, way bodybuffer.Way) (body []byte, coming *upstream.Coming, status int, why string) {
 	if r.Expect && c.in.Buffered() == 0 {
 		c.SetWriteDeadline(time.Now().Add(slowStart))
 		if _, err := io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return nil, nil, 0, "gone"
 		}
 	}
-	if way == keep.Kept {
+	if way == bodybuffer.Kept {
 		if r.Length >= 0 {
 			body = make([]byte, r.Length)
 			if _, err := io.ReadFull(s, body); err != nil {
@@ -36,15 +36,15 @@
 		}
 		for {
 			if len(body) == cap(body) {
-				if len(body) >= keep.Small {
-					if way = hold.Grow(int64(len(body)) + keep.Growth); way == keep.TooLarge {
-						way = hold.Grow(keep.Most)
+				if len(body) >= bodybuffer.Small {
+					if way = hold.Grow(int64(len(body)) + bodybuffer.Growth); way == bodybuffer.TooLarge {
+						way = hold.Grow(bodybuffer.Most)
 					}
-					if way != keep.Kept {
+					if way != bodybuffer.Kept {
 						break
 					}
 				}
-				grown := make([]byte, len(body), min(max(4<<10, 2*len(body)), max(keep.Small, len(body)+keep.Growth)))
+				grown := make([]byte, len(body), min(max(4<<10, 2*len(body)), max(bodybuffer.Small, len(body)+bodybuffer.Growth)))
 				copy(grown, body)
 				body = grown
 			}
--- a/internal/front/http/conn.go
+++ b/internal/front/http/conn.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
+	"saltmast/internal/bodybuffer"
 	"saltmast/internal/conns"
 	"saltmast/internal/http1"
-	"saltmast/internal/keep"
 	"saltmast/internal/sock"
 )
 
@@ -34,7 +34,7 @@
 )
 
 // limits bound what is read of a request.
-var limits = http1.Limits{Head: 12 << 10, Body: keep.Most}
+var limits = http1.Limits{Head: 12 << 10, Body: bodybuffer.Most}
 
 // conn is one connection of a client. One goroutine serves it; while a body passes, that of the attempt reads it.
 type conn struct {
--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -23,10 +23,10 @@
 	"time"
 
 	"saltmast"
+	"saltmast/internal/bodybuffer"
 	"saltmast/internal/conns"
 	"saltmast/internal/core"
 	"saltmast/internal/http1"
-	"saltmast/internal/keep"
 	"saltmast/internal/sock"
 	"saltmast/internal/upstream"
 	"saltmast/internal/work"
@@ -41,7 +41,7 @@
 	loop     *core.Loop
 	conns    *conns.Listener
 	serving  func() bool // whether some backend may get work
-	bodies   *keep.Account
+	bodies   *bodybuffer.Account
 	log      *slog.Logger
 	terms    atomic.Pointer[terms]
 	draining atomic.Bool // it stops
@@ -72,8 +72,8 @@
 	Terms
 	Loop    *core.Loop
 	Conns   *conns.Listener
-	Serving func() bool   // whether some backend may get work: then it is ready
-	Bodies  *keep.Account // of bodies that are kept
+	Serving func() bool         // whether some backend may get work: then it is ready
+	Bodies  *bodybuffer.Account // of bodies that are kept
 	Log     *slog.Logger
 }
 
--- a/internal/harbour/harbour.go
+++ b/internal/harbour/harbour.go
@@ -16,8 +16,8 @@
 	"sync/atomic"
 	"time"
 
+	"saltmast/internal/backends"
 	"saltmast/internal/ballot"
-	"saltmast/internal/berths"
 	"saltmast/internal/codebook"
 	"saltmast/internal/council"
 	"saltmast/internal/duty"
@@ -77,7 +77,7 @@
 // books are the tables.
 type books struct {
 	h        *Harbour
-	berths   *berths.Table
+	berths   *backends.Table
 	chosen   manifest.Ballot
 	stands   manifest.Set
 	pages    ballot.Pages      // of a later one
@@ -125,7 +125,7 @@
 // Start begins to serve.
 func Start(o Options) *Harbour {
 	h := &Harbour{o: o, council: council.New(o.Net), ended: make(chan struct{}), round: make(chan struct{}, 1), turning: make(chan struct{}, 1)}
-	b := &books{h: h, berths: berths.New(), masters: map[string]codebook.Master{}, lost: map[string]time.Time{},
+	b := &books{h: h, berths: backends.New(), masters: map[string]codebook.Master{}, lost: map[string]time.Time{},
 		pulling: map[string]chan struct{}{}, asked: map[string]bool{}, pullers: map[*puller]struct{}{}, begun: time.Now(), leases: map[duty.Name]*duty.Lease{}, stands: manifest.Set{}.Charted()}
 	b.enter(o.Self)
 	h.own = signal.Own(b, 1024)
@@ -201,7 +201,7 @@
 type Status struct {
 	Chosen  manifest.Ballot
 	Items   int
-	Berths  []berths.Berth
+	Berths  []backends.Berth
 	Masters []codebook.Master
 	Roll    codebook.Roll
 	FreshMs uint32
@@ -823,7 +823,7 @@
 		clear(b.lost)
 		return
 	}
-	if gone := b.berths.Sweep(since, masthead.GoneAfter, func(x berths.Berth) bool { return head.Lives(x.Addr) }); len(gone) > 0 {
+	if gone := b.berths.Sweep(since, masthead.GoneAfter, func(x backends.Berth) bool { return head.Lives(x.Addr) }); len(gone) > 0 {
 		b.h.o.Log("gone", strings.Join(gone, " "))
 	}
 	listed := false
--- a/internal/harbour/harbour_test.go
+++ b/internal/harbour/harbour_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 	"time"
 
+	"saltmast/internal/backends"
 	"saltmast/internal/ballot"
-	"saltmast/internal/berths"
 	"saltmast/internal/codebook"
 	"saltmast/internal/council"
 	"saltmast/internal/drydock/sea"
@@ -22,7 +22,7 @@
 func ashore(t testing.TB) (*Harbour, *books) {
 	h := &Harbour{o: Options{Life: 1, Log: func(event, text string) { t.Log(event, text) }}, council: council.New(nil),
 		ended: make(chan struct{}), round: make(chan struct{}, 1)}
-	return h, &books{h: h, berths: berths.New(), masters: map[string]codebook.Master{}, lost: map[string]time.Time{},
+	return h, &books{h: h, berths: backends.New(), masters: map[string]codebook.Master{}, lost: map[string]time.Time{},
 		pulling: map[string]chan struct{}{}, asked: map[string]bool{}, pullers: map[*puller]struct{}{}}
 }
 
@@ -35,7 +35,7 @@
 		t.Error("news for one who knows more")
 	}
 	h.council.Take(codebook.Roll{Epoch: 2})
-	b.berths.Join(berths.Berth{Node: "n", Version: 1})
+	b.berths.Join(backends.Berth{Node: "n", Version: 1})
 	b.whole(manifest.Ballot{N: 1}, manifest.Set{})
 	b.enter(codebook.Master{Name: "m"})
 	all := codebook.PullCall{At: 1, Epoch: 2, Sum: b.news(codebook.PullCall{}).Sum, Have: manifest.Ballot{N: 1}}
--- a/internal/harbour/report.go
+++ b/internal/harbour/report.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"saltmast/internal/berths"
+	"saltmast/internal/backends"
 	"saltmast/internal/codebook"
 	"saltmast/internal/duty"
 	"saltmast/internal/launch"
@@ -68,7 +68,7 @@
 	return l != nil && l.Holds(time.Since(b.begun))
 }
 
-func reports(all []berths.Berth) []codebook.BerthReport {
+func reports(all []backends.Berth) []codebook.BerthReport {
 	out := make([]codebook.BerthReport, len(all))
 	for i, b := range all {
 		out[i] = codebook.Reports(b)
--- a/internal/harbour/wake_test.go
+++ b/internal/harbour/wake_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/berths"
+	"saltmast/internal/backends"
 	"saltmast/internal/codebook"
 	"saltmast/internal/manifest"
 	"saltmast/internal/signal"
@@ -16,7 +16,7 @@
 func waiting(t testing.TB, n int, answered *atomic.Int64) (*Harbour, *books) {
 	h, b := ashore(t)
 	for i := range n {
-		b.berths.Join(berths.Berth{Node: fmt.Sprint("n", i), Addr: "10.0.0.1:7", Version: 1})
+		b.berths.Join(backends.Berth{Node: fmt.Sprint("n", i), Addr: "10.0.0.1:7", Version: 1})
 	}
 	for range n {
 		c := signal.Local(codebook.Pull, nil, func([]byte, error) { answered.Add(1) })
@@ -35,7 +35,7 @@
 	queued := make(chan struct{})
 	h.own.Send(func(b *books) {
 		<-queued
-		b.berths.Join(berths.Berth{Node: "n1", Addr: "10.0.0.1:7", Version: 2})
+		b.berths.Join(backends.Berth{Node: "n1", Addr: "10.0.0.1:7", Version: 2})
 		b.wake()
 		b.wake()
 	})
@@ -67,7 +67,7 @@
 				h.own = signal.Own(x, 1024)
 				b.StartTimer()
 				h.own.Send(func(x *books) {
-					x.berths.Join(berths.Berth{Node: "n1", Addr: "10.0.0.1:7", Version: 2})
+					x.berths.Join(backends.Berth{Node: "n1", Addr: "10.0.0.1:7", Version: 2})
 					x.wake()
 				})
 				for answered.Load() < int64(n) {
--- a/internal/tally/book.go
+++ b/internal/idempotency/book.go
@@ -1,4 +1,4 @@
-package tally
+package idempotency
 
 import "time"
 
--- a/internal/tally/tally.go
+++ b/internal/idempotency/tally.go
@@ -1,7 +1,7 @@
-// Package tally keeps operation keys: a key is claimed with a majority of members before its request is sent, and whoever
+// Package idempotency keeps operation keys: a key is claimed with a majority of members before its request is sent, and whoever
 // holds the claim alone may run it. It is pure: a Ledger is one member's part, a Vote what a claimant gathers, a Book what a
 // proxy knows of the operations that passed through it.
-package tally
+package idempotency
 
 import (
 	"time"
--- a/internal/launch/launch_test.go
+++ b/internal/launch/launch_test.go
@@ -14,12 +14,12 @@
 	"github.com/rogpeppe/go-internal/testscript"
 
 	"saltmast/internal/launch"
-	"saltmast/internal/tug"
+	"saltmast/internal/proxy"
 )
 
 func TestMain(m *testing.M) {
 	os.Setenv("GORACE", "atexit_sleep_ms=0")
-	testscript.Main(m, map[string]func(){"tug": func() { os.Exit(launch.Main(tug.Program, os.Args[1:])) }})
+	testscript.Main(m, map[string]func(){"tug": func() { os.Exit(launch.Main(proxy.Program, os.Args[1:])) }})
 }
 
 // TestScripts runs the command lines as they are documented.
--- a/internal/loadline/hollow.go
+++ b/internal/loadline/hollow.go
@@ -21,9 +21,9 @@
 	"saltmast/internal/codebook"
 	"saltmast/internal/launch"
 	"saltmast/internal/manifest"
+	"saltmast/internal/proxy"
 	"saltmast/internal/signal"
 	"saltmast/internal/sock"
-	"saltmast/internal/tug"
 )
 
 // plan is what a process of hollow agents is told first.
@@ -181,7 +181,7 @@
 			a.calls[what] = newPipes(addr)
 			net.calls[addr] = a.calls[what]
 		}
-		t, err := tug.Start(s, func(event, text string) {
+		t, err := proxy.Start(s, func(event, text string) {
 			var n uint64
 			if event == "configuration" {
 				if _, err := fmt.Sscanf(text, "ballot %d:", &n); err == nil {
--- a/internal/loadline/loadline_test.go
+++ b/internal/loadline/loadline_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/berths"
+	"saltmast/internal/backends"
 	"saltmast/internal/codebook"
 	"saltmast/internal/manifest"
 )
@@ -91,7 +91,7 @@
 	call, got, parts := codebook.PullCall{}, 0, 0
 	for ; call.Have.IsZero() && parts < 20; parts++ {
 		news := codebook.News{Life: 1}
-		news.Tell(call, berths.New(), chosen, stands, manifest.Ballot{})
+		news.Tell(call, backends.New(), chosen, stands, manifest.Ballot{})
 		got += len(news.Items)
 		call = next(call, news)
 	}
--- a/internal/loadline/phases.go
+++ b/internal/loadline/phases.go
@@ -15,9 +15,9 @@
 	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
 	"saltmast/internal/council"
+	"saltmast/internal/idempotency"
 	"saltmast/internal/manifest"
 	"saltmast/internal/signal"
-	"saltmast/internal/tally"
 )
 
 // change sends one change to a core machine.
@@ -255,7 +255,7 @@
 				for time.Now().Before(end) && x.ctx.Err() == nil {
 					k := n.Add(1)
 					begun := time.Now()
-					call := signal.Encode(codebook.ClaimCall{Key: fmt.Sprintf("scale-key-%012d", k), ID: tally.ID{Life: 1, N: k, At: x.l.Addr(0, free)}, Epoch: w.Roll.Epoch})
+					call := signal.Encode(codebook.ClaimCall{Key: fmt.Sprintf("scale-key-%012d", k), ID: idempotency.ID{Life: 1, N: k, At: x.l.Addr(0, free)}, Epoch: w.Roll.Epoch})
 					votes := 0
 					co.Gather(codebook.Claim, func(int) []byte { return call }, time.Second, func(t council.Told) bool {
 						if t.Err == nil {
--- a/internal/lookout/lookout_test.go
+++ b/internal/lookout/lookout_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/berths"
+	"saltmast/internal/backends"
 	"saltmast/internal/codebook"
 	"saltmast/internal/manifest"
 )
@@ -20,7 +20,7 @@
 func fleetBerths(n int) (out []codebook.BerthReport) {
 	for i := range n {
 		out = append(out, codebook.BerthReport{Node: fmt.Sprintf("side-%04d", i+1), Addr: fmt.Sprintf("10.1.%d.%d:7382", i/200, i%200+1), Zone: "east",
-			Version: 2, Life: uint64(i + 100), Instance: fmt.Sprintf("berth-%d", i), Service: "pump", Capacity: 4, State: berths.Serving})
+			Version: 2, Life: uint64(i + 100), Instance: fmt.Sprintf("berth-%d", i), Service: "pump", Capacity: 4, State: backends.Serving})
 	}
 	return out
 }
--- a/internal/lookout/mesh_test.go
+++ b/internal/lookout/mesh_test.go
@@ -11,9 +11,9 @@
 	"saltmast/internal/articles"
 	"saltmast/internal/drydock/sea"
 	"saltmast/internal/harbour"
+	"saltmast/internal/proxy"
 	"saltmast/internal/purser"
 	"saltmast/internal/signal"
-	"saltmast/internal/tug"
 )
 
 func encode(v any) []byte { return signal.Encode(v) }
@@ -48,7 +48,7 @@
 		}
 		m := s.Machine("10.1.0.10", "zone-1")
 		p := m.Start()
-		g, err := tug.Start(settings("side-1", m.IP, m.Zone), log, p)
+		g, err := proxy.Start(settings("side-1", m.IP, m.Zone), log, p)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lookout/tables.go
+++ b/internal/lookout/tables.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"saltmast/internal/berths"
+	"saltmast/internal/backends"
 	"saltmast/internal/codebook"
 )
 
@@ -58,7 +58,7 @@
 	silent := len(p.Look.Agents) - p.Look.Answered()
 	serving := 0
 	for _, r := range p.Tables[tabBackends].Rows {
-		if r.Cells[4] == berths.Serving.String() {
+		if r.Cells[4] == backends.Serving.String() {
 			serving++
 		}
 	}
--- a/internal/pilot/pilot.go
+++ b/internal/pilot/pilot.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"saltmast/internal/berths"
+	"saltmast/internal/backends"
 	"saltmast/internal/errcode"
 )
 
@@ -41,7 +41,7 @@
 	Release  string
 	Zone     string
 	Capacity int
-	State    berths.State
+	State    backends.State
 	Count    uint64        // goes up with each call of one life
 	Warm     time.Duration // it stays slow for so long
 }
@@ -71,9 +71,9 @@
 		Capacity: b.Info.Capacity, Count: b.Status.Count}
 	switch b.Status.State {
 	case "serving":
-		out.State = berths.Serving
+		out.State = backends.Serving
 	case "draining":
-		out.State = berths.Draining
+		out.State = backends.Draining
 	default:
 		return out, errcode.New(errcode.Unreadable, "beat: status.state: serving or draining wanted, got %.40q", b.Status.State)
 	}
--- a/internal/pilot/pilot_test.go
+++ b/internal/pilot/pilot_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/berths"
+	"saltmast/internal/backends"
 	"saltmast/internal/errcode"
 )
 
@@ -61,7 +61,7 @@
 // A beat is read whole, or refused with one line that names what is wrong.
 func TestReadBeat(t *testing.T) {
 	got, err := ReadBeat("i-1", []byte(beat))
-	want := Beat{ID: "i-1", Addr: "10.0.0.9:80", Service: "s", Release: "v1", Zone: "z", Capacity: 6, State: berths.Serving, Count: 4, Warm: time.Second / 2}
+	want := Beat{ID: "i-1", Addr: "10.0.0.9:80", Service: "s", Release: "v1", Zone: "z", Capacity: 6, State: backends.Serving, Count: 4, Warm: time.Second / 2}
 	if err != nil || got != want {
 		t.Errorf("%+v, %v", got, err)
 	}
--- a/internal/tug/parts_test.go
+++ b/internal/proxy/parts_test.go
@@ -1,4 +1,4 @@
-package tug
+package proxy
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"saltmast/internal/berths"
+	"saltmast/internal/backends"
 	"saltmast/internal/codebook"
 	"saltmast/internal/manifest"
 )
@@ -41,11 +41,11 @@
 		knows := []int{1, 1}           // what two harbourmasters heard of last, at places 1 and 2
 		lives := []uint64{0, 1, 2, 3}  // by place
 		proxy, own := begun(), begun() // a source at place 3 that keeps no tombstones; the one that is looked at
-		tables := []*berths.Table{nil, berths.New(), berths.New(), proxy.table}
+		tables := []*backends.Table{nil, backends.New(), backends.New(), proxy.table}
 		versions := uint64(0)
 		moor := func() {
 			versions++
-			tables[1].Join(berths.Berth{Node: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "node")), Addr: "a", Version: versions, Release: release})
+			tables[1].Join(backends.Berth{Node: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "node")), Addr: "a", Version: versions, Release: release})
 		}
 		for range 8 {
 			moor()
@@ -132,7 +132,7 @@
 				s := rapid.IntRange(1, 2).Draw(t, "anew")
 				lives[s] += 10
 				all := tables[3-s].All()
-				tables[s] = berths.New()
+				tables[s] = backends.New()
 				for _, x := range all {
 					tables[s].Join(x)
 				}
@@ -167,10 +167,10 @@
 	have, bare manifest.Ballot
 	stands     manifest.Set
 	got        parts
-	table      *berths.Table
+	table      *backends.Table
 	sources    sources
 }
 
 func begun() proxied {
-	return proxied{stands: manifest.Set{}.Charted(), table: berths.New(), sources: sources{}}
+	return proxied{stands: manifest.Set{}.Charted(), table: backends.New(), sources: sources{}}
 }
--- a/internal/tug/report.go
+++ b/internal/proxy/report.go
@@ -1,4 +1,4 @@
-package tug
+package proxy
 
 import (
 	"time"
--- a/internal/tug/start_test.go
+++ b/internal/proxy/start_test.go
@@ -1,4 +1,4 @@
-package tug
+package proxy
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"time"
 
 	"saltmast/internal/articles"
-	"saltmast/internal/berths"
+	"saltmast/internal/backends"
 	"saltmast/internal/codebook"
 	"saltmast/internal/dataplane"
 	"saltmast/internal/drydock/sea"
@@ -38,7 +38,7 @@
 	stands  manifest.Set
 	mu      sync.Mutex // once it serves: of chosen, table and what it counts
 	chosen  manifest.Ballot
-	table   *berths.Table
+	table   *backends.Table
 	onPart  func(part int64, n *codebook.News) // before it is told
 	parts   atomic.Int64                       // messages with items or entries
 	largest atomic.Int64
@@ -59,7 +59,7 @@
 		n := codebook.News{Life: s.life, FreshMs: s.freshMs}
 		s.mu.Lock()
 		if s.table == nil {
-			s.table = berths.New()
+			s.table = backends.New()
 		}
 		n.Tell(m, s.table, s.chosen, s.stands, manifest.Ballot{})
 		s.mu.Unlock()
@@ -143,7 +143,7 @@
 		for _, c := range cores {
 			s.Cut(m2, c)
 		}
-		second.way.Learn([]berths.Berth{first.way.Gate.Berth()})
+		second.way.Learn([]backends.Berth{first.way.Gate.Berth()})
 		within(20*time.Second, func() bool { return second.byOther.Load() >= 12 })
 		time.Sleep(time.Second)
 		if second.stands.Len() != routes+1 || !second.way.Configured() {
@@ -179,9 +179,9 @@
 			for i := range 2 {
 				m := s.Machine(fmt.Sprintf("10.1.0.%d", 2+i), "zone-1")
 				p := m.Start()
-				h := &teller{life: uint64(11 + i), stands: many(1), chosen: manifest.Ballot{N: 1, By: 1}, table: berths.New(), onBreak: p.End}
+				h := &teller{life: uint64(11 + i), stands: many(1), chosen: manifest.Ballot{N: 1, By: 1}, table: backends.New(), onBreak: p.End}
 				for n := range backendCount {
-					h.table.Join(berths.Berth{Node: fmt.Sprintf("n-%02d", n), Addr: "10.2.0.1:7", Zone: "zone-1", Version: 1, Release: release})
+					h.table.Join(backends.Berth{Node: fmt.Sprintf("n-%02d", n), Addr: "10.2.0.1:7", Zone: "zone-1", Version: 1, Release: release})
 				}
 				if i == 0 {
 					h.breakAt = breakAt
@@ -190,7 +190,7 @@
 					told.Lock()
 					defer told.Unlock()
 					if part <= breakAt { // and another one changes meanwhile
-						h.table.Join(berths.Berth{Node: fmt.Sprintf("n-%02d", part), Addr: "10.2.0.1:7", Zone: "zone-1", Version: 2, State: berths.Draining})
+						h.table.Join(backends.Berth{Node: fmt.Sprintf("n-%02d", part), Addr: "10.2.0.1:7", Zone: "zone-1", Version: 2, State: backends.Draining})
 					}
 					if g := first.Load(); g != nil && g.ready() == nil && !whole {
 						t.Errorf("ready with part %d", part)
@@ -224,7 +224,7 @@
 			for _, c := range cores {
 				s.Cut(m2, c)
 			}
-			g2.way.Learn([]berths.Berth{g1.way.Gate.Berth()})
+			g2.way.Learn([]backends.Berth{g1.way.Gate.Berth()})
 			for began := time.Now(); knows(g2) < backendCount && time.Since(began) < 20*time.Second; {
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -254,10 +254,10 @@
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []int{1000, 14000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			table := berths.New()
+			table := backends.New()
 			for i := range n {
-				table.Join(berths.Berth{Node: fmt.Sprintf("side-%05d", i), Addr: fmt.Sprintf("10.%d.%d.%d:7382", i>>12, i>>6&63, i&63), Zone: fmt.Sprintf("zone-%d", i%32), Version: 7,
-					Life: 1<<60 + uint64(i), Instance: fmt.Sprintf("i-%d-0a1b2c", i), Service: fmt.Sprintf("service-%d", i/14), Release: "v1", Capacity: 8, State: berths.Serving})
+				table.Join(backends.Berth{Node: fmt.Sprintf("side-%05d", i), Addr: fmt.Sprintf("10.%d.%d.%d:7382", i>>12, i>>6&63, i&63), Zone: fmt.Sprintf("zone-%d", i%32), Version: 7,
+					Life: 1<<60 + uint64(i), Instance: fmt.Sprintf("i-%d-0a1b2c", i), Service: fmt.Sprintf("service-%d", i/14), Release: "v1", Capacity: 8, State: backends.Serving})
 			}
 			b.ReportAllocs()
 			var bytes, most, parts int
@@ -313,7 +313,7 @@
 					b.Fatal(err)
 				}
 				told := codebook.News{Life: 1}
-				told.Tell(m, berths.New(), at, set, manifest.Ballot{})
+				told.Tell(m, backends.New(), at, set, manifest.Ballot{})
 				raw := signal.Encode(told)
 				bytes += len(raw)
 				var news codebook.News
--- a/internal/tug/tug.go
+++ b/internal/proxy/tug.go
@@ -1,6 +1,6 @@
-// Package tug is the proxy of the mesh as a program: it takes its backend's beats, pulls news from a harbourmaster, carries
+// Package proxy is the proxy of the mesh as a program: it takes its backend's beats, pulls news from a harbourmaster, carries
 // the traffic by package dataplane and says whether it is ready. Start reading at Start.
-package tug
+package proxy
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 	"time"
 
 	"saltmast/internal/articles"
-	"saltmast/internal/berths"
+	"saltmast/internal/backends"
 	"saltmast/internal/codebook"
 	"saltmast/internal/council"
 	"saltmast/internal/dataplane"
@@ -40,14 +40,14 @@
 
 	mu      sync.Mutex
 	masters []codebook.Master
-	table   *berths.Table
+	table   *backends.Table
 	stands  manifest.Set
 	chosen  manifest.Ballot
 	bare    manifest.Ballot      // tombstones up to this one are no more in stands
 	news    chan struct{}        // holds one when this proxy has something to tell
 	heard   time.Time            // a harbourmaster that had heard a majority
 	full    bool                 // such a one has told all that there is
-	others  []berths.Berth       // of proxies that reach no harbourmaster, to be told on
+	others  []backends.Berth     // of proxies that reach no harbourmaster, to be told on
 	whole   bool                 // the next pull asks for all: something was dropped that is back
 	sources sources              // of the goroutine that pulls
 	left    map[string]time.Time // harbourmasters, and when they were left as they heard no majority
@@ -81,7 +81,7 @@
 // Start begins to serve by the settings. on: nil for the system's network.
 func Start(s *articles.Settings, log func(event, text string), on sock.Net) (*Tug, error) {
 	on = sock.On(on)
-	t := &Tug{log: log, net: on, council: council.New(on), life: launch.Life(), table: berths.New(), sources: sources{}, left: map[string]time.Time{}, stands: manifest.Set{}.Charted(),
+	t := &Tug{log: log, net: on, council: council.New(on), life: launch.Life(), table: backends.New(), sources: sources{}, left: map[string]time.Time{}, stands: manifest.Set{}.Charted(),
 		news: make(chan struct{}, 1), ended: make(chan struct{})}
 	t.s.Store(s)
 	listen := func(addr string) (net.Listener, error) {
@@ -111,7 +111,7 @@
 		Window: s.Bounds.RetryWindow, KeyWindow: s.Bounds.DedupWindow + keyMargin, AnswerBytes: answers, MaxConns: conns, LinkMbps: s.BandwidthMbps,
 		Net: on, Council: t.council, News: t.newsFor, Report: t.report, Vouched: t.vouched, Log: log,
 		Heard: func(addr string) { t.head.Heard(addr) }})
-	t.way.Gate.OnChange(func(b berths.Berth) {
+	t.way.Gate.OnChange(func(b backends.Berth) {
 		t.way.Hear(b)
 		t.tell()
 	})
@@ -221,7 +221,7 @@
 	t.mu.Lock()
 	var gone []string
 	if !t.head.Alone() && time.Since(t.heard) < 2*staleMs*time.Millisecond {
-		gone = t.table.Sweep(now, masthead.GoneAfter, func(b berths.Berth) bool { return b.Node == node || t.head.Lives(b.Addr) })
+		gone = t.table.Sweep(now, masthead.GoneAfter, func(b backends.Berth) bool { return b.Node == node || t.head.Lives(b.Addr) })
 	}
 	t.whole = t.whole || t.table.Lacks(alive)
 	t.mu.Unlock()
@@ -479,7 +479,7 @@
 	}
 	t.mu.Unlock()
 	if told {
-		t.way.Learn([]berths.Berth{*call.Self})
+		t.way.Learn([]backends.Berth{*call.Self})
 		t.tell()
 	}
 	return signal.Encode(n), nil
@@ -515,7 +515,7 @@
 	if n.Roll != nil && t.council.Take(*n.Roll) {
 		t.log("roll", fmt.Sprintf("epoch %d, %d count", n.Roll.Epoch, len(n.Roll.Voters)))
 	}
-	var news []berths.Berth
+	var news []backends.Berth
 	var chart *manifest.Chart
 	t.mu.Lock()
 	if len(n.Masters) > 0 {
--- a/internal/purser/purser.go
+++ b/internal/purser/purser.go
@@ -19,11 +19,11 @@
 	"saltmast/internal/duty"
 	"saltmast/internal/errcode"
 	"saltmast/internal/hold"
+	"saltmast/internal/idempotency"
 	"saltmast/internal/manifest"
 	"saltmast/internal/relief"
 	"saltmast/internal/signal"
 	"saltmast/internal/sock"
-	"saltmast/internal/tally"
 )
 
 // Tables on disk.
@@ -100,7 +100,7 @@
 	state     State
 	disk      disk // nil: there is none
 	acc       *ballot.Acceptor
-	ledger    *tally.Ledger
+	ledger    *idempotency.Ledger
 	duties    *duty.Ledger
 	roll      codebook.Roll
 	me        int      // place in the roll; -1: none
@@ -238,7 +238,7 @@
 
 // clear forgets what is kept on disk, other than the roll.
 func (b *books) clear() {
-	b.acc, b.ledger, b.bundles = ballot.NewAcceptor(), tally.NewLedger(b.p.o.Window), 0
+	b.acc, b.ledger, b.bundles = ballot.NewAcceptor(), idempotency.NewLedger(b.p.o.Window), 0
 }
 
 // forget forgets all that a disk told.
@@ -425,17 +425,17 @@
 	return puts, bundles
 }
 
-func putClaim(key string, id tally.ID) hold.Put {
+func putClaim(key string, id idempotency.ID) hold.Put {
 	v := binary.BigEndian.AppendUint64(nil, id.Life)
 	v = binary.BigEndian.AppendUint64(v, id.N)
 	return hold.Put{Table: tableClaims, Key: []byte(key), Value: append(v, id.At...)}
 }
 
-func readClaim(v []byte) (tally.ID, error) {
+func readClaim(v []byte) (idempotency.ID, error) {
 	if len(v) < 16 {
-		return tally.ID{}, errors.New("a claim of " + strconv.Itoa(len(v)) + " bytes")
+		return idempotency.ID{}, errors.New("a claim of " + strconv.Itoa(len(v)) + " bytes")
 	}
-	return tally.ID{Life: binary.BigEndian.Uint64(v), N: binary.BigEndian.Uint64(v[8:]), At: string(v[16:])}, nil
+	return idempotency.ID{Life: binary.BigEndian.Uint64(v), N: binary.BigEndian.Uint64(v[8:]), At: string(v[16:])}, nil
 }
 
 func (b *books) read() error {
@@ -907,7 +907,7 @@
 		return errcode.New(errcode.Malformed, "")
 	}
 	holder, granted := b.ledger.Claim(b.now(), m.Key, m.ID)
-	answer := tally.Grant{Vouch: b.vouch(), Given: granted, Holder: holder}
+	answer := idempotency.Grant{Vouch: b.vouch(), Given: granted, Holder: holder}
 	switch {
 	case !granted:
 		b.p.Counts.Denied.Add(1)
--- a/internal/purser/purser_test.go
+++ b/internal/purser/purser_test.go
@@ -12,9 +12,9 @@
 	"saltmast/internal/codebook"
 	"saltmast/internal/errcode"
 	"saltmast/internal/hold"
+	"saltmast/internal/idempotency"
 	"saltmast/internal/manifest"
 	"saltmast/internal/signal"
-	"saltmast/internal/tally"
 )
 
 // A paper is a disk whose syncs the test times: what was written waits for sync, which brings it into force or fails it.
@@ -152,7 +152,7 @@
 	return r
 }
 
-func (r *answered) grant(t *testing.T) (g tally.Grant) {
+func (r *answered) grant(t *testing.T) (g idempotency.Grant) {
 	t.Helper()
 	if r.n != 1 || r.err != nil {
 		t.Fatalf("%d answers, %v", r.n, r.err)
@@ -174,7 +174,7 @@
 	return d
 }
 
-func id(n uint64) tally.ID { return tally.ID{Life: 7, N: n, At: "x:1"} }
+func id(n uint64) idempotency.ID { return idempotency.ID{Life: 7, N: n, At: "x:1"} }
 
 // What a disk told before its reading failed counts for nothing: the next one may be empty.
 func TestDiskThatFailsAmidReading(t *testing.T) {
@@ -493,9 +493,9 @@
 			d.tick()
 			settle()
 		}
-		granted := map[string]tally.ID{}
+		granted := map[string]idempotency.ID{}
 		claim := func(key string, n uint64) {
-			var g tally.Grant
+			var g idempotency.Grant
 			if call(codebook.Claim, codebook.ClaimCall{Key: key, ID: id(n), Epoch: 1}, &g) && g.Given {
 				granted[key] = id(n)
 			}
--- a/internal/purser/repair.go
+++ b/internal/purser/repair.go
@@ -10,10 +10,10 @@
 	"saltmast/internal/codebook"
 	"saltmast/internal/errcode"
 	"saltmast/internal/hold"
+	"saltmast/internal/idempotency"
 	"saltmast/internal/manifest"
 	"saltmast/internal/relief"
 	"saltmast/internal/signal"
-	"saltmast/internal/tally"
 )
 
 // A member that lost its disk may have promised, accepted and granted what it no longer knows. It says nothing as a member
@@ -116,7 +116,7 @@
 
 // page is a part of the claims, of keys after from.
 func (b *books) page(from string) (claims []codebook.ClaimCall, more bool) {
-	b.ledger.All(func(key string, id tally.ID) {
+	b.ledger.All(func(key string, id idempotency.ID) {
 		if key > from {
 			claims = append(claims, codebook.ClaimCall{Key: key, ID: id})
 		}
@@ -338,7 +338,7 @@
 	for i := range b.acc.Stands.All() {
 		puts = append(puts, putItem(i))
 	}
-	b.ledger.All(func(key string, id tally.ID) { puts = append(puts, putClaim(key, id)) })
+	b.ledger.All(func(key string, id idempotency.ID) { puts = append(puts, putClaim(key, id)) })
 	if b.roll.Epoch > 1 || b.seal.Shut() || !b.seal.Promised.IsZero() {
 		puts = append(puts, b.putChange()...)
 	}
--- a/internal/relief/explore_test.go
+++ b/internal/relief/explore_test.go
@@ -9,8 +9,8 @@
 
 	"saltmast/internal/ballot"
 	"saltmast/internal/explore"
+	"saltmast/internal/idempotency"
 	"saltmast/internal/manifest"
-	"saltmast/internal/tally"
 )
 
 // The whole space of one change of the roll: voters 0, 1 and 2, a joiner 3, two proposers of different rolls, and either two
@@ -271,23 +271,23 @@
 	})
 }
 
-func ledger(held uint8) *tally.Ledger {
-	l := tally.NewLedger(time.Hour)
+func ledger(held uint8) *idempotency.Ledger {
+	l := idempotency.NewLedger(time.Hour)
 	if held > 0 {
 		l.Restore(0, "k", name(held))
 	}
 	return l
 }
 
-func name(held uint8) tally.ID {
+func name(held uint8) idempotency.ID {
 	if held == nobody {
-		return tally.ID{}
+		return idempotency.ID{}
 	}
-	return tally.ID{Life: 1, N: uint64(held)}
+	return idempotency.ID{Life: 1, N: uint64(held)}
 }
 
-func holder(l *tally.Ledger) (held uint8) {
-	l.All(func(_ string, id tally.ID) {
+func holder(l *idempotency.Ledger) (held uint8) {
+	l.All(func(_ string, id idempotency.ID) {
 		if held = uint8(id.N); id.IsZero() {
 			held = nobody
 		}
--- a/internal/ration/ration.go
+++ b/internal/retrybudget/ration.go
@@ -1,7 +1,7 @@
-// Package ration bounds what one machine sends beyond the first of each request, so that over all machines it stays within
+// Package retrybudget bounds what one machine sends beyond the first of each request, so that over all machines it stays within
 // a ratio of the requests and an allowance, in every sliding window. It is pure, and needs no word from others: each machine
 // keeps to its own part. First attempts never wait for it.
-package ration
+package retrybudget
 
 import "time"
 
--- a/internal/ration/ration_test.go
+++ b/internal/retrybudget/ration_test.go
@@ -1,4 +1,4 @@
-package ration
+package retrybudget
 
 import (
 	"testing"
--- a/internal/upstream/pass.go
+++ b/internal/upstream/pass.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"saltmast"
+	"saltmast/internal/bodybuffer"
 	"saltmast/internal/core"
 	"saltmast/internal/http1"
-	"saltmast/internal/keep"
 	"saltmast/internal/sock"
 )
 
@@ -245,7 +245,7 @@
 			}
 		}
 	}
-	a.left = 2 * keep.Most // with what frames it
+	a.left = 2 * bodybuffer.Most // with what frames it
 	a.stall, a.cut = passStall, time.Now().Add(time.Hour)
 	a.Conn.SetWriteDeadline(time.Time{})
 	return nil, s, nil
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"saltmast"
+	"saltmast/internal/bodybuffer"
 	"saltmast/internal/core"
 	"saltmast/internal/discovery"
-	"saltmast/internal/keep"
 	"saltmast/internal/links"
 	"saltmast/internal/sock"
 )
@@ -91,7 +91,7 @@
 		{"length and encoding", open("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), long, saltmast.Errored},
 		{"a negative length", open("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\n"), long, saltmast.Errored},
 		{"no length", open("HTTP/1.1 200 OK\r\n\r\nbody"), long, saltmast.Errored},
-		{"too large a body", open(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", keep.Most+1)), long, saltmast.Errored},
+		{"too large a body", open(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bodybuffer.Most+1)), long, saltmast.Errored},
 		{"no length, closed", func(c net.Conn, r *http.Request, b []byte) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nbody")
 			return false
