--- a/cmd/latchkit/scale.go
+++ b/cmd/latchkit/scale.go
@@ -18,12 +18,12 @@
 	"saltmast/internal/launch"
 	"saltmast/internal/loadline"
 	"saltmast/internal/proxy"
-	"saltmast/internal/purser"
+	"saltmast/internal/store"
 )
 
 // partMain is one program of a scale run.
 func partMain(name string, argv []string) int {
-	programs := map[string]launch.Program{"tug": proxy.Program, "harbourmaster": harbour.Program, "purser": purser.Program}
+	programs := map[string]launch.Program{"tug": proxy.Program, "harbourmaster": harbour.Program, "purser": store.Program}
 	if p, ok := programs[name]; ok {
 		return launch.Main(p, argv)
 	}
--- a/cmd/purser/main.go
+++ b/cmd/purser/main.go
@@ -5,7 +5,7 @@
 	"os"
 
 	"saltmast/internal/launch"
-	"saltmast/internal/purser"
+	"saltmast/internal/store"
 )
 
-func main() { os.Exit(launch.Main(purser.Program, os.Args[1:])) }
+func main() { os.Exit(launch.Main(store.Program, os.Args[1:])) }
--- a/internal/codebook/codebook.go
+++ b/internal/codebook/codebook.go
@@ -9,11 +9,11 @@
 	"strconv"
 
 	"saltmast/internal/backends"
-	"saltmast/internal/ballot"
-	"saltmast/internal/duty"
+	"saltmast/internal/consensus"
 	"saltmast/internal/idempotency"
+	"saltmast/internal/lease"
 	"saltmast/internal/manifest"
-	"saltmast/internal/relief"
+	"saltmast/internal/reconfig"
 )
 
 // Places of the programs' own ports within the free range, on every machine.
@@ -64,8 +64,8 @@
 
 // Voter is a member of those that count, and Roll the list of them.
 type (
-	Voter = relief.Voter
-	Roll  = relief.Roll
+	Voter = reconfig.Voter
+	Roll  = reconfig.Roll
 )
 
 // PrepareCall asks for the promise to take no ballot below B.
@@ -86,7 +86,7 @@
 
 // Accepted answers an AcceptCall, a LearnCall or a TurnCall.
 type Accepted struct {
-	Vouch    ballot.Vouch    `cbor:"1,keyasint"`
+	Vouch    consensus.Vouch `cbor:"1,keyasint"`
 	Taken    bool            `cbor:"2,keyasint"`
 	Promised manifest.Ballot `cbor:"3,keyasint"`
 	Accepted manifest.Ballot `cbor:"4,keyasint"` // where it was not taken: what stands there
@@ -95,8 +95,8 @@
 
 // TurnCall brings a page of a chosen value to a member that missed it.
 type TurnCall struct {
-	Page  ballot.Page `cbor:"1,keyasint"`
-	Epoch uint64      `cbor:"2,keyasint"`
+	Page  consensus.Page `cbor:"1,keyasint"`
+	Epoch uint64         `cbor:"2,keyasint"`
 }
 
 // LearnCall tells that the value of ballot B was chosen.
@@ -114,7 +114,7 @@
 
 // Watched is a purser's state as far as the caller lacks it.
 type Watched struct {
-	Vouch    ballot.Vouch    `cbor:"1,keyasint"` // By is -1 where it does not count
+	Vouch    consensus.Vouch `cbor:"1,keyasint"` // By is -1 where it does not count
 	Promised manifest.Ballot `cbor:"2,keyasint"`
 	Accepted manifest.Ballot `cbor:"3,keyasint"`
 	Chosen   manifest.Ballot `cbor:"4,keyasint"` // it holds all items up to this
@@ -131,8 +131,8 @@
 }
 
 // Page is what is told of the chosen value.
-func (w *Watched) Page() ballot.Page {
-	return ballot.Page{From: w.From, Upto: w.Upto, Target: w.Chosen, Items: w.Items}
+func (w *Watched) Page() consensus.Page {
+	return consensus.Page{From: w.From, Upto: w.Upto, Target: w.Chosen, Items: w.Items}
 }
 
 // Mark is how far a member's disk had come when it spoke as a member. A disk that is behind a mark that it told is an older copy.
@@ -178,7 +178,7 @@
 // Mustered answers a MusterCall. Its books come in parts: first the items of the base, then the rest of the claims. What is
 // told beside is of the moment of the part.
 type Mustered struct {
-	Vouch    ballot.Vouch    `cbor:"1,keyasint"`
+	Vouch    consensus.Vouch `cbor:"1,keyasint"`
 	Promised manifest.Ballot `cbor:"2,keyasint"`
 	Accepted manifest.Ballot `cbor:"3,keyasint"`
 	Chosen   manifest.Ballot `cbor:"4,keyasint"`
@@ -187,7 +187,7 @@
 	More     bool            `cbor:"7,keyasint"` // claims
 	Roll     Roll            `cbor:"8,keyasint"`
 	Former   bool            `cbor:"9,keyasint,omitempty"` // the value was accepted in a former epoch
-	Seal     *relief.Seal    `cbor:"10,keyasint,omitempty"`
+	Seal     *reconfig.Seal  `cbor:"10,keyasint,omitempty"`
 	Upto     manifest.Ballot `cbor:"11,keyasint"` // less than Base: there are more items
 	Base     manifest.Ballot `cbor:"12,keyasint"` // of the chosen value, or of the accepted one where it holds no chosen one whole
 	Delta    []manifest.Item `cbor:"13,keyasint"` // of the accepted value, that changed after Base
@@ -234,7 +234,7 @@
 
 // Handed answers a HandoverCall, in parts as a Mustered.
 type Handed struct {
-	Estate relief.Estate   `cbor:"1,keyasint"`
+	Estate reconfig.Estate `cbor:"1,keyasint"`
 	Former bool            `cbor:"2,keyasint,omitempty"`
 	Items  []manifest.Item `cbor:"3,keyasint"` // of the base, up to Upto
 	Claims []ClaimCall     `cbor:"4,keyasint"`
@@ -369,10 +369,10 @@
 
 // LeaseCall asks a member for a duty, or gives it back.
 type LeaseCall struct {
-	Duty  duty.Name `cbor:"1,keyasint"`
-	By    uint64    `cbor:"2,keyasint"`
-	Give  bool      `cbor:"3,keyasint"`
-	Epoch uint64    `cbor:"4,keyasint"`
+	Duty  lease.Name `cbor:"1,keyasint"`
+	By    uint64     `cbor:"2,keyasint"`
+	Give  bool       `cbor:"3,keyasint"`
+	Epoch uint64     `cbor:"4,keyasint"`
 }
 
 // Leased answers a LeaseCall.
--- a/internal/ballot/ballot.go
+++ b/internal/consensus/ballot.go
@@ -1,11 +1,11 @@
-// Package ballot agrees on the operator's configuration without a log and without a leader: one register whose value is the
+// Package consensus agrees on the operator's configuration without a log and without a leader: one register whose value is the
 // whole set of items, changed by rounds that any agent may run (CASPaxos: Rystsov, "CASPaxos: Replicated State Machines
 // without logs"). It is pure: an Acceptor is one member's part, a Round what an agent gathers of the members' answers.
 //
 // A value is chosen once a majority has accepted it under one ballot; what was acknowledged is chosen. Members that lost
 // their disk come back under a higher incarnation; answers are counted together only where none of them knows another as
 // reborn (see Sound), so that an answer given before a loss never meets one given after its repair.
-package ballot
+package consensus
 
 import (
 	"slices"
--- a/internal/ballot/ballot_test.go
+++ b/internal/consensus/ballot_test.go
@@ -1,4 +1,4 @@
-package ballot
+package consensus
 
 import (
 	"slices"
--- a/internal/dataplane/client_left_test.go
+++ b/internal/dataplane/client_left_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"saltmast/internal/backends"
-	"saltmast/internal/council"
+	"saltmast/internal/quorum"
 )
 
 const (
@@ -59,7 +59,7 @@
 	second := &way{sea: w.sea, p: p, front: ip + ":81"}
 	second.DataPlane = New(Options{Node: "m", Zone: "north", Service: "caller", App: ip + ":80", GateAddr: ip + ":82", Life: 8, Begun: time.Now(),
 		Heartbeat: time.Hour, Ratio: 1, Allowance: 100, Window: 10 * time.Second, KeyWindow: time.Minute, AnswerBytes: 1 << 20,
-		LinkMbps: narrowMbps, Net: p, Council: council.New(p), Log: func(event, text string) { t.Log(event, text) }})
+		LinkMbps: narrowMbps, Net: p, Council: quorum.New(p), Log: func(event, text string) { t.Log(event, text) }})
 	second.limit(t, route, "{}")
 	second.Learn([]backends.Berth{w.Gate.Berth()})
 	go w.ServeGate(listen(w.p, "10.0.0.1:82"))
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -15,12 +15,12 @@
 	"time"
 
 	"saltmast/internal/backends"
-	"saltmast/internal/council"
 	"saltmast/internal/disconnect"
 	"saltmast/internal/errcode"
 	"saltmast/internal/idempotency"
 	"saltmast/internal/manifest"
 	"saltmast/internal/pacing"
+	"saltmast/internal/quorum"
 	"saltmast/internal/signal"
 	"saltmast/internal/sock"
 )
@@ -57,7 +57,7 @@
 	LinkMbps    float64       // of this machine's link, in 10^6 bits a second; 0: not known
 
 	Net     sock.Net // nil: the system's
-	Council *council.Council
+	Council *quorum.Council
 	Heard   func(addr string)                 // another proxy answered; nil: nobody asks
 	News    func(call []byte) ([]byte, error) // answers a PullCall of another proxy; nil: none are
 	Report  func(call []byte) ([]byte, error) // answers a ReportCall; nil: none are
--- a/internal/dataplane/keyed.go
+++ b/internal/dataplane/keyed.go
@@ -6,12 +6,12 @@
 	"slices"
 	"time"
 
-	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
-	"saltmast/internal/council"
+	"saltmast/internal/consensus"
 	"saltmast/internal/disconnect"
 	"saltmast/internal/errcode"
 	"saltmast/internal/idempotency"
+	"saltmast/internal/quorum"
 	"saltmast/internal/signal"
 )
 
@@ -232,7 +232,7 @@
 		vote := idempotency.Vote{Voters: n}
 		msg := signal.Encode(codebook.ClaimCall{Key: key, ID: id, Epoch: roll.Epoch})
 		gone := 0
-		g.o.Council.Gather(codebook.Claim, func(int) []byte { return msg }, time.Until(end), func(t council.Told) bool {
+		g.o.Council.Gather(codebook.Claim, func(int) []byte { return msg }, time.Until(end), func(t quorum.Told) bool {
 			var gr idempotency.Grant
 			if t.Err != nil || signal.Decode(t.Body, &gr) != nil {
 				if vote.Missed(); errcode.Of(t.Err) == errcode.Gone {
@@ -244,7 +244,7 @@
 				vote.Add(gr)
 			}
 			verdict, holder = vote.Verdict()
-			return verdict != idempotency.Open || gone > n-ballot.Majority(n)
+			return verdict != idempotency.Open || gone > n-consensus.Majority(n)
 		})
 		if verdict != idempotency.Open || gone == 0 || !g.o.Council.Await(roll.Epoch, end) {
 			return verdict, holder
--- a/internal/dataplane/way_test.go
+++ b/internal/dataplane/way_test.go
@@ -14,10 +14,10 @@
 
 	"saltmast/internal/backends"
 	"saltmast/internal/codebook"
-	"saltmast/internal/council"
 	"saltmast/internal/drydock/sea"
 	"saltmast/internal/idempotency"
 	"saltmast/internal/pilot"
+	"saltmast/internal/quorum"
 	"saltmast/internal/sock"
 )
 
@@ -66,7 +66,7 @@
 	}()
 	on.DataPlane = New(Options{Node: "n", Zone: "north", Service: "ledger", App: ip + ":80", GateAddr: ip + ":82", Life: 7, Begun: time.Now(),
 		Heartbeat: time.Hour, Ratio: 1, Allowance: 100, Window: 10 * time.Second, KeyWindow: time.Minute, AnswerBytes: 1 << 20,
-		LinkMbps: narrowMbps, Net: p, Council: council.New(p), Log: func(event, text string) { t.Log(event, text) }})
+		LinkMbps: narrowMbps, Net: p, Council: quorum.New(p), Log: func(event, text string) { t.Log(event, text) }})
 	on.Gate.OnChange(func(b backends.Berth) { on.Hear(b) })
 	on.limit(t, route, "{}")
 	on.Gate.Beat(pilot.Beat{ID: "i-1", Service: "ledger", Capacity: 2, Count: 1, State: backends.Serving})
--- a/internal/drydock/epochs.go
+++ b/internal/drydock/epochs.go
@@ -7,8 +7,8 @@
 
 	"saltmast/internal/codebook"
 	"saltmast/internal/drydock/surveyor"
-	"saltmast/internal/purser"
 	"saltmast/internal/signal"
+	"saltmast/internal/store"
 )
 
 // Days on which the roll of those that count changes.
@@ -22,13 +22,13 @@
 	c.m = w.sea.Machine(fmt.Sprintf("10.3.0.%d", n), "south")
 	w.must(c.start())
 	w.core = append(w.core, c)
-	w.becomes(c, purser.Apart, 1, 5*time.Second)
+	w.becomes(c, store.Apart, 1, 5*time.Second)
 	return c
 }
 
 // becomes waits until a core machine's purser is in a state, in an epoch.
-func (w *World) becomes(c *coreMachine, s purser.State, epoch uint64, most time.Duration) {
-	var is purser.Status
+func (w *World) becomes(c *coreMachine, s store.State, epoch uint64, most time.Duration) {
+	var is store.Status
 	for end := w.now() + most; w.now() < end; w.pause(20 * time.Millisecond) {
 		if is = c.pr.P.Status(); is.State == s && is.Roll.Epoch == epoch {
 			return
@@ -76,7 +76,7 @@
 	over := w.trouble("power", lost.name, true)
 	lost.powerOff()
 	op.changed(7, (at+1)%3, "pump")
-	w.becomes(d, purser.Serving, 2, 9*time.Second)
+	w.becomes(d, store.Serving, 2, 9*time.Second)
 	over()
 	w.pause(3100 * time.Millisecond)
 	w.bears(w.core[(at+1+r.IntN(2))%3], op, 8)
@@ -84,7 +84,7 @@
 		w.must(lost.wipe())
 	}
 	w.must(lost.powerOn())
-	w.becomes(lost, purser.Apart, 2, 5*time.Second)
+	w.becomes(lost, store.Apart, 2, 5*time.Second)
 	op.changed(9, at, "pump")
 }
 
@@ -103,12 +103,12 @@
 	if t, err := op.replace([]*coreMachine{old, rest, d}[r.IntN(3)], old, d); err != nil || t.Why != "" {
 		w.must(fmt.Errorf("the roll was not changed: %v, %s", err, t.Why))
 	}
-	w.becomes(d, purser.Serving, 2, time.Second)
-	w.becomes(old, purser.Apart, 2, time.Second)
+	w.becomes(d, store.Serving, 2, time.Second)
+	w.becomes(old, store.Apart, 2, time.Second)
 	op.changed(7, r.IntN(4), "ledger")
 	w.must(down.start())
 	over()
-	w.becomes(down, purser.Serving, 2, 5*time.Second)
+	w.becomes(down, store.Serving, 2, 5*time.Second)
 	w.pause(3100 * time.Millisecond)
 	over = w.trouble("power", old.name, true)
 	old.powerOff()
@@ -148,7 +148,7 @@
 		op.replace(second, first, d)
 	}
 	op.changed(7, r.IntN(4), "ledger")
-	w.becomes(d, purser.Serving, 2, 6*time.Second)
+	w.becomes(d, store.Serving, 2, 6*time.Second)
 	w.pause(3100 * time.Millisecond)
 	w.bears(d, op, 8)
 }
--- a/internal/drydock/interrupted_test.go
+++ b/internal/drydock/interrupted_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/purser"
+	"saltmast/internal/store"
 )
 
 // A change of the roll whose machine is lost in the moment of the seal is finished by another one soon, and not only once the lease of
@@ -41,7 +41,7 @@
 			}
 			speaks := func(c *coreMachine) bool {
 				is := c.pr.P.Status()
-				return is.State == purser.Serving && !is.Shut && is.Roll.Epoch == 2
+				return is.State == store.Serving && !is.Shut && is.Roll.Epoch == 2
 			}
 			for w.now() < begun+6*time.Second && !slices.ContainsFunc(rest, speaks) {
 				w.pause(10 * time.Millisecond)
--- a/internal/drydock/loss.go
+++ b/internal/drydock/loss.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"saltmast/internal/drydock/surveyor"
-	"saltmast/internal/purser"
+	"saltmast/internal/store"
 )
 
 // Days of loss after loss: the next comes in the instant in which a repair, a taking over or a replacement ends.
 
 // instant waits, by tenths of a millisecond, until a core machine's purser is in a state, in an epoch.
-func (w *World) instant(c *coreMachine, s purser.State, epoch uint64, most time.Duration) {
+func (w *World) instant(c *coreMachine, s store.State, epoch uint64, most time.Duration) {
 	for end := w.now() + most; w.now() < end; time.Sleep(100 * time.Microsecond) {
 		if is := c.pr.P.Status(); is.State == s && is.Roll.Epoch == epoch {
 			return
@@ -98,7 +98,7 @@
 // lost at one moment, and two again once those count as back.
 func five(w *World, op *operator) {
 	for _, c := range w.core {
-		w.becomes(c, purser.Serving, 2, 7*time.Second)
+		w.becomes(c, store.Serving, 2, 7*time.Second)
 	}
 	w.pause(4 * time.Second)
 	for n := range 2 {
@@ -109,7 +109,7 @@
 		back()
 		op.changed(8+2*n, op.r.IntN(5), "pump")
 		for _, c := range w.core {
-			w.becomes(c, purser.Serving, 2, 4*time.Second)
+			w.becomes(c, store.Serving, 2, 4*time.Second)
 		}
 		w.pause(4 * time.Second)
 	}
@@ -129,7 +129,7 @@
 	w.pause(time.Duration(op.r.IntN(1200)) * time.Millisecond)
 	back()
 	for _, c := range w.core {
-		w.becomes(c, purser.Serving, 2, 6*time.Second)
+		w.becomes(c, store.Serving, 2, 6*time.Second)
 	}
 	w.pause(time.Second)
 	x, y := w.pair(op)
@@ -164,7 +164,7 @@
 			back()
 		}
 		w.must(c.start())
-		w.instant(c, purser.Serving, 1, 4*time.Second)
+		w.instant(c, store.Serving, 1, 4*time.Second)
 		over()
 		time.Sleep(time.Duration(op.r.IntN(3)) * time.Millisecond)
 		if n == 3 {
@@ -194,7 +194,7 @@
 	w.pause(time.Second)
 	w.must(down.start())
 	over()
-	w.instant(down, purser.Serving, 1, 2*time.Second)
+	w.instant(down, store.Serving, 1, 2*time.Second)
 	at = r.IntN(3)
 	ask := func() {
 		if t, err := op.replace([]*coreMachine{old, rest, d}[at], old, d); !w.flaw.Hasty && (err != nil || t.Why != "" || t.Holds < 2) {
@@ -214,13 +214,13 @@
 	w.must(old.wipe())
 	over()
 	if !w.flaw.Hasty {
-		w.instant(d, purser.Serving, 2, 300*time.Millisecond)
+		w.instant(d, store.Serving, 2, 300*time.Millisecond)
 	}
 	back := w.loses(op, rest)
 	op.soon(8, r.IntN(4), "pump", 4*time.Second, "a loss right after a replacement")
 	w.pause(time.Duration(r.IntN(1500)) * time.Millisecond)
 	back()
-	w.becomes(rest, purser.Serving, 2, 4*time.Second)
+	w.becomes(rest, store.Serving, 2, 4*time.Second)
 }
 
 // stopAmid stops the machine in order whose harbourmaster has the roll be changed, in the middle of that: changes and keys go on at
@@ -245,8 +245,8 @@
 	w.pause(time.Duration(300+r.IntN(1000)) * time.Millisecond)
 	w.must(stops.start())
 	t.To = w.now()
-	w.becomes(d, purser.Serving, 2, 2*time.Second)
-	w.becomes(stops, purser.Serving, 2, 2*time.Second)
+	w.becomes(d, store.Serving, 2, 2*time.Second)
+	w.becomes(stops, store.Serving, 2, 2*time.Second)
 }
 
 // coreRoll stops all core machines in order, one after the other, and starts each again; the next is stopped once the one before
@@ -278,7 +278,7 @@
 		c.stop()
 		w.pause(time.Duration(50+r.IntN(300)) * time.Millisecond)
 		w.must(c.start())
-		w.instant(c, purser.Serving, 1, 2*time.Second)
+		w.instant(c, store.Serving, 1, 2*time.Second)
 		t.To = w.now()
 		rolled.Add(1)
 	}
--- a/internal/drydock/missed.go
+++ b/internal/drydock/missed.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"saltmast/internal/drydock/surveyor"
-	"saltmast/internal/purser"
+	"saltmast/internal/store"
 )
 
 // Days on which a core machine misses so much that it can't be told at once.
@@ -53,7 +53,7 @@
 		if t, err := op.replace(next, down, d); err != nil || t.Why != "" {
 			w.must(fmt.Errorf("the roll was not changed: %v, %s", err, t.Why))
 		}
-		w.becomes(d, purser.Serving, 2, wholeIn)
+		w.becomes(d, store.Serving, 2, wholeIn)
 		over()
 		w.bears(other, op, 1000)
 		return
--- a/internal/drydock/numbers.go
+++ b/internal/drydock/numbers.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"saltmast/internal/drydock/surveyor"
-	"saltmast/internal/purser"
+	"saltmast/internal/store"
 )
 
 // Days of many orders at once: two contents under one number, answers that are lost, copies beside each other and long after, to
@@ -374,7 +374,7 @@
 				w.must(fmt.Errorf("the roll was not changed: %v, %s", err, t.Why))
 				return
 			}
-			w.becomes(next[n], purser.Serving, uint64(n+2), 5*time.Second)
+			w.becomes(next[n], store.Serving, uint64(n+2), 5*time.Second)
 			w.trouble("power", old.name, true)
 			old.powerOff()
 			w.must(old.wipe())
--- a/internal/drydock/successors.go
+++ b/internal/drydock/successors.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"saltmast/internal/drydock/surveyor"
-	"saltmast/internal/purser"
+	"saltmast/internal/store"
 )
 
 // Days on which voters are lost one after the other and the roll has to move by itself in between.
@@ -74,7 +74,7 @@
 func (w *World) rolls() (epoch uint64, speak int) {
 	for _, c := range w.core {
 		switch is := c.pr.P.Status(); {
-		case is.State != purser.Serving || is.Roll.Epoch < epoch:
+		case is.State != store.Serving || is.Roll.Epoch < epoch:
 		case is.Roll.Epoch > epoch:
 			epoch, speak = is.Roll.Epoch, 1
 		default:
@@ -104,7 +104,7 @@
 	for n := range 3 {
 		epoch, _ := w.rolls()
 		c := w.core[r.IntN(4)]
-		for c.pr.P.Status().State != purser.Serving {
+		for c.pr.P.Status().State != store.Serving {
 			c = w.core[r.IntN(4)]
 		}
 		most, took := epoch+1, time.Duration(r.IntN(5000))*time.Millisecond
--- a/internal/drydock/syncs_test.go
+++ b/internal/drydock/syncs_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
+	"saltmast/internal/consensus"
 	"saltmast/internal/drydock/surveyor"
 	"saltmast/internal/idempotency"
-	"saltmast/internal/purser"
 	"saltmast/internal/signal"
+	"saltmast/internal/store"
 )
 
 // quay is a world of core machines alone, with a change and a key that two of three voters know.
@@ -59,7 +59,7 @@
 
 // stands looks whether all that was acknowledged is there, and nobody else gets the key.
 func (q *quay) stands(why string) {
-	if given, of := q.grants(idempotency.ID{Life: 8, N: 1, At: "10.9.0.2:2"}); given >= ballot.Majority(of) {
+	if given, of := q.grants(idempotency.ID{Life: 8, N: 1, At: "10.9.0.2:2"}); given >= consensus.Majority(of) {
 		q.must(fmt.Errorf("%s: %d of %d grant the key to another", why, given, of))
 	}
 	q.op.readBack()
@@ -79,7 +79,7 @@
 		t.Fatalf("%d grant", given)
 	}
 	q.must(down.start())
-	q.instant(down, purser.Serving, 1, 2*time.Second)
+	q.instant(down, store.Serving, 1, 2*time.Second)
 }
 
 // sync is one play: of whose syncs, which, before or after it, and what comes about then.
@@ -133,7 +133,7 @@
 	c.kill()
 	q.must(c.wipe())
 	q.must(c.start())
-	return q.struck(hit, back, func() { q.becomes(c, purser.Serving, 1, 5*time.Second) }, s)
+	return q.struck(hit, back, func() { q.becomes(c, store.Serving, 1, 5*time.Second) }, s)
 }
 
 // two has voter 0 lose its disk, and another one at a sync of its repair: where that is not made up for, nobody speaks.
@@ -151,7 +151,7 @@
 func (q *quay) silent(why string) bool {
 	serving := 0
 	for _, c := range q.core {
-		if c.pr.P.Status().State == purser.Serving {
+		if c.pr.P.Status().State == store.Serving {
 			serving++
 		}
 	}
@@ -186,7 +186,7 @@
 		q.pause(500 * time.Millisecond)
 		q.op.replace(q.core[0], q.core[1], d)
 	}
-	q.becomes(d, purser.Serving, 2, 5*time.Second)
+	q.becomes(d, store.Serving, 2, 5*time.Second)
 	q.core[1].powerOff()
 	q.must(q.core[1].wipe())
 	return came
@@ -276,7 +276,7 @@
 			}
 			w.must(d.start())
 			w.must(q.core[2].start())
-			q.becomes(d, purser.Serving, 2, 4*time.Second)
+			q.becomes(d, store.Serving, 2, 4*time.Second)
 			q.change("what follows")
 			q.stands("what follows")
 			q.end(t, syncAt{})
--- a/internal/drydock/world.go
+++ b/internal/drydock/world.go
@@ -25,8 +25,8 @@
 	"saltmast/internal/drydock/surveyor"
 	"saltmast/internal/harbour"
 	"saltmast/internal/proxy"
-	"saltmast/internal/purser"
 	"saltmast/internal/sock"
+	"saltmast/internal/store"
 )
 
 // The places of every machine.
@@ -121,7 +121,7 @@
 	dir  string
 	boot bool
 	p, h *sea.Process
-	pr   purser.Running
+	pr   store.Running
 	hr   harbour.Running
 	runs bool         // the purser
 	ill  atomic.Int32 // its disk: well, slow, hangs, refuses
@@ -269,7 +269,7 @@
 	var err error
 	if !c.runs {
 		c.p, c.runs = c.m.Start(), true
-		if c.pr, err = purser.Launch(s, c.w.note(c.name+" purser"), c.p, c.disk(c.p)); err != nil {
+		if c.pr, err = store.Launch(s, c.w.note(c.name+" purser"), c.p, c.disk(c.p)); err != nil {
 			return err
 		}
 	}
--- a/internal/harbour/contact_test.go
+++ b/internal/harbour/contact_test.go
@@ -6,13 +6,13 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
-	"saltmast/internal/council"
+	"saltmast/internal/consensus"
 	"saltmast/internal/drydock/sea"
-	"saltmast/internal/duty"
 	"saltmast/internal/errcode"
+	"saltmast/internal/lease"
 	"saltmast/internal/manifest"
+	"saltmast/internal/quorum"
 	"saltmast/internal/signal"
 )
 
@@ -41,11 +41,11 @@
 			h, b := ashore(t)
 			roll := codebook.Roll{Epoch: 2, Voters: make([]codebook.Voter, 3)}
 			h.council.Take(roll)
-			b.leases = map[duty.Name]*duty.Lease{}
+			b.leases = map[lease.Name]*lease.Lease{}
 			b.heard, b.vouched, b.pending, b.behind, b.shut = make([]time.Time, 3), make([]time.Time, 3), make([]time.Time, 3), make([]int, 3), make([]time.Time, 3)
 			b.marks, b.upto, b.taught, b.answered = make([]codebook.Mark, 3), make([]manifest.Ballot, 3), make([]bool, 3), make([]time.Time, 3)
 			for i := range 2 {
-				w := codebook.Watched{State: "serving", Vouch: ballot.Vouch{By: i}, Roll: roll, Chosen: manifest.Ballot{N: 3}, Accepted: manifest.Ballot{N: 3},
+				w := codebook.Watched{State: "serving", Vouch: consensus.Vouch{By: i}, Roll: roll, Chosen: manifest.Ballot{N: 3}, Accepted: manifest.Ballot{N: 3},
 					Known: manifest.Ballot{N: 3}, Upto: manifest.Ballot{N: 3}}
 				ago := c.ago
 				if i == 1 {
@@ -69,8 +69,8 @@
 		h, b := ashore(t)
 		h.o.Lost = 10 * time.Second
 		b.begun, b.since = time.Now(), time.Now()
-		held := &duty.Lease{Members: 1}
-		b.leases = map[duty.Name]*duty.Lease{duty.Roll: held}
+		held := &lease.Lease{Members: 1}
+		b.leases = map[lease.Name]*lease.Lease{lease.Roll: held}
 		n := func() []time.Time { return []time.Time{time.Now(), time.Now(), time.Now()} }
 		b.heard, b.vouched, b.answered = n(), n(), n()
 		lost := func() bool {
@@ -114,7 +114,7 @@
 			time.Sleep(sleep)
 			for i := range 3 {
 				if i < 2 || sleep < time.Minute {
-					b.watched(i, codebook.Watched{State: "serving", Vouch: ballot.Vouch{By: i}, Roll: roll}, time.Now())
+					b.watched(i, codebook.Watched{State: "serving", Vouch: consensus.Vouch{By: i}, Roll: roll}, time.Now())
 				}
 			}
 		}
@@ -136,7 +136,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		for i, ip := range []string{"10.0.0.2", "10.0.0.3", "10.0.0.4"} {
-			v := &voter{acc: ballot.NewAcceptor(), by: i}
+			v := &voter{acc: consensus.NewAcceptor(), by: i}
 			l, err := s.Machine(ip, "north").Start().Listen(ip+":80", 0)
 			if err != nil {
 				t.Fatal(err)
@@ -155,24 +155,24 @@
 		}
 		var b *books
 		h, b = ashore(t)
-		h.council = council.New(p)
+		h.council = quorum.New(p)
 		defer h.council.Close()
 		h.council.Take(codebook.Roll{Epoch: 1, Voters: voters})
 		h.own = signal.Own(b, 16)
 		defer h.own.End()
 		items := []manifest.Item{{Key: manifest.Key{Kind: manifest.Services, Name: "s"}, Version: 1, Spec: []byte("{}")}}
 		begun := time.Now()
-		if k := errcode.Of(h.propose(ctx, ballot.Order{Items: items})); k != errcode.CoreOut {
+		if k := errcode.Of(h.propose(ctx, consensus.Order{Items: items})); k != errcode.CoreOut {
 			t.Error("a call whose caller has gone:", k)
 		}
 		if took := time.Since(begun); took > 10*time.Millisecond {
 			t.Error("it kept the turn from others for", took)
 		}
-		if err := h.tryRound(t.Context(), ballot.Order{Items: items}, time.Now().Add(-20*time.Second)); errcode.Of(err) != errcode.CoreOut {
+		if err := h.tryRound(t.Context(), consensus.Order{Items: items}, time.Now().Add(-20*time.Second)); errcode.Of(err) != errcode.CoreOut {
 			t.Error("a call from before a sleep:", err)
 		}
 		sleeps = true
-		if k := errcode.Of(h.propose(t.Context(), ballot.Order{})); k != errcode.CoreOut {
+		if k := errcode.Of(h.propose(t.Context(), consensus.Order{})); k != errcode.CoreOut {
 			t.Error("a read whose answers are of before a sleep:", k)
 		}
 		for _, v := range all {
@@ -190,7 +190,7 @@
 		time.Sleep(time.Minute)
 		p := sea.New(1).Machine("10.0.0.1", "north").Start()
 		h, b := ashore(t)
-		h.council = council.New(p)
+		h.council = quorum.New(p)
 		h.council.Take(codebook.Roll{Epoch: 1, Voters: []codebook.Voter{{Addr: "10.0.0.2:80"}, {Addr: "10.0.0.3:80"}, {Addr: "10.0.0.4:80"}}})
 		h.own = signal.Own(b, 16)
 		for _, c := range []struct {
@@ -206,7 +206,7 @@
 				}
 			})
 			begun := time.Now()
-			if k := errcode.Of(h.propose(t.Context(), ballot.Order{})); k != errcode.CoreOut {
+			if k := errcode.Of(h.propose(t.Context(), consensus.Order{})); k != errcode.CoreOut {
 				t.Errorf("%s: %v", c.name, k)
 			}
 			if took := time.Since(begun); (took > 0) != c.held {
@@ -236,8 +236,8 @@
 		now := time.Now()
 		b.begun, b.since, b.epoch = now.Add(-time.Minute), now.Add(-time.Minute), 2
 		b.heard, b.answered = []time.Time{now, now, now}, []time.Time{now, now, now}
-		held := &duty.Lease{Members: 3}
-		b.leases = map[duty.Name]*duty.Lease{duty.Roll: held}
+		held := &lease.Lease{Members: 3}
+		b.leases = map[lease.Name]*lease.Lease{lease.Roll: held}
 		held.Due(time.Since(b.begun)) // asked just now, and nobody has answered
 		if b.tend(now) {
 			t.Error("soon, with nobody who could take a place")
--- a/internal/harbour/harbour.go
+++ b/internal/harbour/harbour.go
@@ -17,15 +17,15 @@
 	"time"
 
 	"saltmast/internal/backends"
-	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
-	"saltmast/internal/council"
-	"saltmast/internal/duty"
+	"saltmast/internal/consensus"
 	"saltmast/internal/errcode"
+	"saltmast/internal/lease"
 	"saltmast/internal/manifest"
 	"saltmast/internal/masthead"
 	"saltmast/internal/pilot"
-	"saltmast/internal/relief"
+	"saltmast/internal/quorum"
+	"saltmast/internal/reconfig"
 	"saltmast/internal/roster"
 	"saltmast/internal/signal"
 	"saltmast/internal/sock"
@@ -43,9 +43,9 @@
 	Net     sock.Net        // nil: the system's
 	Head    *masthead.Masthead
 	Log     func(event, text string)
-	Losses  int              // of voters at once that are to be borne; 0: as many as the roll that was founded bears
-	Lost    time.Duration    // a voter that answers nobody for so long is replaced; 0: VoterLost
-	Bears   relief.Tolerance // zones and regions that are to be borne
+	Losses  int                // of voters at once that are to be borne; 0: as many as the roll that was founded bears
+	Lost    time.Duration      // a voter that answers nobody for so long is replaced; 0: VoterLost
+	Bears   reconfig.Tolerance // zones and regions that are to be borne
 }
 
 // VoterLost is after how long a voter is replaced that answers and doesn't speak as a member: its disk fails, or it finds nobody
@@ -61,7 +61,7 @@
 type Harbour struct {
 	o       Options
 	own     *signal.Owner[books]
-	council *council.Council
+	council *quorum.Council
 	server  *signal.Server
 	http    *http.Server
 	port    *pilot.Port
@@ -80,7 +80,7 @@
 	berths   *backends.Table
 	chosen   manifest.Ballot
 	stands   manifest.Set
-	pages    ballot.Pages      // of a later one
+	pages    consensus.Pages   // of a later one
 	highest  manifest.Ballot   // of any ballot heard of
 	heard    []time.Time       // by place: when the member last spoke as one, at the latest
 	answered []time.Time       // by place: when it last answered, however it stood
@@ -103,7 +103,7 @@
 	again    bool // and there is news that came meanwhile
 	edition  edition
 	begun    time.Time
-	leases   map[duty.Name]*duty.Lease
+	leases   map[lease.Name]*lease.Lease
 	shut     []time.Time     // by place: since when the member is sealed; zero: it is not
 	alone    time.Duration   // a member may be sealed for so long before this one finishes the change without the duty
 	decree   manifest.Ballot // the highest heard of, of the next roll
@@ -124,9 +124,9 @@
 
 // Start begins to serve.
 func Start(o Options) *Harbour {
-	h := &Harbour{o: o, council: council.New(o.Net), ended: make(chan struct{}), round: make(chan struct{}, 1), turning: make(chan struct{}, 1)}
+	h := &Harbour{o: o, council: quorum.New(o.Net), ended: make(chan struct{}), round: make(chan struct{}, 1), turning: make(chan struct{}, 1)}
 	b := &books{h: h, berths: backends.New(), masters: map[string]codebook.Master{}, lost: map[string]time.Time{},
-		pulling: map[string]chan struct{}{}, asked: map[string]bool{}, pullers: map[*puller]struct{}{}, begun: time.Now(), leases: map[duty.Name]*duty.Lease{}, stands: manifest.Set{}.Charted()}
+		pulling: map[string]chan struct{}{}, asked: map[string]bool{}, pullers: map[*puller]struct{}{}, begun: time.Now(), leases: map[lease.Name]*lease.Lease{}, stands: manifest.Set{}.Charted()}
 	b.enter(o.Self)
 	h.own = signal.Own(b, 1024)
 	h.port = &pilot.Port{Change: h.change, Configure: h.configure,
@@ -376,7 +376,7 @@
 	switch {
 	case catches, w.Accepted.Less(b.chosen):
 		b.behind[place]++
-		if (catches || b.behind[place] >= 2 || ballot.Beyond(b.stands, w.Chosen, farBehind)) && b.may(duty.Teach) {
+		if (catches || b.behind[place] >= 2 || consensus.Beyond(b.stands, w.Chosen, farBehind)) && b.may(lease.Teach) {
 			b.behind[place] = 0
 			b.teach(place)
 		}
@@ -407,7 +407,7 @@
 	}
 	go func() {
 		defer h.mending.Store(false)
-		h.propose(context.Background(), ballot.Order{})
+		h.propose(context.Background(), consensus.Order{})
 	}()
 	return true
 }
@@ -419,18 +419,18 @@
 }
 
 // take takes a page of what was chosen after what is held.
-func (b *books) take(p ballot.Page) {
+func (b *books) take(p consensus.Page) {
 	of, stands := b.pages.Take(p, b.chosen, b.stands)
 	b.whole(of, stands)
 }
 
 // may reports whether a duty is this harbourmaster's, and else asks for it: all of them see what is to be done, and one is
 // enough to do it.
-func (b *books) may(d duty.Name) bool {
+func (b *books) may(d lease.Name) bool {
 	now := time.Since(b.begun)
 	held := b.leases[d]
 	if held == nil {
-		held = &duty.Lease{}
+		held = &lease.Lease{}
 		b.leases[d] = held
 	}
 	if held.Holds(now) {
@@ -445,7 +445,7 @@
 	go func() {
 		given := 0
 		ask := signal.Encode(call)
-		b.h.council.Gather(codebook.Lease, func(int) []byte { return ask }, phaseTime, func(t council.Told) bool {
+		b.h.council.Gather(codebook.Lease, func(int) []byte { return ask }, phaseTime, func(t quorum.Told) bool {
 			var l codebook.Leased
 			if t.Err == nil && signal.Decode(t.Body, &l) == nil && l.Given {
 				given++
@@ -453,10 +453,10 @@
 			}
 			return false
 		})
-		if given < ballot.Majority(len(roll.Voters)) { // parts of it would keep others from it
+		if given < consensus.Majority(len(roll.Voters)) { // parts of it would keep others from it
 			call.Give = true
 			give := signal.Encode(call)
-			b.h.council.Gather(codebook.Lease, func(int) []byte { return give }, phaseTime, func(council.Told) bool { return false })
+			b.h.council.Gather(codebook.Lease, func(int) []byte { return give }, phaseTime, func(quorum.Told) bool { return false })
 		}
 	}()
 	return false
@@ -464,7 +464,7 @@
 
 // resign gives back the duties that this one has.
 func (h *Harbour) resign() {
-	var held []duty.Name
+	var held []lease.Name
 	h.own.Ask(func(b *books) {
 		for d, l := range b.leases {
 			if l.Holds(time.Since(b.begun)) {
@@ -475,7 +475,7 @@
 	})
 	for _, d := range held {
 		give := signal.Encode(codebook.LeaseCall{Duty: d, By: h.o.Life, Give: true})
-		h.council.Gather(codebook.Lease, func(int) []byte { return give }, resignTime, func(council.Told) bool { return false })
+		h.council.Gather(codebook.Lease, func(int) []byte { return give }, resignTime, func(quorum.Told) bool { return false })
 	}
 }
 
@@ -491,7 +491,7 @@
 	of, value, from, epoch := b.chosen, b.stands, b.upto[place], h.council.Roll().Epoch
 	h.begin(func() {
 		for turns := 0; from.Less(of) && turns < maxTurns && !h.over(); turns++ {
-			p := ballot.PageOf(value, of, from)
+			p := consensus.PageOf(value, of, from)
 			var a codebook.Accepted
 			if c.Call(codebook.Turn, codebook.TurnCall{Page: p, Epoch: epoch}, &a, phaseTime) != nil || !a.Accepted.Less(of) || a.Chosen == from {
 				break
@@ -522,7 +522,7 @@
 	}
 	at := slices.Clone(of)
 	slices.SortFunc(at, func(x, y time.Time) int { return y.Compare(x) })
-	t := at[ballot.Majority(len(at))-1]
+	t := at[consensus.Majority(len(at))-1]
 	if t.IsZero() {
 		return codebook.Never
 	}
@@ -953,11 +953,11 @@
 	if err := call.Check(); err != nil {
 		return errcode.New(errcode.Invalid, "%w", err)
 	}
-	if !ballot.Fits(call.Items) {
-		return errcode.New(errcode.BodyTooLong, "%d items, which are over %d bytes", len(call.Items), ballot.DeltaMax)
+	if !consensus.Fits(call.Items) {
+		return errcode.New(errcode.BodyTooLong, "%d items, which are over %d bytes", len(call.Items), consensus.DeltaMax)
 	}
-	var o ballot.Order
-	h.own.Ask(func(b *books) { o = ballot.NewOrder(call.Items, b.stands) })
+	var o consensus.Order
+	h.own.Ask(func(b *books) { o = consensus.NewOrder(call.Items, b.stands) })
 	err = h.propose(ctx, o)
 	h.o.Log("change", fmt.Sprintf("%d items: %v", len(call.Items), outcome(err)))
 	return err
@@ -972,7 +972,7 @@
 
 // configure reads what stands: what a majority says, and a round where that is in doubt.
 func (h *Harbour) configure(ctx context.Context) ([]byte, error) {
-	if err := h.propose(ctx, ballot.Order{}); err != nil {
+	if err := h.propose(ctx, consensus.Order{}); err != nil {
 		return nil, err
 	}
 	var s manifest.Set
@@ -982,7 +982,7 @@
 
 // propose runs rounds until the order is chosen, or was already, or can't be. It ends when its sender has gone: who has no
 // answer sends it again, and a copy that is left behind may only come where it is wanted no more.
-func (h *Harbour) propose(ctx context.Context, order ballot.Order) error {
+func (h *Harbour) propose(ctx context.Context, order consensus.Order) error {
 	end := time.Now().Add(changeTime)
 	if !h.turn(end) {
 		return errcode.New(errcode.Preempted, "by other calls here")
@@ -1024,7 +1024,7 @@
 }
 
 // tryRound runs one round.
-func (h *Harbour) tryRound(ctx context.Context, order ballot.Order, end time.Time) error {
+func (h *Harbour) tryRound(ctx context.Context, order consensus.Order, end time.Time) error {
 	if given(ctx, end) {
 		return errLate
 	}
@@ -1039,7 +1039,7 @@
 	}
 	var silent uint32
 	var b manifest.Ballot
-	r := ballot.Round{Voters: n}
+	r := consensus.Round{Voters: n}
 	h.own.Ask(func(t *books) {
 		b = manifest.Ballot{N: t.highest.N + 1, By: uint32(h.o.Life)}
 		t.raise(b)
@@ -1052,11 +1052,11 @@
 	var base manifest.Set
 	var of manifest.Ballot
 	var stands, ok bool
-	at := make(map[int]ballot.Promise, n) // of each that promised, without items
+	at := make(map[int]consensus.Promise, n) // of each that promised, without items
 	prepare := signal.Encode(codebook.PrepareCall{B: b, Epoch: roll.Epoch, Have: r.Have})
 	ph := phase{voters: n}
-	err := h.council.Gather(codebook.Prepare, func(int) []byte { return prepare }, min(phaseTime, time.Until(end)), func(t council.Told) bool {
-		var p ballot.Promise
+	err := h.council.Gather(codebook.Prepare, func(int) []byte { return prepare }, min(phaseTime, time.Until(end)), func(t quorum.Told) bool {
+		var p consensus.Promise
 		if t.Err != nil || signal.Decode(t.Body, &p) != nil {
 			return ph.failed(t.Err)
 		}
@@ -1100,7 +1100,7 @@
 		return told(o)
 	}
 	first := false // what a round before has left goes first: both at once are more than a member keeps beside its base
-	if !stands && len(o.Changes) > 0 && ballot.Beyond(o.Next, r.Have, ballot.DeltaMax) {
+	if !stands && len(o.Changes) > 0 && consensus.Beyond(o.Next, r.Have, consensus.DeltaMax) {
 		first, o.Next = true, base
 	}
 	if err := h.settle(b, of, stands && !first, o.Next, at, roll, end); err != nil {
@@ -1113,13 +1113,13 @@
 }
 
 // told is the answer to an order once what its outcome proposes was chosen: until then a refusal would be a guess.
-func told(o ballot.Outcome) error {
+func told(o consensus.Outcome) error {
 	switch o.Verdict {
-	case ballot.Conflicts:
+	case consensus.Conflicts:
 		return errcode.New(errcode.Conflict, "%s", o.At)
-	case ballot.Invalid:
+	case consensus.Invalid:
 		return errcode.New(errcode.Invalid, "%w", o.Why)
-	case ballot.Unclear:
+	case consensus.Unclear:
 		return errcode.New(errcode.Unsure, "%s", o.At)
 	}
 	return nil
@@ -1146,7 +1146,7 @@
 type phase struct{ voters, out, gone, higher int }
 
 func (p *phase) over() bool {
-	most := p.voters - ballot.Majority(p.voters)
+	most := p.voters - consensus.Majority(p.voters)
 	return p.gone > most || p.higher > 0 && p.out > most
 }
 
@@ -1175,7 +1175,7 @@
 
 // settle has a value accepted by a majority, and takes it. Each member is told what it lacks, as far as is known here; one that
 // lacks more than it keeps beside its base is taught first, and counts for nothing. stands: the value of ballot of is chosen.
-func (h *Harbour) settle(b, of manifest.Ballot, stands bool, next manifest.Set, at map[int]ballot.Promise, roll codebook.Roll, end time.Time) error {
+func (h *Harbour) settle(b, of manifest.Ballot, stands bool, next manifest.Set, at map[int]consensus.Promise, roll codebook.Roll, end time.Time) error {
 	n := len(roll.Voters)
 	holds := make([]manifest.Ballot, n)
 	h.own.Ask(func(t *books) { copy(holds, t.upto) })
@@ -1192,8 +1192,8 @@
 			continue
 		}
 		bodies[holds[i]] = nil
-		if !ballot.Beyond(next, holds[i], ballot.DeltaMax) {
-			bodies[holds[i]] = signal.Encode(codebook.AcceptCall{B: b, Base: holds[i], Changes: ballot.Since(next, holds[i]), Epoch: roll.Epoch})
+		if !consensus.Beyond(next, holds[i], consensus.DeltaMax) {
+			bodies[holds[i]] = signal.Encode(codebook.AcceptCall{B: b, Base: holds[i], Changes: consensus.Since(next, holds[i]), Epoch: roll.Epoch})
 		}
 	}
 	for i := range holds {
@@ -1207,7 +1207,7 @@
 			able--
 		}
 	}
-	if able < ballot.Majority(n) { // of those that answer; whoever else lags is found out by its watch
+	if able < consensus.Majority(n) { // of those that answer; whoever else lags is found out by its watch
 		h.own.Ask(func(t *books) {
 			for _, i := range lag {
 				if _, ok := at[i]; ok && h.council.Roll().Epoch == roll.Epoch {
@@ -1217,15 +1217,15 @@
 			}
 		})
 	}
-	if n-len(lag) < ballot.Majority(n) {
+	if n-len(lag) < consensus.Majority(n) {
 		return errcode.New(errcode.CoreOut, "%d of %d catch up", len(lag), n)
 	}
-	var vs []ballot.Vouch
+	var vs []consensus.Vouch
 	var higher manifest.Ballot
 	taken, ph := false, phase{voters: n}
 	err := h.council.Gather(codebook.Accept, func(place int) []byte {
 		return bodies[holds[place]]
-	}, min(phaseTime, time.Until(end)), func(t council.Told) bool {
+	}, min(phaseTime, time.Until(end)), func(t quorum.Told) bool {
 		var a codebook.Accepted
 		if t.Err != nil || signal.Decode(t.Body, &a) != nil {
 			return ph.failed(t.Err)
@@ -1237,7 +1237,7 @@
 			return ph.refused()
 		}
 		vs = append(vs, a.Vouch)
-		taken = len(ballot.Sound(vs)) >= ballot.Majority(n)
+		taken = len(consensus.Sound(vs)) >= consensus.Majority(n)
 		return taken
 	})
 	if !taken {
--- a/internal/harbour/harbour_test.go
+++ b/internal/harbour/harbour_test.go
@@ -9,18 +9,18 @@
 	"time"
 
 	"saltmast/internal/backends"
-	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
-	"saltmast/internal/council"
+	"saltmast/internal/consensus"
 	"saltmast/internal/drydock/sea"
 	"saltmast/internal/errcode"
 	"saltmast/internal/manifest"
+	"saltmast/internal/quorum"
 	"saltmast/internal/signal"
 )
 
 // ashore is a harbour without goroutines, sockets or members.
 func ashore(t testing.TB) (*Harbour, *books) {
-	h := &Harbour{o: Options{Life: 1, Log: func(event, text string) { t.Log(event, text) }}, council: council.New(nil),
+	h := &Harbour{o: Options{Life: 1, Log: func(event, text string) { t.Log(event, text) }}, council: quorum.New(nil),
 		ended: make(chan struct{}), round: make(chan struct{}, 1)}
 	return h, &books{h: h, berths: backends.New(), masters: map[string]codebook.Master{}, lost: map[string]time.Time{},
 		pulling: map[string]chan struct{}{}, asked: map[string]bool{}, pullers: map[*puller]struct{}{}}
@@ -63,7 +63,7 @@
 	long := time.Now().Add(-time.Minute)
 	for i := range 30 {
 		b.pending[i%3] = long
-		b.watched(i%3, codebook.Watched{State: "serving", Vouch: ballot.Vouch{By: i % 3}, Accepted: manifest.Ballot{N: 1}}, time.Now())
+		b.watched(i%3, codebook.Watched{State: "serving", Vouch: consensus.Vouch{By: i % 3}, Accepted: manifest.Ballot{N: 1}}, time.Now())
 	}
 	if h.mend() {
 		t.Error("another that settles was begun")
@@ -81,7 +81,7 @@
 // voter is a member of those that count, in memory alone.
 type voter struct {
 	mu   sync.Mutex
-	acc  *ballot.Acceptor
+	acc  *consensus.Acceptor
 	by   int
 	mute bool
 	most int // bytes of a call that told items
@@ -92,7 +92,7 @@
 func (v *voter) handle(c signal.Call) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	vouch := ballot.Vouch{By: v.by, Incs: []uint64{1, 1, 1}}
+	vouch := consensus.Vouch{By: v.by, Incs: []uint64{1, 1, 1}}
 	var p codebook.PrepareCall
 	var a codebook.AcceptCall
 	var l codebook.LearnCall
@@ -103,7 +103,7 @@
 		if v.acc.Prepare(p.B) {
 			c.Reply(v.acc.Promise(vouch, p.Have), nil)
 		} else {
-			c.Reply(ballot.Promise{Vouch: vouch, Promised: v.acc.Promised, Accepted: v.acc.Accepted}, nil)
+			c.Reply(consensus.Promise{Vouch: vouch, Promised: v.acc.Promised, Accepted: v.acc.Accepted}, nil)
 		}
 	case c.Kind == codebook.Accept && signal.Decode(c.Body, &a) == nil:
 		if v.overtaken > 0 {
@@ -156,7 +156,7 @@
 		}
 		ours, theirs := call(6, route("ours")), call(7, route("theirs"))
 		h, b := ashore(t)
-		h.council = council.New(p)
+		h.council = quorum.New(p)
 		b.raise(ballotOf(7))
 		h.own = signal.Own(b, 16)
 		roll := codebook.Roll{Epoch: 1}
@@ -168,7 +168,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			v := &voter{acc: ballot.NewAcceptor(), by: n}
+			v := &voter{acc: consensus.NewAcceptor(), by: n}
 			v.acc.Accept(ballotOf(5), slices.Collect(base.All()))
 			if left != nil {
 				v.acc.Accept(left[0].Ballot, slices.Collect(v.acc.Value.With(left...).All()))
@@ -178,11 +178,11 @@
 		}
 		h.council.Take(roll)
 		voters[0].mute = true
-		if k := errcode.Of(h.propose(t.Context(), ballot.NewOrder(ours, manifest.Set{}))); k != errcode.Invalid {
+		if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(ours, manifest.Set{}))); k != errcode.Invalid {
 			t.Errorf("beside theirs: %v", k)
 		}
 		voters[0].mute, voters[1].mute = false, true
-		if err := h.propose(t.Context(), ballot.Order{}); err != nil {
+		if err := h.propose(t.Context(), consensus.Order{}); err != nil {
 			t.Error(err)
 		}
 		h.own.Ask(func(b *books) {
--- a/internal/harbour/lag_test.go
+++ b/internal/harbour/lag_test.go
@@ -8,13 +8,13 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
-	"saltmast/internal/council"
+	"saltmast/internal/consensus"
 	"saltmast/internal/drydock/sea"
-	"saltmast/internal/duty"
 	"saltmast/internal/errcode"
+	"saltmast/internal/lease"
 	"saltmast/internal/manifest"
+	"saltmast/internal/quorum"
 	"saltmast/internal/signal"
 )
 
@@ -42,7 +42,7 @@
 		change := func(version manifest.Version) error {
 			i := service
 			i.Version, i.Ballot = version, manifest.Ballot{}
-			return h.propose(t.Context(), ballot.Order{Items: []manifest.Item{i}})
+			return h.propose(t.Context(), consensus.Order{Items: []manifest.Item{i}})
 		}
 		if err := change(2); errcode.Of(err) != errcode.CoreOut || !strings.Contains(err.Error(), "not read yet") {
 			t.Errorf("with nothing held: %v", err)
@@ -62,7 +62,7 @@
 			t.Errorf("beside one that lagged: %v, it holds %d items of %d", err, voters[2].acc.Stands.Len(), stands.Len())
 		}
 		for _, v := range voters {
-			if v.most > ballot.PageMax*5/4 {
+			if v.most > consensus.PageMax*5/4 {
 				t.Errorf("member %d was told %d bytes at once", v.by, v.most)
 			}
 		}
@@ -73,7 +73,7 @@
 // crewed is a harbour without goroutines of its own, with three members in memory.
 func crewed(t *testing.T, p *sea.Process, begin func(*voter)) (h *Harbour, voters []*voter, end func()) {
 	h, b := ashore(t)
-	h.council = council.New(p)
+	h.council = quorum.New(p)
 	b.upto, b.taught = make([]manifest.Ballot, 3), make([]bool, 3)
 	h.own = signal.Own(b, 16)
 	roll := codebook.Roll{Epoch: 1}
@@ -84,7 +84,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		v := &voter{acc: ballot.NewAcceptor(), by: n}
+		v := &voter{acc: consensus.NewAcceptor(), by: n}
 		begin(v)
 		voters, servers = append(voters, v), append(servers, signal.Serve(l, v.handle))
 		roll.Voters = append(roll.Voters, codebook.Voter{Addr: addr})
@@ -129,11 +129,11 @@
 			b.upto[0], b.upto[1], b.upto[2] = one, one, one
 		})
 		voters[2].mute = true
-		if err := h.propose(t.Context(), ballot.Order{Items: large("call", manifest.Ballot{})}); err != nil {
+		if err := h.propose(t.Context(), consensus.Order{Items: large("call", manifest.Ballot{})}); err != nil {
 			t.Error(err)
 		}
 		for _, v := range voters[:2] {
-			if v.acc.Value.Len() != 1401 || v.most > ballot.DeltaMax {
+			if v.acc.Value.Len() != 1401 || v.most > consensus.DeltaMax {
 				t.Errorf("member %d: %d items, told %d bytes at once", v.by, v.acc.Value.Len(), v.most)
 			}
 		}
@@ -144,16 +144,16 @@
 // What a watched member tells in pages is in force with the last. A page of a later value whose teller is gone holds up nobody.
 func TestPagesOfAWatch(t *testing.T) {
 	_, b := ashore(t)
-	b.leases = map[duty.Name]*duty.Lease{}
+	b.leases = map[lease.Name]*lease.Lease{}
 	b.heard, b.pending, b.behind, b.shut = make([]time.Time, 1), make([]time.Time, 1), make([]int, 1), make([]time.Time, 1)
 	b.marks, b.vouched, b.upto, b.taught, b.answered = make([]codebook.Mark, 1), make([]time.Time, 1), make([]manifest.Ballot, 1), make([]bool, 1), make([]time.Time, 1)
 	item := func(name string, n uint64) manifest.Item {
-		return manifest.Item{Key: manifest.Key{Kind: manifest.Routes, Name: name}, Version: 1, Ballot: manifest.Ballot{N: n}, Spec: make([]byte, ballot.PageMax/2)}
+		return manifest.Item{Key: manifest.Key{Kind: manifest.Routes, Name: name}, Version: 1, Ballot: manifest.Ballot{N: n}, Spec: make([]byte, consensus.PageMax/2)}
 	}
 	five := manifest.SetOf(item("a", 1), item("b", 2), item("c", 3), item("d", 5))
 	six := five.With(item("a", 6))
 	tell := func(s manifest.Set, of uint64, catches bool) {
-		p := ballot.PageOf(s, manifest.Ballot{N: of}, b.pages.Have(b.chosen))
+		p := consensus.PageOf(s, manifest.Ballot{N: of}, b.pages.Have(b.chosen))
 		w := codebook.Watched{State: "serving", Accepted: p.Target, Chosen: p.Target, Known: p.Target, From: p.From, Upto: p.Upto, Items: p.Items}
 		if catches {
 			w.Known.N++
--- a/internal/harbour/number_test.go
+++ b/internal/harbour/number_test.go
@@ -8,12 +8,12 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
-	"saltmast/internal/council"
+	"saltmast/internal/consensus"
 	"saltmast/internal/drydock/sea"
 	"saltmast/internal/errcode"
 	"saltmast/internal/manifest"
+	"saltmast/internal/quorum"
 	"saltmast/internal/signal"
 )
 
@@ -22,7 +22,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := sea.New(1).Machine("10.0.0.1", "north").Start()
 		h, b := ashore(t)
-		h.council = council.New(p)
+		h.council = quorum.New(p)
 		h.own = signal.Own(b, 16)
 		roll := codebook.Roll{Epoch: 1}
 		var voters []*voter
@@ -33,7 +33,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			v := &voter{acc: ballot.NewAcceptor(), by: n}
+			v := &voter{acc: consensus.NewAcceptor(), by: n}
 			for _, s := range sets {
 				var newest manifest.Ballot
 				for i := range s.All() {
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return ballot.Apply(s, c.Items, manifest.Ballot{N: n, By: 9}).Next, c.Items
+	return consensus.Apply(s, c.Items, manifest.Ballot{N: n, By: 9}).Next, c.Items
 }
 
 func serviceText(name string) string {
@@ -85,11 +85,11 @@
 	all, order := laid(t, more, 7, routeText("r1", "late"))
 	chamber(t, [3][]manifest.Set{{base, all}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
 		voters[0].mute = true
-		if k := errcode.Of(h.propose(t.Context(), ballot.NewOrder(order, manifest.Set{}))); k != errcode.Invalid {
+		if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(order, manifest.Set{}))); k != errcode.Invalid {
 			t.Errorf("while nobody tells of its service: %v", k)
 		}
 		voters[0].mute, voters[1].mute = false, true
-		if err := h.propose(t.Context(), ballot.Order{}); err != nil {
+		if err := h.propose(t.Context(), consensus.Order{}); err != nil {
 			t.Error(err)
 		}
 		h.own.Ask(func(b *books) {
@@ -106,19 +106,19 @@
 	_, order := laid(t, base, 6, routeText("r1", "late"))
 	_, late := laid(t, base, 6, serviceText("late"))
 	chamber(t, [3][]manifest.Set{{base}, {base}, {base}}, func(t *testing.T, h *Harbour, _ []*voter) {
-		waits := ballot.NewOrder(order, base)
+		waits := consensus.NewOrder(order, base)
 		for _, step := range []struct {
 			what  string
-			order ballot.Order
+			order consensus.Order
 			want  errcode.Kind
-		}{{"a copy", ballot.NewOrder(order, base), errcode.Invalid}, {"its service", ballot.NewOrder(late, base), errcode.OK},
+		}{{"a copy", consensus.NewOrder(order, base), errcode.Invalid}, {"its service", consensus.NewOrder(late, base), errcode.OK},
 			{"the copy that waited", waits, errcode.Unsure}} {
 			if k := errcode.Of(h.propose(t.Context(), step.order)); k != step.want {
 				t.Errorf("%s: %v, want %v", step.what, k, step.want)
 			}
 		}
-		var anew ballot.Order
-		h.own.Ask(func(b *books) { anew = ballot.NewOrder(order, b.stands) })
+		var anew consensus.Order
+		h.own.Ask(func(b *books) { anew = consensus.NewOrder(order, b.stands) })
 		if err := h.propose(t.Context(), anew); err != nil {
 			t.Errorf("sent anew: %v", err)
 		}
@@ -132,7 +132,7 @@
 	chamber(t, [3][]manifest.Set{{base}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
 		ctx, gone := context.WithCancel(t.Context())
 		gone()
-		if k := errcode.Of(h.propose(ctx, ballot.NewOrder(order, base))); k.Answer().Status != 503 {
+		if k := errcode.Of(h.propose(ctx, consensus.NewOrder(order, base))); k.Answer().Status != 503 {
 			t.Errorf("answered %v", k)
 		}
 		for _, v := range voters {
@@ -171,12 +171,12 @@
 			version manifest.Version
 			want    errcode.Kind
 		}{{last, errcode.OK}, {last - 1, errcode.OK}, {1, errcode.Unsure}, {last - 17, errcode.OK}, {last - 18, errcode.Unsure}} {
-			if k := errcode.Of(h.propose(t.Context(), ballot.NewOrder(call(c.version), base))); k != c.want {
+			if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(call(c.version), base))); k != c.want {
 				t.Errorf("%s: %v, want %v", c.version, k, c.want)
 			}
 		}
 		for _, v := range voters {
-			if v.most > ballot.DeltaMax {
+			if v.most > consensus.DeltaMax {
 				t.Errorf("a member keeps %d bytes beside its base", v.most)
 			}
 		}
@@ -187,7 +187,7 @@
 func TestRefusalThatWasLeft(t *testing.T) {
 	base, _ := laid(t, manifest.Set{}, 5, serviceText("s"))
 	_, items := laid(t, base, 6, routeText("r1", "late"))
-	order := ballot.NewOrder(items, base)
+	order := consensus.NewOrder(items, base)
 	left := order.Lay(base, manifest.Ballot{N: 6, By: 9}, manifest.Set.Check).Next
 	chamber(t, [3][]manifest.Set{{base, left}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
 		voters[1].mute = true
@@ -211,7 +211,7 @@
 				begin(voters[0])
 				begin(voters[1])
 				begun := time.Now()
-				err := h.propose(t.Context(), ballot.NewOrder(order, base))
+				err := h.propose(t.Context(), consensus.NewOrder(order, base))
 				if took := time.Since(begun); err != nil || took > 100*time.Millisecond {
 					t.Errorf("%v after %v", err, took)
 				}
--- a/internal/harbour/program.go
+++ b/internal/harbour/program.go
@@ -10,7 +10,7 @@
 	"saltmast/internal/codebook"
 	"saltmast/internal/launch"
 	"saltmast/internal/masthead"
-	"saltmast/internal/relief"
+	"saltmast/internal/reconfig"
 	"saltmast/internal/signal"
 	"saltmast/internal/sock"
 )
@@ -52,7 +52,7 @@
 	r.H = Start(Options{Head: r.head, Self: codebook.Master{Name: s.NodeName, Addr: s.Port(codebook.HarbourPort), Zone: s.Zone},
 		Purser: s.Port(codebook.PurserPort), First: s.Ports[0], Life: life, Control: control, Calls: calls, Net: on, Log: log,
 		Lost: cmp.Or(s.VoterLost, max(s.Bounds.Catchup/2, leastLost)), Losses: max(s.Tolerance.Machines, s.Tolerance.Zones, s.Tolerance.Regions),
-		Bears: relief.Tolerance{Zones: s.Tolerance.Zones, Regions: s.Tolerance.Regions, RegionOf: s.Zones},
+		Bears: reconfig.Tolerance{Zones: s.Tolerance.Zones, Regions: s.Tolerance.Regions, RegionOf: s.Zones},
 		Seeds: func() []string { return r.s.Load().Seeds }})
 	return r, nil
 }
--- a/internal/harbour/report.go
+++ b/internal/harbour/report.go
@@ -8,8 +8,8 @@
 
 	"saltmast/internal/backends"
 	"saltmast/internal/codebook"
-	"saltmast/internal/duty"
 	"saltmast/internal/launch"
+	"saltmast/internal/lease"
 	"saltmast/internal/signal"
 )
 
@@ -27,7 +27,7 @@
 		r := codebook.Reported{Program: codebook.TheHarbour, Version: launch.Version, Node: h.o.Self.Name, Zone: h.o.Self.Zone, Addr: h.o.Self.Addr,
 			Life: h.o.Life, UpMs: uint64(time.Since(b.begun).Milliseconds()), Chosen: b.chosen, Epoch: roll.Epoch, Voters: roll.Voters}
 		own := &codebook.HarbourReport{Masters: slices.Collect(maps.Values(b.masters)), FreshMs: b.fresh(),
-			Teaches: b.holds(duty.Teach)}
+			Teaches: b.holds(lease.Teach)}
 		own.HeardMs, own.AnsweredMs = sinceMs(b.heard), sinceMs(b.answered)
 		var pullers []string
 		for p := range b.pullers {
@@ -63,7 +63,7 @@
 	return out
 }
 
-func (b *books) holds(d duty.Name) bool {
+func (b *books) holds(d lease.Name) bool {
 	l := b.leases[d]
 	return l != nil && l.Holds(time.Since(b.begun))
 }
--- a/internal/harbour/rolls.go
+++ b/internal/harbour/rolls.go
@@ -8,13 +8,13 @@
 	"slices"
 	"time"
 
-	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
-	"saltmast/internal/council"
-	"saltmast/internal/duty"
+	"saltmast/internal/consensus"
 	"saltmast/internal/errcode"
+	"saltmast/internal/lease"
 	"saltmast/internal/manifest"
-	"saltmast/internal/relief"
+	"saltmast/internal/quorum"
+	"saltmast/internal/reconfig"
 	"saltmast/internal/signal"
 )
 
@@ -44,7 +44,7 @@
 		b.alone = haltTime + rand.N(2*haltTime)
 		return
 	}
-	if since := now.Sub(b.shut[place]); since > haltTime && (b.may(duty.Roll) || since > b.alone) {
+	if since := now.Sub(b.shut[place]); since > haltTime && (b.may(lease.Roll) || since > b.alone) {
 		b.shut[place] = now
 		b.alone = haltTime + rand.N(2*haltTime)
 		b.turn("an interrupted change", nil)
@@ -95,19 +95,19 @@
 	if b.gap(now); b.since.Equal(now) {
 		return false
 	}
-	wanted, roll := relief.Wanted(b.h.o.Losses), b.h.council.Roll()
+	wanted, roll := reconfig.Wanted(b.h.o.Losses), b.h.council.Roll()
 	if roll.Epoch != b.epoch { // what is noted by place is of another
 		return false
 	}
 	known := b.pursers()
 	zoned(&roll, known)
 	if now.Sub(b.grown) >= growEvery && (len(b.heard) < wanted || b.h.o.Bears.Excess(roll.Voters) > 0) &&
-		relief.Next(roll, nil, wanted, b.h.o.Bears, known) != nil {
-		if b.may(duty.Roll) {
+		reconfig.Next(roll, nil, wanted, b.h.o.Bears, known) != nil {
+		if b.may(lease.Roll) {
 			b.grown = now
 			b.turn("voters for all losses", func(roll codebook.Roll) ([]codebook.Voter, error) {
 				zoned(&roll, known)
-				return relief.Next(roll, nil, wanted, b.h.o.Bears, b.h.well(roll, known)), nil
+				return reconfig.Next(roll, nil, wanted, b.h.o.Bears, b.h.well(roll, known)), nil
 			})
 			return true
 		}
@@ -120,13 +120,13 @@
 		unwell[i] = min(now.Sub(b.heard[i]), now.Sub(b.since)) >= VoterLost
 		if silent >= lost/2 && silent < 4*lost { // then nobody is there to take its place
 			soon, every = true, lost/seekPart
-			b.may(duty.Roll) // whoever is to replace it has the duty by then
+			b.may(lease.Roll) // whoever is to replace it has the duty by then
 		}
 		if silent >= lost || unwell[i] {
 			gone = append(gone, i)
 		}
 	}
-	if len(gone) == 0 || now.Sub(b.sought) < every || !b.may(duty.Roll) {
+	if len(gone) == 0 || now.Sub(b.sought) < every || !b.may(lease.Roll) {
 		return soon
 	}
 	b.sought = now
@@ -140,7 +140,7 @@
 		go func() { well <- b.h.well(roll, known) }()
 		gone := b.h.silent(roll, gone, unwell, known, lost)
 		if candidates := <-well; len(gone) > 0 && time.Since(now) < 2*readyTime { // else this process slept: they may be back
-			return relief.Next(roll, gone, wanted, b.h.o.Bears, candidates), nil
+			return reconfig.Next(roll, gone, wanted, b.h.o.Bears, candidates), nil
 		}
 		return nil, nil
 	})
@@ -222,7 +222,7 @@
 				heard[i] = true
 			}
 		}
-		if lately >= ballot.Majority(len(ms)) && time.Duration(t.r.UpMs)*time.Millisecond >= lost {
+		if lately >= consensus.Majority(len(ms)) && time.Duration(t.r.UpMs)*time.Millisecond >= lost {
 			witnesses++
 		}
 	}
@@ -303,7 +303,7 @@
 			v.Disk = t.r.Disk
 		}
 	}
-	if well < ballot.Majority(len(voters)) {
+	if well < consensus.Majority(len(voters)) {
 		return next, errcode.New(errcode.CoreOut, "%d of the %d voters are well", well, len(voters))
 	}
 	return next, nil
@@ -350,18 +350,18 @@
 		t.decree = manifest.Ballot{N: t.decree.N + 1, By: uint32(h.o.Life)}
 		b = t.decree
 	})
-	r := relief.Round{Voters: n}
-	gather := func(call codebook.SucceedCall, take func(relief.Answer) bool) error {
+	r := reconfig.Round{Voters: n}
+	gather := func(call codebook.SucceedCall, take func(reconfig.Answer) bool) error {
 		if h.council.Roll().Epoch != roll.Epoch {
 			return errcode.New(errcode.Gone, "epoch %d", roll.Epoch)
 		}
 		ask := signal.Encode(call)
-		return h.council.Gather(codebook.Succeed, func(int) []byte { return ask }, phaseTime, func(t council.Told) bool {
-			var a relief.Answer
+		return h.council.Gather(codebook.Succeed, func(int) []byte { return ask }, phaseTime, func(t quorum.Told) bool {
+			var a reconfig.Answer
 			return t.Err == nil && signal.Decode(t.Body, &a) == nil && take(a)
 		})
 	}
-	err = gather(codebook.SucceedCall{Epoch: roll.Epoch, B: b}, func(a relief.Answer) bool {
+	err = gather(codebook.SucceedCall{Epoch: roll.Epoch, B: b}, func(a reconfig.Answer) bool {
 		r.Promise(a)
 		_, bound, ok := r.Base()
 		return ok && bound // else all are heard: one may have accepted something
@@ -385,7 +385,7 @@
 		next = mine
 	}
 	chosen := false
-	err = gather(codebook.SucceedCall{Epoch: roll.Epoch, B: b, Next: &next}, func(a relief.Answer) bool {
+	err = gather(codebook.SucceedCall{Epoch: roll.Epoch, B: b, Next: &next}, func(a reconfig.Answer) bool {
 		chosen = r.Accept(a)
 		return chosen
 	})
@@ -413,7 +413,7 @@
 	}
 	for range next.Voters {
 		if <-ch {
-			if holds++; holds >= ballot.Majority(len(next.Voters)) {
+			if holds++; holds >= consensus.Majority(len(next.Voters)) {
 				break
 			}
 		}
--- a/internal/idempotency/explore_test.go
+++ b/internal/idempotency/explore_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/ballot"
+	"saltmast/internal/consensus"
 	"saltmast/internal/explore"
 )
 
@@ -80,8 +80,8 @@
 
 func pack(incs [members]uint8) uint8 { return incs[0]<<4 | incs[1]<<2 | incs[2] } // below 64: incarnations up to 3
 
-func vouch(by int, p uint8) ballot.Vouch {
-	return ballot.Vouch{By: by, Incs: []uint64{uint64(p >> 4), uint64(p >> 2 & 3), uint64(p & 3)}}
+func vouch(by int, p uint8) consensus.Vouch {
+	return consensus.Vouch{By: by, Incs: []uint64{uint64(p >> 4), uint64(p >> 2 & 3), uint64(p & 3)}}
 }
 
 // bit of a vouch in a set: incarnations are from 1 to 3.
@@ -264,12 +264,12 @@
 }
 
 // wins reports whether some of what was told makes a majority, with one answer of each member at the most.
-func (r rules) wins(told [members]uint32, heard []ballot.Vouch) bool {
+func (r rules) wins(told [members]uint32, heard []consensus.Vouch) bool {
 	v := Vote{Voters: members}
 	for _, h := range heard {
 		v.Add(Grant{Vouch: h, Given: true})
 	}
-	if verdict, _ := v.Verdict(); verdict == Won || r.unsound && len(heard) >= ballot.Majority(members) {
+	if verdict, _ := v.Verdict(); verdict == Won || r.unsound && len(heard) >= consensus.Majority(members) {
 		return true
 	}
 	from := 0
@@ -344,7 +344,7 @@
 
 func (r rules) repair(s world, i int, to func(world, string, ...any)) {
 	m := s.m[i]
-	need := members - ballot.Majority(members) + 1
+	need := members - consensus.Majority(members) + 1
 	if r.deaf {
 		need--
 	}
--- a/internal/duty/duty.go
+++ b/internal/lease/duty.go
@@ -1,7 +1,7 @@
-// Package duty gives a duty of one to one agent at a time: a lease that a majority of members grants, for a span, and that its
+// Package lease gives a duty of one to one agent at a time: a lease that a majority of members grants, for a span, and that its
 // holder ends before it can end for anybody else. It is pure, and compares no clocks: each side measures durations by its
 // own, and the holder counts from before it asked.
-package duty
+package lease
 
 import (
 	"maps"
--- a/internal/duty/duty_test.go
+++ b/internal/lease/duty_test.go
@@ -1,4 +1,4 @@
-package duty
+package lease
 
 import (
 	"math/rand/v2"
--- a/internal/duty/explore_test.go
+++ b/internal/lease/explore_test.go
@@ -1,4 +1,4 @@
-package duty
+package lease
 
 import (
 	"flag"
--- a/internal/loadline/phases.go
+++ b/internal/loadline/phases.go
@@ -12,11 +12,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
-	"saltmast/internal/council"
+	"saltmast/internal/consensus"
 	"saltmast/internal/idempotency"
 	"saltmast/internal/manifest"
+	"saltmast/internal/quorum"
 	"saltmast/internal/signal"
 )
 
@@ -234,7 +234,7 @@
 const claimants = 64
 
 func (x *run) claims() (Phase, error) {
-	co := council.New(nil)
+	co := quorum.New(nil)
 	defer co.Close()
 	c := signal.NewClient(nil, x.pursers[0].addr)
 	defer c.Close()
@@ -257,14 +257,14 @@
 					begun := time.Now()
 					call := signal.Encode(codebook.ClaimCall{Key: fmt.Sprintf("scale-key-%012d", k), ID: idempotency.ID{Life: 1, N: k, At: x.l.Addr(0, free)}, Epoch: w.Roll.Epoch})
 					votes := 0
-					co.Gather(codebook.Claim, func(int) []byte { return call }, time.Second, func(t council.Told) bool {
+					co.Gather(codebook.Claim, func(int) []byte { return call }, time.Second, func(t quorum.Told) bool {
 						if t.Err == nil {
 							votes++
 						}
-						return votes >= ballot.Majority(len(w.Roll.Voters))
+						return votes >= consensus.Majority(len(w.Roll.Voters))
 					})
 					mu.Lock()
-					if votes >= ballot.Majority(len(w.Roll.Voters)) {
+					if votes >= consensus.Majority(len(w.Roll.Voters)) {
 						took.RecordValue(time.Since(begun).Microseconds())
 					} else {
 						lost++
--- a/internal/lookout/mesh_test.go
+++ b/internal/lookout/mesh_test.go
@@ -12,8 +12,8 @@
 	"saltmast/internal/drydock/sea"
 	"saltmast/internal/harbour"
 	"saltmast/internal/proxy"
-	"saltmast/internal/purser"
 	"saltmast/internal/signal"
+	"saltmast/internal/store"
 )
 
 func encode(v any) []byte { return signal.Encode(v) }
@@ -36,7 +36,7 @@
 			c := settings(fmt.Sprint("core-", i+1), ip, m.Zone)
 			c.DataDir, c.DiskMB = dir, 64
 			p, h := m.Start(), m.Start()
-			pr, err := purser.Launch(c, log, p, nil)
+			pr, err := store.Launch(c, log, p, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/lookout/roll.go
+++ b/internal/lookout/roll.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
+	"saltmast/internal/consensus"
 	"saltmast/internal/errcode"
 	"saltmast/internal/signal"
 )
@@ -55,7 +55,7 @@
 			fmt.Fprintf(out, "would be epoch %d: %s\n", t.Roll.Epoch, nodes(t.Roll))
 		default:
 			fmt.Fprintf(out, "is epoch %d: %s, after %d ms\n", t.Roll.Epoch, nodes(t.Roll), t.TookMs)
-			if n := len(t.Roll.Voters); t.Holds < ballot.Majority(n) {
+			if n := len(t.Roll.Voters); t.Holds < consensus.Majority(n) {
 				return wrong("%d of its %d voters hold the books yet: leave those that are replaced as they are until a majority does", t.Holds, n)
 			}
 		}
--- a/internal/proxy/tug.go
+++ b/internal/proxy/tug.go
@@ -17,13 +17,13 @@
 	"saltmast/internal/articles"
 	"saltmast/internal/backends"
 	"saltmast/internal/codebook"
-	"saltmast/internal/council"
 	"saltmast/internal/dataplane"
 	"saltmast/internal/errcode"
 	"saltmast/internal/launch"
 	"saltmast/internal/manifest"
 	"saltmast/internal/masthead"
 	"saltmast/internal/pilot"
+	"saltmast/internal/quorum"
 	"saltmast/internal/signal"
 	"saltmast/internal/sock"
 )
@@ -34,7 +34,7 @@
 	log     func(event, text string)
 	net     sock.Net
 	way     *dataplane.DataPlane
-	council *council.Council
+	council *quorum.Council
 	head    *masthead.Masthead
 	life    uint64
 
@@ -81,7 +81,7 @@
 // Start begins to serve by the settings. on: nil for the system's network.
 func Start(s *articles.Settings, log func(event, text string), on sock.Net) (*Tug, error) {
 	on = sock.On(on)
-	t := &Tug{log: log, net: on, council: council.New(on), life: launch.Life(), table: backends.New(), sources: sources{}, left: map[string]time.Time{}, stands: manifest.Set{}.Charted(),
+	t := &Tug{log: log, net: on, council: quorum.New(on), life: launch.Life(), table: backends.New(), sources: sources{}, left: map[string]time.Time{}, stands: manifest.Set{}.Charted(),
 		news: make(chan struct{}, 1), ended: make(chan struct{})}
 	t.s.Store(s)
 	listen := func(addr string) (net.Listener, error) {
--- a/internal/council/council.go
+++ b/internal/quorum/council.go
@@ -1,6 +1,6 @@
-// Package council speaks with those that count: it holds a client to each purser of the roll, sends one call to all of them
+// Package quorum speaks with those that count: it holds a client to each purser of the roll, sends one call to all of them
 // and gathers the answers. What the answers mean is decided by the rooms ballot and tally.
-package council
+package quorum
 
 import (
 	"fmt"
--- a/internal/relief/explore_test.go
+++ b/internal/reconfig/explore_test.go
@@ -1,4 +1,4 @@
-package relief
+package reconfig
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/ballot"
+	"saltmast/internal/consensus"
 	"saltmast/internal/explore"
 	"saltmast/internal/idempotency"
 	"saltmast/internal/manifest"
@@ -102,8 +102,8 @@
 	return b
 }
 
-func (s *world) vouch(roll uint8, i int, knows bool) ballot.Vouch {
-	v := ballot.Vouch{By: place(roll, i), Incs: []uint64{1, 1, 1}}
+func (s *world) vouch(roll uint8, i int, knows bool) consensus.Vouch {
+	v := consensus.Vouch{By: place(roll, i), Incs: []uint64{1, 1, 1}}
 	if knows {
 		v.Incs[place(roll, int(s.wiped)-1)] = 2
 	}
@@ -148,7 +148,7 @@
 		return ok
 	}
 	defer func() { enough[t] = ok }()
-	var of [3][]ballot.Vouch
+	var of [3][]consensus.Vouch
 	for n, i := range voters[roll] {
 		for k := range uint8(2) {
 			if told(i)&(1<<k) != 0 {
@@ -156,7 +156,7 @@
 			}
 		}
 	}
-	return choices(of[:], nil, func(vs []ballot.Vouch) bool { return len(ballot.Sound(vs)) >= 2 })
+	return choices(of[:], nil, func(vs []consensus.Vouch) bool { return len(consensus.Sound(vs)) >= 2 })
 }
 
 func bit(b bool) uint8 {
@@ -441,7 +441,7 @@
 		if m.mode != serving || m.epoch != e || e == 1 && m.shut() || r.acked {
 			continue
 		}
-		a := ballot.Acceptor{Promised: ball(m.vowed), Accepted: ball(m.value)}
+		a := consensus.Acceptor{Promised: ball(m.vowed), Accepted: ball(m.value)}
 		if !r.based {
 			told := uint32(1) << (m.value*4 + bit(m.former)*2 + bit(m.knows))
 			if a.Prepare(ball(b+1)) && (r.promises[i]&told == 0 || m.vowed != b+1) {
@@ -470,11 +470,11 @@
 			}
 			continue
 		}
-		var of [3][]ballot.Promise
+		var of [3][]consensus.Promise
 		for n, i := range voters[roll] {
 			for t := range uint8(20) {
 				if r.promises[i]&(1<<t) != 0 {
-					of[n] = append(of[n], ballot.Promise{Vouch: s.vouch(roll, i, t%2 == 1), Given: true, Accepted: ball(t / 4), Former: t/2%2 == 1})
+					of[n] = append(of[n], consensus.Promise{Vouch: s.vouch(roll, i, t%2 == 1), Given: true, Accepted: ball(t / 4), Former: t/2%2 == 1})
 				}
 			}
 		}
@@ -482,8 +482,8 @@
 			continue
 		}
 		var done [2][rounds + 1]bool
-		choices(of[:], nil, func(ps []ballot.Promise) bool {
-			r := ballot.Round{Voters: 3}
+		choices(of[:], nil, func(ps []consensus.Promise) bool {
+			r := consensus.Round{Voters: 3}
 			for _, p := range ps {
 				r.Add(p)
 			}
--- a/internal/relief/grow_test.go
+++ b/internal/reconfig/grow_test.go
@@ -1,4 +1,4 @@
-package relief
+package reconfig
 
 import (
 	"fmt"
--- a/internal/relief/relief.go
+++ b/internal/reconfig/relief.go
@@ -1,4 +1,4 @@
-// Package relief hands the work of those that count over to others: the end of one epoch and the beginning of the next. It is
+// Package reconfig hands the work of those that count over to others: the end of one epoch and the beginning of the next. It is
 // pure: a Seal is an old voter's part, a Round what a proposer gathers, Enough and Inherit what a new voter makes of the books
 // that old ones handed over.
 //
@@ -6,13 +6,13 @@
 // voter that did, on disk, promises, accepts and grants nothing more in its epoch, so that with the successor chosen a majority
 // has fallen silent for good. A new voter speaks in the new epoch once it has on disk what a majority of sealed old ones held.
 // Hence nothing can be won in the new epoch before a majority of the new holds it, and no further round begins the epoch.
-package relief
+package reconfig
 
 import (
 	"maps"
 	"slices"
 
-	"saltmast/internal/ballot"
+	"saltmast/internal/consensus"
 	"saltmast/internal/manifest"
 )
 
@@ -82,9 +82,9 @@
 
 // Answer is one old voter's answer to a proposer.
 type Answer struct {
-	Vouch ballot.Vouch `cbor:"1,keyasint"`
-	Given bool         `cbor:"2,keyasint"` // promised, or accepted
-	Seal  Seal         `cbor:"3,keyasint"`
+	Vouch consensus.Vouch `cbor:"1,keyasint"`
+	Given bool            `cbor:"2,keyasint"` // promised, or accepted
+	Seal  Seal            `cbor:"3,keyasint"`
 }
 
 // Round gathers the answers to one ballot.
@@ -92,7 +92,7 @@
 	Voters   int             // of the old epoch
 	Higher   manifest.Ballot // the highest that stood in the way
 	promises []Answer
-	accepts  []ballot.Vouch
+	accepts  []consensus.Vouch
 }
 
 // Promise takes an answer to a Prepare. Of one voter only the first counts.
@@ -105,17 +105,17 @@
 
 // Base is the successor that has to be proposed, once enough was promised; bound is false where the proposer is free.
 func (r *Round) Base() (next Roll, bound, ok bool) {
-	var vs []ballot.Vouch
+	var vs []consensus.Vouch
 	for _, a := range r.promises {
 		vs = append(vs, a.Vouch)
 	}
-	sound := ballot.Sound(vs)
-	if len(sound) < ballot.Majority(r.Voters) {
+	sound := consensus.Sound(vs)
+	if len(sound) < consensus.Majority(r.Voters) {
 		return next, false, false
 	}
 	var of manifest.Ballot
 	for _, a := range r.promises {
-		told := slices.ContainsFunc(sound, func(v ballot.Vouch) bool { return v.By == a.Vouch.By })
+		told := slices.ContainsFunc(sound, func(v consensus.Vouch) bool { return v.By == a.Vouch.By })
 		if told && of.Less(a.Seal.Accepted) {
 			of, next = a.Seal.Accepted, a.Seal.Next
 		}
@@ -129,7 +129,7 @@
 	if a.Given {
 		r.accepts = append(r.accepts, a.Vouch)
 	}
-	return len(ballot.Sound(r.accepts)) >= ballot.Majority(r.Voters)
+	return len(consensus.Sound(r.accepts)) >= consensus.Majority(r.Voters)
 }
 
 func (r *Round) raise(b manifest.Ballot) {
@@ -140,7 +140,7 @@
 
 // Estate is what one voter hands over, other than its claims of keys.
 type Estate struct {
-	Vouch    ballot.Vouch    `cbor:"1,keyasint"`
+	Vouch    consensus.Vouch `cbor:"1,keyasint"`
 	Holds    bool            `cbor:"2,keyasint"` // it speaks in the new epoch already; else it is sealed in the old one
 	Promised manifest.Ballot `cbor:"3,keyasint"`
 	Accepted manifest.Ballot `cbor:"4,keyasint"`
@@ -150,15 +150,15 @@
 // Enough says which of the estates a new voter takes over: that of one who speaks in the new epoch already, whose books have
 // all that was won in the old, or those of a majority of the old, all sealed. nil: more are wanted.
 func Enough(voters int, told []Estate) (take []int) {
-	var vs []ballot.Vouch
+	var vs []consensus.Vouch
 	for i, e := range told {
 		if e.Holds {
 			return []int{i}
 		}
 		vs = append(vs, e.Vouch)
 	}
-	sound := ballot.Sound(vs)
-	if len(sound) < ballot.Majority(voters) {
+	sound := consensus.Sound(vs)
+	if len(sound) < consensus.Majority(voters) {
 		return nil
 	}
 	for _, v := range sound {
@@ -256,7 +256,7 @@
 				taken += n
 			}
 		}
-		excess += max(0, taken-(len(voters)-ballot.Majority(len(voters))))
+		excess += max(0, taken-(len(voters)-consensus.Majority(len(voters))))
 	}
 	count(t.Zones, func(v Voter) string { return v.Zone })
 	count(t.Regions, func(v Voter) string { return t.RegionOf[v.Zone] })
--- a/internal/hold/hold.go
+++ b/internal/storage/hold.go
@@ -1,7 +1,7 @@
-// Package hold keeps small values under small keys on disk, so that what was told to be written is there after the loss of
+// Package storage keeps small values under small keys on disk, so that what was told to be written is there after the loss of
 // power: one SQLite file, one goroutine that owns it, and one sync for all that queued meanwhile. A disk that is full, slow,
 // hung or damaged is an answer to the caller. What the keys and values mean is the caller's affair. Start reading at Open.
-package hold
+package storage
 
 import (
 	"errors"
--- a/internal/hold/open.go
+++ b/internal/storage/open.go
@@ -1,4 +1,4 @@
-package hold
+package storage
 
 import (
 	"errors"
--- a/internal/purser/amid_test.go
+++ b/internal/store/amid_test.go
@@ -1,14 +1,14 @@
-package purser
+package store
 
 import (
 	"fmt"
 	"testing"
 
-	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
-	"saltmast/internal/hold"
+	"saltmast/internal/consensus"
 	"saltmast/internal/manifest"
-	"saltmast/internal/relief"
+	"saltmast/internal/reconfig"
+	"saltmast/internal/storage"
 )
 
 // much is books that come to disk in several parts.
@@ -38,14 +38,14 @@
 		return nil, true
 	}
 	if fails {
-		d.paper.sync(hold.ErrDisk)
+		d.paper.sync(storage.ErrDisk)
 		for len(d.later) > 0 {
 			d.catchUp()
 		}
 		return d, false
 	}
 	again = newDesk(t, Options{})
-	again.as, again.paper = hold.Whole, d.paper
+	again.as, again.paper = storage.Whole, d.paper
 	again.paper.waits = nil
 	again.open()
 	again.mustering = true // no test here waits for a repair
@@ -56,7 +56,7 @@
 // next repair makes up for all.
 func TestRepairThatDiesAtEachSync(t *testing.T) {
 	items, claims := much()
-	m := mustered{m: codebook.Mustered{Vouch: ballot.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: manifest.Ballot{N: 9},
+	m := mustered{m: codebook.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: manifest.Ballot{N: 9},
 		Chosen: manifest.Ballot{N: 9}}, claims: claims, base: manifest.SetOf(items...)}
 	for _, fails := range []bool{false, true} {
 		n, done := 0, false
@@ -96,7 +96,7 @@
 func TestTakingOverThatDiesAtEachSync(t *testing.T) {
 	items, claims := much()
 	next := codebook.Roll{Epoch: 2, Voters: voters, Was: voters}
-	h := handed{base: manifest.SetOf(items...), claims: claims, h: codebook.Handed{Estate: relief.Estate{Vouch: ballot.Vouch{By: 1, Incs: []uint64{1, 1, 1}},
+	h := handed{base: manifest.SetOf(items...), claims: claims, h: codebook.Handed{Estate: reconfig.Estate{Vouch: consensus.Vouch{By: 1, Incs: []uint64{1, 1, 1}},
 		Promised: manifest.Ballot{N: 9}, Accepted: manifest.Ballot{N: 9}, Chosen: manifest.Ballot{N: 9}}}}
 	older := items[0]
 	older.Version, older.Ballot.N = 1, 3
@@ -105,15 +105,15 @@
 			n, done := 0, false
 			for ; !done; n++ {
 				d := newDesk(t, Options{Bootstrap: kept, Found: voters})
-				d.as = hold.Empty
+				d.as = storage.Empty
 				d.open()
 				d.settle()
 				state, own := Apart, 0
 				if kept {
 					state, own = Serving, 1
-					d.write([]hold.Put{putClaim("own", id(99)), putItem(older), putBallot("accepted", older.Ballot), putBallot("chosen", older.Ballot)}, func(error) {})
+					d.write([]storage.Put{putClaim("own", id(99)), putItem(older), putBallot("accepted", older.Ballot), putBallot("chosen", older.Ballot)}, func(error) {})
 					d.seal.Closed, d.sealed = true, true
-					d.write([]hold.Put{d.putSeal()}, func(error) {})
+					d.write([]storage.Put{d.putSeal()}, func(error) {})
 					d.settle()
 					d.ledger.Claim(0, "own", id(99))
 				} else {
--- a/internal/purser/close_test.go
+++ b/internal/store/close_test.go
@@ -1,4 +1,4 @@
-package purser
+package store
 
 import (
 	"os"
--- a/internal/purser/program.go
+++ b/internal/store/program.go
@@ -1,4 +1,4 @@
-package purser
+package store
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 
 	"saltmast/internal/articles"
 	"saltmast/internal/codebook"
-	"saltmast/internal/hold"
 	"saltmast/internal/launch"
 	"saltmast/internal/sock"
+	"saltmast/internal/storage"
 )
 
 // keyMargin is how much longer than the window claims are kept: the request may be sent some time after its claim.
@@ -62,5 +62,5 @@
 func (r Running) Counts() map[string]int64 {
 	c, s := &r.P.Counts, r.P.Status()
 	return map[string]int64{"claims": c.Claims.Load(), "denied": c.Denied.Load(), "released": c.Released.Load(), "refused": c.Refused.Load(),
-		"accepts": c.Accepts.Load(), "prepares": c.Prepares.Load(), "commits": hold.Commits(), "watches": c.Watches.Load(), "keys": int64(s.Keys), "chosen": int64(s.Chosen.N)}
+		"accepts": c.Accepts.Load(), "prepares": c.Prepares.Load(), "commits": storage.Commits(), "watches": c.Watches.Load(), "keys": int64(s.Keys), "chosen": int64(s.Chosen.N)}
 }
--- a/internal/purser/purser.go
+++ b/internal/store/purser.go
@@ -1,7 +1,7 @@
-// Package purser is the store of the mesh: it keeps what must not be lost, the operator's configuration, the claims of
+// Package store is the store of the mesh: it keeps what must not be lost, the operator's configuration, the claims of
 // operation keys and the roll of those that count, each on disk before it is told. One goroutine owns it all and works
 // through a queue of commands; the disk has one of its own. Start reading at Start.
-package purser
+package store
 
 import (
 	"encoding/binary"
@@ -14,24 +14,24 @@
 	"sync/atomic"
 	"time"
 
-	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
-	"saltmast/internal/duty"
+	"saltmast/internal/consensus"
 	"saltmast/internal/errcode"
-	"saltmast/internal/hold"
 	"saltmast/internal/idempotency"
+	"saltmast/internal/lease"
 	"saltmast/internal/manifest"
-	"saltmast/internal/relief"
+	"saltmast/internal/reconfig"
 	"saltmast/internal/signal"
 	"saltmast/internal/sock"
+	"saltmast/internal/storage"
 )
 
 // Tables on disk.
 const (
-	tableMeta   hold.Table = 1
-	tableItems  hold.Table = 2
-	tableClaims hold.Table = 3
-	tableDelta  hold.Table = 4 // what was accepted beside the items, in bundles
+	tableMeta   storage.Table = 1
+	tableItems  storage.Table = 2
+	tableClaims storage.Table = 3
+	tableDelta  storage.Table = 4 // what was accepted beside the items, in bundles
 )
 
 // State of a purser.
@@ -76,7 +76,7 @@
 	Counts Counts
 	ended  chan struct{}
 	disks  sync.WaitGroup // openings of the disk, and closings ahead of one
-	begin  func(hold.Options) (disk, hold.Start, error)
+	begin  func(storage.Options) (disk, storage.Start, error)
 	aside  func(func() func(*books))           // does what waits beside the owner's goroutine, and queues the command that it gives
 	later  func(func(*books))                  // queues a command from where nobody may wait
 	known  func(codebook.Roll) []codebook.Mark // asks harbourmasters what this member told last
@@ -87,8 +87,8 @@
 
 // disk is what a purser asks of its hold.
 type disk interface {
-	Load(t hold.Table, each func(key, value []byte) error) error
-	Write(puts []hold.Put, done func(error))
+	Load(t storage.Table, each func(key, value []byte) error) error
+	Write(puts []storage.Put, done func(error))
 	Stalled() time.Duration
 	Close() error
 }
@@ -99,13 +99,13 @@
 	begun     time.Time
 	state     State
 	disk      disk // nil: there is none
-	acc       *ballot.Acceptor
+	acc       *consensus.Acceptor
 	ledger    *idempotency.Ledger
-	duties    *duty.Ledger
+	duties    *lease.Ledger
 	roll      codebook.Roll
 	me        int      // place in the roll; -1: none
 	incs      []uint64 // by place
-	seal      relief.Seal
+	seal      reconfig.Seal
 	sealed    bool            // the seal is shut, or the books are past, and that is on disk
 	former    manifest.Ballot // the value accepted in a former epoch; zero: none
 	number    uint64          // of the disk, by which a roll names it; 0: it was never asked for
@@ -157,7 +157,7 @@
 			}
 		}()
 	}
-	b := &books{p: p, begun: time.Now(), state: NoDisk, me: -1, duties: duty.NewLedger(0)}
+	b := &books{p: p, begun: time.Now(), state: NoDisk, me: -1, duties: lease.NewLedger(0)}
 	b.clear()
 	p.own = signal.Own(b, 1024)
 	p.server = signal.Serve(l, p.handle)
@@ -166,8 +166,8 @@
 	return p
 }
 
-func openHold(o hold.Options) (disk, hold.Start, error) {
-	h, start, err := hold.Open(o)
+func openHold(o storage.Options) (disk, storage.Start, error) {
+	h, start, err := storage.Open(o)
 	if err != nil {
 		return nil, start, err
 	}
@@ -194,7 +194,7 @@
 	case <-opened:
 		return nil
 	case <-time.After(closeAfter):
-		return fmt.Errorf("%w: it is being opened", hold.ErrStalled)
+		return fmt.Errorf("%w: it is being opened", storage.ErrStalled)
 	}
 }
 
@@ -238,14 +238,14 @@
 
 // clear forgets what is kept on disk, other than the roll.
 func (b *books) clear() {
-	b.acc, b.ledger, b.bundles = ballot.NewAcceptor(), idempotency.NewLedger(b.p.o.Window), 0
+	b.acc, b.ledger, b.bundles = consensus.NewAcceptor(), idempotency.NewLedger(b.p.o.Window), 0
 }
 
 // forget forgets all that a disk told.
 func (b *books) forget() {
 	b.clear()
 	b.roll, b.incs, b.me = codebook.Roll{}, nil, -1
-	b.seal, b.sealed, b.former, b.number, b.past = relief.Seal{}, false, manifest.Ballot{}, 0, nil
+	b.seal, b.sealed, b.former, b.number, b.past = reconfig.Seal{}, false, manifest.Ballot{}, 0, nil
 }
 
 func (b *books) set(s State) {
@@ -266,7 +266,7 @@
 	b.p.disks.Add(1)
 	p, begun := b.p, b.begun
 	p.aside(func() func(*books) {
-		disk, found, err := p.begin(hold.Options{Dir: p.o.Dir, MaxBytes: p.o.MaxBytes, Disk: p.o.Disk,
+		disk, found, err := p.begin(storage.Options{Dir: p.o.Dir, MaxBytes: p.o.MaxBytes, Disk: p.o.Disk,
 			Log: func(s string) { p.o.Log("disk", s) }})
 		read := &books{p: p, begun: begun, disk: disk}
 		if read.forget(); err == nil {
@@ -286,9 +286,9 @@
 }
 
 // opened takes what was read off a disk.
-func (b *books) opened(read *books, found hold.Start, err error) {
+func (b *books) opened(read *books, found storage.Start, err error) {
 	b.opening = false
-	b.used = b.used || found == hold.Damaged
+	b.used = b.used || found == storage.Damaged
 	switch {
 	case err != nil:
 		if text := err.Error(); text != b.trouble {
@@ -312,7 +312,7 @@
 		if read.old != (codebook.Mark{}) {
 			b.p.o.Log("disk", fmt.Sprintf("older than what was told from it: %+v", read.old))
 			b.incs[b.me] = 0
-			b.write([]hold.Put{b.putIncs()}, func(error) {}) // else it is found out again
+			b.write([]storage.Put{b.putIncs()}, func(error) {}) // else it is found out again
 		}
 		if b.me >= 0 && b.incs[b.me] == 0 { // it died amid a repair
 			b.set(Repairing)
@@ -321,7 +321,7 @@
 		} else {
 			b.set(Apart)
 		}
-	case b.p.o.Bootstrap && !b.used && found == hold.Empty && len(b.p.o.Found) > 0:
+	case b.p.o.Bootstrap && !b.used && found == storage.Empty && len(b.p.o.Found) > 0:
 		b.found()
 	default:
 		b.set(NoRoll)
@@ -342,7 +342,7 @@
 		}
 	}
 	b.founding = true
-	b.disk.Write([]hold.Put{b.putRoll(), b.putIncs()}, func(err error) {
+	b.disk.Write([]storage.Put{b.putRoll(), b.putIncs()}, func(err error) {
 		b.p.later(func(b *books) {
 			b.founding = false
 			switch {
@@ -369,22 +369,22 @@
 	}
 }
 
-func (b *books) vouch() ballot.Vouch {
-	return ballot.Vouch{By: b.me, Incs: slices.Clone(b.incs)}
+func (b *books) vouch() consensus.Vouch {
+	return consensus.Vouch{By: b.me, Incs: slices.Clone(b.incs)}
 }
 
 // ---- On disk ----
 
-func putBallot(name string, v manifest.Ballot) hold.Put {
-	return hold.Put{Table: tableMeta, Key: []byte(name), Value: signal.Encode(v)}
+func putBallot(name string, v manifest.Ballot) storage.Put {
+	return storage.Put{Table: tableMeta, Key: []byte(name), Value: signal.Encode(v)}
 }
 
 // putLayout tells that the items are a base, with what was accepted beside them. Before, they were what was accepted.
-var putLayout = hold.Put{Table: tableMeta, Key: []byte("layout"), Value: []byte{2}}
+var putLayout = storage.Put{Table: tableMeta, Key: []byte("layout"), Value: []byte{2}}
 
 // putBallots are all ballots of the register.
-func putBallots(a *ballot.Acceptor) []hold.Put {
-	puts := []hold.Put{putBallot("promised", a.Promised), putBallot("accepted", a.Accepted), putBallot("chosen", a.Chosen),
+func putBallots(a *consensus.Acceptor) []storage.Put {
+	puts := []storage.Put{putBallot("promised", a.Promised), putBallot("accepted", a.Accepted), putBallot("chosen", a.Chosen),
 		{Table: tableMeta, Key: []byte("target")}, putLayout}
 	if a.CatchesUp() {
 		puts[3] = putBallot("target", a.Target)
@@ -392,43 +392,43 @@
 	return puts
 }
 
-func (b *books) putRoll() hold.Put {
-	return hold.Put{Table: tableMeta, Key: []byte("roll"), Value: signal.Encode(b.roll)}
+func (b *books) putRoll() storage.Put {
+	return storage.Put{Table: tableMeta, Key: []byte("roll"), Value: signal.Encode(b.roll)}
 }
 
-func (b *books) putIncs() hold.Put {
-	return hold.Put{Table: tableMeta, Key: []byte("incs"), Value: signal.Encode(b.incs)}
+func (b *books) putIncs() storage.Put {
+	return storage.Put{Table: tableMeta, Key: []byte("incs"), Value: signal.Encode(b.incs)}
 }
 
 func itemKey(k manifest.Key) []byte { return append([]byte{byte(k.Kind)}, k.Name...) }
 
-func putItem(i manifest.Item) hold.Put {
-	return hold.Put{Table: tableItems, Key: itemKey(i.Key), Value: signal.Encode(i)}
+func putItem(i manifest.Item) storage.Put {
+	return storage.Put{Table: tableItems, Key: itemKey(i.Key), Value: signal.Encode(i)}
 }
 
 // bundleBytes is about what one row of the delta has.
 const bundleBytes = 64 << 10
 
 // putDelta puts a delta in place of the one that is on disk, which may be none.
-func (b *books) putDelta(delta []manifest.Item) (puts []hold.Put, bundles int) {
+func (b *books) putDelta(delta []manifest.Item) (puts []storage.Put, bundles int) {
 	for len(delta) > 0 {
 		n := 0
 		for size := 0; n < len(delta) && size < bundleBytes; n++ {
-			size += ballot.Size(delta[n])
+			size += consensus.Size(delta[n])
 		}
-		puts = append(puts, hold.Put{Table: tableDelta, Key: binary.BigEndian.AppendUint16(nil, uint16(bundles)), Value: signal.Encode(delta[:n])})
+		puts = append(puts, storage.Put{Table: tableDelta, Key: binary.BigEndian.AppendUint16(nil, uint16(bundles)), Value: signal.Encode(delta[:n])})
 		delta, bundles = delta[n:], bundles+1
 	}
 	for i := bundles; i < b.bundles; i++ {
-		puts = append(puts, hold.Put{Table: tableDelta, Key: binary.BigEndian.AppendUint16(nil, uint16(i))})
+		puts = append(puts, storage.Put{Table: tableDelta, Key: binary.BigEndian.AppendUint16(nil, uint16(i))})
 	}
 	return puts, bundles
 }
 
-func putClaim(key string, id idempotency.ID) hold.Put {
+func putClaim(key string, id idempotency.ID) storage.Put {
 	v := binary.BigEndian.AppendUint64(nil, id.Life)
 	v = binary.BigEndian.AppendUint64(v, id.N)
-	return hold.Put{Table: tableClaims, Key: []byte(key), Value: append(v, id.At...)}
+	return storage.Put{Table: tableClaims, Key: []byte(key), Value: append(v, id.At...)}
 }
 
 func readClaim(v []byte) (idempotency.ID, error) {
@@ -516,16 +516,16 @@
 }
 
 // write puts and tells; it fails at once without a disk.
-func (b *books) write(puts []hold.Put, done func(error)) {
+func (b *books) write(puts []storage.Put, done func(error)) {
 	if b.disk == nil {
-		done(hold.ErrDisk)
+		done(storage.ErrDisk)
 		return
 	}
 	mark := uint64(0)
 	if now := b.now(); b.me >= 0 && now-b.markAt >= markEvery {
 		b.mark, b.markAt = b.mark+1, now
 		mark = b.mark
-		puts = append(slices.Clip(puts), hold.Put{Table: tableMeta, Key: []byte("mark"), Value: signal.Encode(mark)})
+		puts = append(slices.Clip(puts), storage.Put{Table: tableMeta, Key: []byte("mark"), Value: signal.Encode(mark)})
 	}
 	b.disk.Write(puts, func(err error) {
 		if err == nil && mark > 0 {
@@ -533,7 +533,7 @@
 		}
 		if err == nil {
 			b.p.ailing.Store(0)
-		} else if errors.Is(err, hold.ErrDisk) {
+		} else if errors.Is(err, storage.ErrDisk) {
 			b.p.ailing.CompareAndSwap(0, int64(b.now())+1)
 		}
 		done(err)
@@ -704,12 +704,12 @@
 		return nil
 	}
 	if !b.acc.Prepare(m.B) {
-		c.Reply(ballot.Promise{Vouch: b.vouch(), Promised: b.acc.Promised, Accepted: b.acc.Accepted}, nil)
+		c.Reply(consensus.Promise{Vouch: b.vouch(), Promised: b.acc.Promised, Accepted: b.acc.Accepted}, nil)
 		return nil
 	}
 	answer := b.acc.Promise(b.vouch(), m.Have)
 	answer.Former = b.inherited()
-	b.write([]hold.Put{putBallot("promised", m.B)}, func(err error) { reply(c, answer, err) })
+	b.write([]storage.Put{putBallot("promised", m.B)}, func(err error) { reply(c, answer, err) })
 	return nil
 }
 
@@ -763,7 +763,7 @@
 }
 
 // alter writes a change of the register, and takes it once it is on disk. What comes meanwhile waits.
-func (b *books) alter(puts []hold.Put, taken func(*books, error)) {
+func (b *books) alter(puts []storage.Put, taken func(*books, error)) {
 	b.accepting = true
 	b.write(puts, func(err error) {
 		b.p.later(func(b *books) {
@@ -785,7 +785,7 @@
 		puts = append(puts, putItem(i))
 	}
 	was := b.acc.CatchesUp() // what it lacked may have come with what was proposed
-	puts = append(puts, putBallot("chosen", of), hold.Put{Table: tableMeta, Key: []byte("target")})
+	puts = append(puts, putBallot("chosen", of), storage.Put{Table: tableMeta, Key: []byte("target")})
 	b.alter(puts, func(b *books, err error) {
 		if err == nil && b.acc.Learn(of) { // else whoever asks next tells again
 			b.bundles = 0
@@ -852,7 +852,7 @@
 	w := codebook.Watched{Vouch: b.vouch(), Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: b.acc.Chosen,
 		Known: b.acc.Known(), Roll: b.roll, State: string(b.state), Keys: b.ledger.Len(), Shut: b.seal.Shut(), Mark: b.p.marked.Load()}
 	if have.Less(b.acc.Chosen) && !b.acc.CatchesUp() {
-		p := ballot.PageOf(b.acc.Stands, b.acc.Chosen, have)
+		p := consensus.PageOf(b.acc.Stands, b.acc.Chosen, have)
 		w.Items, w.From, w.Upto = p.Items, p.From, p.Upto
 	}
 	return w
@@ -915,7 +915,7 @@
 	default:
 		// One that comes again is written again: the first may still be on its way to disk. One whose write failed stays held:
 		// it may come again meanwhile, and a claimant that does not get the key gives it back by itself.
-		b.write([]hold.Put{putClaim(m.Key, m.ID)}, func(err error) {
+		b.write([]storage.Put{putClaim(m.Key, m.ID)}, func(err error) {
 			if err != nil {
 				b.p.adrift.Add(1)
 			}
@@ -931,7 +931,7 @@
 func (b *books) release(c signal.Call, m codebook.ReleaseCall) error {
 	if b.ledger.Release(m.Key, m.ID) {
 		b.p.Counts.Released.Add(1)
-		b.write([]hold.Put{{Table: tableClaims, Key: []byte(m.Key)}}, func(error) {}) // what stays blocks a key at the most
+		b.write([]storage.Put{{Table: tableClaims, Key: []byte(m.Key)}}, func(error) {}) // what stays blocks a key at the most
 	}
 	c.Reply(nil, nil)
 	return nil
@@ -945,7 +945,7 @@
 		return nil
 	}
 	speaks := b.counts
-	if m.Duty == duty.Roll { // whoever finishes a change of the roll asks those that are sealed
+	if m.Duty == lease.Roll { // whoever finishes a change of the roll asks those that are sealed
 		speaks = b.member
 	}
 	if err := speaks(m.Epoch); err != nil {
@@ -980,9 +980,9 @@
 		return
 	}
 	if keys := b.ledger.Expire(b.now(), expireAtOnce); len(keys) > 0 {
-		puts := make([]hold.Put, len(keys))
+		puts := make([]storage.Put, len(keys))
 		for i, k := range keys {
-			puts[i] = hold.Put{Table: tableClaims, Key: []byte(k)}
+			puts[i] = storage.Put{Table: tableClaims, Key: []byte(k)}
 		}
 		b.disk.Write(puts, func(error) {})
 	}
--- a/internal/purser/purser_test.go
+++ b/internal/store/purser_test.go
@@ -1,4 +1,4 @@
-package purser
+package store
 
 import (
 	"errors"
@@ -8,31 +8,31 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
+	"saltmast/internal/consensus"
 	"saltmast/internal/errcode"
-	"saltmast/internal/hold"
 	"saltmast/internal/idempotency"
 	"saltmast/internal/manifest"
 	"saltmast/internal/signal"
+	"saltmast/internal/storage"
 )
 
 // A paper is a disk whose syncs the test times: what was written waits for sync, which brings it into force or fails it.
 type paper struct {
-	rows   map[hold.Table]map[string][]byte
+	rows   map[storage.Table]map[string][]byte
 	waits  []writing
 	broken error // of Load
 	stall  time.Duration
 }
 
 type writing struct {
-	puts []hold.Put
+	puts []storage.Put
 	done func(error)
 }
 
-func newPaper() *paper { return &paper{rows: map[hold.Table]map[string][]byte{}} }
+func newPaper() *paper { return &paper{rows: map[storage.Table]map[string][]byte{}} }
 
-func (p *paper) Load(t hold.Table, each func(k, v []byte) error) error {
+func (p *paper) Load(t storage.Table, each func(k, v []byte) error) error {
 	for _, k := range slices.Sorted(maps.Keys(p.rows[t])) {
 		if err := each([]byte(k), p.rows[t][k]); err != nil {
 			return err
@@ -41,7 +41,7 @@
 	return p.broken
 }
 
-func (p *paper) Write(puts []hold.Put, done func(error)) {
+func (p *paper) Write(puts []storage.Put, done func(error)) {
 	size, waiting := 0, 0
 	for _, x := range puts {
 		size += len(x.Key) + len(x.Value)
@@ -52,10 +52,10 @@
 		}
 	}
 	switch {
-	case size > hold.MaxWrite:
-		done(hold.ErrFull)
-	case waiting+size > hold.MaxQueueBytes:
-		done(hold.ErrBusy)
+	case size > storage.MaxWrite:
+		done(storage.ErrFull)
+	case waiting+size > storage.MaxQueueBytes:
+		done(storage.ErrBusy)
 	default:
 		p.waits = append(p.waits, writing{puts, done})
 	}
@@ -86,7 +86,7 @@
 type desk struct {
 	*books
 	paper *paper
-	as    hold.Start // it is found
+	as    storage.Start // it is found
 	later []func(*books)
 	told  []codebook.Mark // what harbourmasters know
 }
@@ -98,7 +98,7 @@
 	o.Seeds = func() []string { return nil }
 	d := &desk{paper: newPaper()}
 	p := &Purser{o: o, later: func(f func(*books)) { d.later = append(d.later, f) }}
-	p.begin = func(hold.Options) (disk, hold.Start, error) { return d.paper, d.as, nil }
+	p.begin = func(storage.Options) (disk, storage.Start, error) { return d.paper, d.as, nil }
 	p.aside = func(f func() func(*books)) { f()(d.books) }
 	p.known = func(codebook.Roll) []codebook.Mark { return d.told }
 	p.own = signal.Own(&books{}, 64) // hears of what a repair found, which no test here waits for
@@ -109,7 +109,7 @@
 }
 
 // left is what a repair that died has left on disk.
-func (d *desk) left(t *testing.T) []hold.Put {
+func (d *desk) left(t *testing.T) []storage.Put {
 	left, err := leftovers(d.paper)
 	if err != nil {
 		t.Fatal(err)
@@ -180,13 +180,13 @@
 func TestDiskThatFailsAmidReading(t *testing.T) {
 	d := founded(t)
 	again := newDesk(t, Options{})
-	again.paper, again.as = d.paper, hold.Whole
+	again.paper, again.as = d.paper, storage.Whole
 	again.paper.broken = errors.New("no more")
 	again.open()
 	if again.state != NoDisk || again.disk != nil {
 		t.Fatalf("%s with a disk that can't be read", again.state)
 	}
-	again.paper, again.as = newPaper(), hold.Damaged
+	again.paper, again.as = newPaper(), storage.Damaged
 	again.open()
 	if again.state != NoRoll {
 		t.Errorf("%s on an empty disk, epoch %d, incarnations %v", again.state, again.roll.Epoch, again.incs)
@@ -201,7 +201,7 @@
 	opened := 0
 	d := newDesk(t, Options{Bootstrap: true, Found: voters})
 	begin := d.p.begin
-	d.p.begin = func(o hold.Options) (disk, hold.Start, error) { opened++; return begin(o) }
+	d.p.begin = func(o storage.Options) (disk, storage.Start, error) { opened++; return begin(o) }
 	d.open()
 	d.tick()
 	d.tick()
@@ -218,7 +218,7 @@
 	d.place()
 	d.set(Repairing)
 	told := func(by int, inc uint64, claims ...codebook.ClaimCall) mustered {
-		return mustered{m: codebook.Mustered{Vouch: ballot.Vouch{By: by, Incs: []uint64{inc, 1, 1}}}, claims: claims}
+		return mustered{m: codebook.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{inc, 1, 1}}}, claims: claims}
 	}
 	d.mustering = true // as since it began
 	d.restore(2, []mustered{told(1, 2), told(2, 2)}, d.left(t))
@@ -242,7 +242,7 @@
 	d.place()
 	d.set(Repairing)
 	one := manifest.Ballot{N: 1}
-	m := mustered{m: codebook.Mustered{Vouch: ballot.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: one, Chosen: one, Base: one, Upto: one}}
+	m := mustered{m: codebook.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: one, Chosen: one, Base: one, Upto: one}}
 	const keys, items = 60000, 1500
 	for i := range keys {
 		m.claims = append(m.claims, codebook.ClaimCall{Key: fmt.Sprintf("key-of-some-length-%040d", i), ID: id(uint64(i + 1))})
@@ -264,7 +264,7 @@
 		return d.call(codebook.Claim, codebook.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
 	}
 	first, again := claim(1), claim(1)
-	d.paper.sync(hold.ErrDisk)
+	d.paper.sync(storage.ErrDisk)
 	d.paper.sync(nil)
 	d.catchUp()
 	if errcode.Of(first.err) != errcode.DiskOut || !again.grant(t).Given {
@@ -287,7 +287,7 @@
 	if denied.grant(t).Given {
 		t.Fatal("granted twice")
 	}
-	d.paper.sync(hold.ErrFull)
+	d.paper.sync(storage.ErrFull)
 	d.catchUp()
 	if claim(4).grant(t).Given {
 		t.Error("granted although the first may come again")
@@ -323,10 +323,10 @@
 		want := b1
 		if fails {
 			want = manifest.Ballot{}
-			d.paper.sync(hold.ErrDisk)
+			d.paper.sync(storage.ErrDisk)
 		}
 		d.settle()
-		var p ballot.Promise
+		var p consensus.Promise
 		var m codebook.Mustered
 		if err := errors.Join(prep.err, learn.err, must.err, signal.Decode(prep.body, &p), signal.Decode(must.body, &m)); err != nil {
 			t.Fatal(err)
@@ -349,13 +349,13 @@
 	d.place()
 	d.set(Repairing)
 	told := func(by int, n uint64) mustered {
-		return mustered{m: codebook.Mustered{Vouch: ballot.Vouch{By: by, Incs: []uint64{2, 1, 1}}}, claims: []codebook.ClaimCall{{Key: "k", ID: id(n)}}}
+		return mustered{m: codebook.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{2, 1, 1}}}, claims: []codebook.ClaimCall{{Key: "k", ID: id(n)}}}
 	}
 	d.restore(2, []mustered{told(1, 1), told(2, 2)}, d.left(t))
-	d.save([]hold.Put{d.putRoll()}, func(*books, error) {})
+	d.save([]storage.Put{d.putRoll()}, func(*books, error) {})
 	d.settle()
 	again := newDesk(t, Options{})
-	again.paper, again.as = d.paper, hold.Whole
+	again.paper, again.as = d.paper, storage.Whole
 	again.open()
 	for _, x := range []*desk{d, again} {
 		x.call(codebook.Release, codebook.ReleaseCall{Key: "k"})
@@ -384,7 +384,7 @@
 		changes := []manifest.Item{item(manifest.Version(b), b)}
 		kind, v := codebook.Accept, any(codebook.AcceptCall{B: x, Changes: changes, Epoch: 1})
 		if chosen {
-			kind, v = codebook.Turn, codebook.TurnCall{Page: ballot.Page{Upto: x, Target: x, Items: changes}, Epoch: 1}
+			kind, v = codebook.Turn, codebook.TurnCall{Page: consensus.Page{Upto: x, Target: x, Items: changes}, Epoch: 1}
 		}
 		r := d.call(kind, v)
 		d.settle()
@@ -414,7 +414,7 @@
 func TestPromiseThatOnlyItsValueTells(t *testing.T) {
 	d := founded(t)
 	d.call(codebook.Prepare, codebook.PrepareCall{B: manifest.Ballot{N: 2}, Epoch: 1})
-	d.paper.sync(hold.ErrFull)
+	d.paper.sync(storage.ErrFull)
 	d.call(codebook.Accept, codebook.AcceptCall{B: manifest.Ballot{N: 2}, Epoch: 1})
 	d.settle()
 	d.open() // as after a restart
@@ -464,7 +464,7 @@
 				if len(d.paper.waits) > 0 {
 					var err error
 					if syncs++; syncs == turn {
-						err = hold.ErrFull
+						err = storage.ErrFull
 					}
 					d.paper.sync(err)
 				}
@@ -503,7 +503,7 @@
 		var promised, accepted manifest.Ballot
 		var inc uint64
 		change := func(b manifest.Ballot) {
-			var p ballot.Promise
+			var p consensus.Promise
 			if call(codebook.Prepare, codebook.PrepareCall{B: b, Epoch: 1}, &p) && p.Given {
 				promised = b
 			}
@@ -528,7 +528,7 @@
 		change(ballots[1])
 		claim("b", 4)
 		again := newDesk(t, Options{})
-		again.paper, again.as = d.paper, hold.Whole
+		again.paper, again.as = d.paper, storage.Whole
 		again.open()
 		if failed > 1 || again.state != Serving || again.acc.Promised.Less(promised) || again.acc.Accepted.Less(accepted) || again.incs[1] < inc {
 			t.Errorf("sync %d: %d calls failed; %s, promised %v, not %v, accepted %v, not %v, incarnations %v",
@@ -585,10 +585,10 @@
 		}
 		claim(1, nil)
 		for n := range uint64(4) {
-			claim(2+n, hold.ErrDisk)
+			claim(2+n, storage.ErrDisk)
 			d.begun = d.begun.Add(-ailsFor / 4)
 			if n == 3 && damaged {
-				d.paper, d.as = newPaper(), hold.Damaged
+				d.paper, d.as = newPaper(), storage.Damaged
 			}
 			if d.tick(); n < 3 && (d.state != Serving || d.ledger.Len() != int(2+n)) {
 				t.Fatalf("%s with %d keys after %d failures", d.state, d.ledger.Len(), n+1)
@@ -618,7 +618,7 @@
 	// What was found damaged and could not be put aside is empty at the next look.
 	d := newDesk(t, Options{Bootstrap: true, Found: voters})
 	begin := d.p.begin
-	d.p.begin = func(hold.Options) (disk, hold.Start, error) { return nil, hold.Damaged, hold.ErrFull }
+	d.p.begin = func(storage.Options) (disk, storage.Start, error) { return nil, storage.Damaged, storage.ErrFull }
 	d.open()
 	d.p.begin = begin
 	if d.tick(); d.state != NoRoll {
--- a/internal/purser/register_test.go
+++ b/internal/store/register_test.go
@@ -1,17 +1,17 @@
-package purser
+package store
 
 import (
 	"fmt"
 	"slices"
 	"testing"
 
-	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
+	"saltmast/internal/consensus"
 	"saltmast/internal/errcode"
-	"saltmast/internal/hold"
 	"saltmast/internal/manifest"
-	"saltmast/internal/relief"
+	"saltmast/internal/reconfig"
 	"saltmast/internal/signal"
+	"saltmast/internal/storage"
 )
 
 func at(n uint64) manifest.Ballot { return manifest.Ballot{N: n} }
@@ -44,7 +44,7 @@
 // restarted is a desk on the disk of another.
 func restarted(t *testing.T, d *desk) *desk {
 	again := newDesk(t, Options{})
-	again.paper, again.as = d.paper, hold.Whole
+	again.paper, again.as = d.paper, storage.Whole
 	again.open()
 	again.settle()
 	return again
@@ -60,20 +60,20 @@
 	told[codebook.Accepted](t, d, codebook.Accept, codebook.AcceptCall{B: at(2), Base: at(1), Changes: fork, Epoch: 1})
 	seven := manifest.SetOf(old...).With(sized("r", at(5), 2, 10)...).With(sized("s", at(7), 700, 1000)...)
 	nine := seven.With(sized("s", at(9), 1, 20)...).With(sized("t", at(9), 1, 20)...)
-	turn := func(p ballot.Page) bool {
+	turn := func(p consensus.Page) bool {
 		t.Helper()
 		return told[codebook.Accepted](t, d, codebook.Turn, codebook.TurnCall{Page: p, Epoch: 1}).Taken
 	}
-	first := ballot.PageOf(nine, at(9), at(1))
-	if first.Upto != at(5) || turn(ballot.PageOf(nine, at(9), at(5))) {
+	first := consensus.PageOf(nine, at(9), at(1))
+	if first.Upto != at(5) || turn(consensus.PageOf(nine, at(9), at(5))) {
 		t.Fatalf("the first page is up to %v, or one that does not follow was taken", first.Upto)
 	}
 	r := d.call(codebook.Turn, codebook.TurnCall{Page: first, Epoch: 1})
-	d.paper.sync(hold.ErrDisk)
+	d.paper.sync(storage.ErrDisk)
 	if d.settle(); errcode.Of(r.err) != errcode.DiskOut || d.acc.Accepted != at(2) || d.acc.CatchesUp() {
 		t.Fatalf("a page that did not come to disk: %v, accepted %v", r.err, d.acc.Accepted)
 	}
-	for i, p := range []ballot.Page{first, ballot.PageOf(seven, at(7), at(5)), ballot.PageOf(nine, at(9), at(7))} {
+	for i, p := range []consensus.Page{first, consensus.PageOf(seven, at(7), at(5)), consensus.PageOf(nine, at(9), at(7))} {
 		if !turn(p) || turn(p) {
 			t.Fatalf("page %d: not taken, or twice", i)
 		}
@@ -87,7 +87,7 @@
 			}
 			break
 		}
-		p := told[ballot.Promise](t, d, codebook.Prepare, codebook.PrepareCall{B: at(20 + uint64(i)), Epoch: 1})
+		p := told[consensus.Promise](t, d, codebook.Prepare, codebook.PrepareCall{B: at(20 + uint64(i)), Epoch: 1})
 		if w.Known != at(9) || w.Chosen != p.Chosen || len(w.Items) > 0 || !p.Given || !p.Accepted.IsZero() || len(p.Items) > 0 || p.Known != at(9) || state != "catching up" {
 			t.Errorf("behind page %d: %s, chosen %v of %v, %d items, promise %+v", i, state, w.Chosen, w.Known, len(w.Items), p)
 		}
@@ -102,11 +102,11 @@
 	d := founded(t)
 	nine := manifest.SetOf(sized("r", at(5), 300, 1000)...).With(sized("s", at(9), 3, 10)...)
 	next := nine.With(sized("r", at(11), 1, 10)...)
-	if !told[codebook.Accepted](t, d, codebook.Turn, codebook.TurnCall{Page: ballot.PageOf(nine, at(9), at(0)), Epoch: 1}).Taken || !d.acc.CatchesUp() {
+	if !told[codebook.Accepted](t, d, codebook.Turn, codebook.TurnCall{Page: consensus.PageOf(nine, at(9), at(0)), Epoch: 1}).Taken || !d.acc.CatchesUp() {
 		t.Fatalf("all up to %v of %v", d.acc.Chosen, d.acc.Target)
 	}
 	for base, want := range map[uint64]bool{9: false, 5: true} {
-		a := told[codebook.Accepted](t, d, codebook.Accept, codebook.AcceptCall{B: at(11), Base: at(base), Changes: ballot.Since(next, at(base)), Epoch: 1})
+		a := told[codebook.Accepted](t, d, codebook.Accept, codebook.AcceptCall{B: at(11), Base: at(base), Changes: consensus.Since(next, at(base)), Epoch: 1})
 		if a.Taken != want {
 			t.Errorf("told by what is after %d: %v", base, a.Taken)
 		}
@@ -130,15 +130,15 @@
 	value := stands.With(sized("s", at(6), 4, 10)...)
 	next := codebook.Roll{Epoch: 2, Voters: voters, Was: voters}
 	got := func() []handed {
-		e := relief.Estate{Promised: at(6), Accepted: at(6), Chosen: at(5)}
-		return []handed{{h: codebook.Handed{Estate: e, Delta: ballot.Since(value, at(5))}, base: stands}}
+		e := reconfig.Estate{Promised: at(6), Accepted: at(6), Chosen: at(5)}
+		return []handed{{h: codebook.Handed{Estate: e, Delta: consensus.Since(value, at(5))}, base: stands}}
 	}
 	for dies := range 4 {
 		d := founded(t)
 		told[codebook.Accepted](t, d, codebook.Accept, codebook.AcceptCall{B: at(1), Changes: sized("r", at(1), 3, 10), Epoch: 1})
 		told[codebook.Accepted](t, d, codebook.Learn, codebook.LearnCall{B: at(1)})
 		d.seal.Closed, d.sealed, d.taking = true, true, true
-		d.write([]hold.Put{d.putSeal()}, func(error) {})
+		d.write([]storage.Put{d.putSeal()}, func(error) {})
 		d.settle()
 		d.inherit(next, got(), true, nil)
 		for range 4 * dies {
@@ -171,7 +171,7 @@
 func TestDiskWithoutABase(t *testing.T) {
 	for chosen, want := range map[uint64]State{3: Serving, 2: Repairing} {
 		d := founded(t)
-		puts := []hold.Put{putBallot("accepted", at(3)), putBallot("promised", at(3)), putBallot("chosen", at(chosen))}
+		puts := []storage.Put{putBallot("accepted", at(3)), putBallot("promised", at(3)), putBallot("chosen", at(chosen))}
 		for _, i := range sized("r", at(3), 3, 10) {
 			puts = append(puts, putItem(i))
 		}
--- a/internal/purser/relief.go
+++ b/internal/store/relief.go
@@ -1,4 +1,4 @@
-package purser
+package store
 
 import (
 	"cmp"
@@ -8,14 +8,14 @@
 	"slices"
 	"time"
 
-	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
-	"saltmast/internal/duty"
+	"saltmast/internal/consensus"
 	"saltmast/internal/errcode"
-	"saltmast/internal/hold"
+	"saltmast/internal/lease"
 	"saltmast/internal/manifest"
-	"saltmast/internal/relief"
+	"saltmast/internal/reconfig"
 	"saltmast/internal/signal"
+	"saltmast/internal/storage"
 )
 
 // One roll follows another as package relief decides. A voter of the new roll takes over the books of the old by itself, from
@@ -29,13 +29,13 @@
 	Incs  []uint64 `cbor:"3,keyasint"`
 }
 
-func (b *books) putSeal() hold.Put {
-	return hold.Put{Table: tableMeta, Key: []byte("seal"), Value: signal.Encode(b.seal)}
+func (b *books) putSeal() storage.Put {
+	return storage.Put{Table: tableMeta, Key: []byte("seal"), Value: signal.Encode(b.seal)}
 }
 
 // putChange is all on disk that a change of the roll leaves there.
-func (b *books) putChange() []hold.Put {
-	puts := []hold.Put{b.putSeal(), putBallot("former", b.former), {Table: tableMeta, Key: []byte("past")}}
+func (b *books) putChange() []storage.Put {
+	puts := []storage.Put{b.putSeal(), putBallot("former", b.former), {Table: tableMeta, Key: []byte("past")}}
 	if b.past != nil {
 		puts[2].Value = signal.Encode(b.past)
 	}
@@ -60,7 +60,7 @@
 		b.number = rand.Uint64() | 1
 	}
 	r.Disk = b.number
-	b.write([]hold.Put{{Table: tableMeta, Key: []byte("number"), Value: signal.Encode(b.number)}}, func(err error) { reply(c, r, err) })
+	b.write([]storage.Put{{Table: tableMeta, Key: []byte("number"), Value: signal.Encode(b.number)}}, func(err error) { reply(c, r, err) })
 	return nil
 }
 
@@ -76,7 +76,7 @@
 		b.queued = append(b.queued, func(b *books) { b.again(c, b.succeed(c, m)) })
 		return nil
 	}
-	answer := relief.Answer{Vouch: b.vouch()}
+	answer := reconfig.Answer{Vouch: b.vouch()}
 	if m.Next == nil {
 		answer.Given = b.seal.Prepare(m.B)
 	} else {
@@ -88,7 +88,7 @@
 		return nil
 	}
 	epoch := m.Epoch
-	b.write([]hold.Put{b.putSeal()}, func(err error) {
+	b.write([]storage.Put{b.putSeal()}, func(err error) {
 		b.p.later(func(b *books) {
 			if err == nil && m.Next != nil && b.roll.Epoch == epoch && b.seal.Shut() && !b.sealed {
 				b.sealed = true
@@ -120,7 +120,7 @@
 		done(nil)
 		return
 	case b.disk == nil:
-		done(hold.ErrDisk)
+		done(storage.ErrDisk)
 		return
 	case b.taking:
 		b.takers = append(b.takers, done)
@@ -149,7 +149,7 @@
 	if b.state == Serving {
 		b.past = &past{b.roll.Epoch, b.me, slices.Clone(b.incs)}
 	}
-	b.roll, b.incs, b.seal, b.sealed = r, nil, relief.Seal{}, false
+	b.roll, b.incs, b.seal, b.sealed = r, nil, reconfig.Seal{}, false
 	b.place()
 	if b.me >= 0 {
 		b.set(Repairing)
@@ -172,7 +172,7 @@
 // handover tells the books of the epoch before the one named to a voter that takes over.
 func (b *books) handover(c signal.Call, m codebook.HandoverCall) error {
 	r := b.register(m.Have)
-	e := relief.Estate{Vouch: b.vouch(), Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: r.chosen}
+	e := reconfig.Estate{Vouch: b.vouch(), Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: r.chosen}
 	switch {
 	case b.state == Serving && b.roll.Epoch == m.Epoch && b.acc.CatchesUp(): // its books alone would not do
 		return errcode.New(errcode.Repairing, "")
@@ -180,7 +180,7 @@
 		e.Holds = true
 	case b.state == Serving && b.roll.Epoch+1 == m.Epoch && b.sealed:
 	case b.past != nil && b.past.Epoch+1 == m.Epoch && b.sealed:
-		e.Vouch = ballot.Vouch{By: b.past.Me, Incs: b.past.Incs}
+		e.Vouch = consensus.Vouch{By: b.past.Me, Incs: b.past.Incs}
 	default:
 		return errcode.New(errcode.Gone, "epoch %d, here %d", m.Epoch, b.roll.Epoch)
 	}
@@ -202,7 +202,7 @@
 	kept := b.state == Serving
 	if kept && !b.sealed { // it slept through the vote: others may need its books
 		b.seal.Closed = true
-		b.write([]hold.Put{b.putSeal()}, func(err error) {
+		b.write([]storage.Put{b.putSeal()}, func(err error) {
 			b.p.later(func(b *books) {
 				if b.sealed = err == nil; err != nil {
 					b.taken(r, err)
@@ -216,13 +216,13 @@
 	d := b.disk
 	b.p.aside(func() func(*books) {
 		got, err := b.p.inherit(r)
-		var left []hold.Put
+		var left []storage.Put
 		if err == nil && !kept {
 			left, err = leftovers(d)
 		}
 		return func(b *books) {
 			if err == nil && b.disk == nil {
-				err = hold.ErrDisk
+				err = storage.ErrDisk
 			}
 			if err != nil {
 				b.taken(r, err)
@@ -281,7 +281,7 @@
 		}()
 	}
 	var all []told
-	var estates []relief.Estate
+	var estates []reconfig.Estate
 	var take []int
 	for range addrs {
 		t := <-ch
@@ -289,7 +289,7 @@
 			continue
 		}
 		all, estates = append(all, t), append(estates, t.h.Estate)
-		if take = relief.Enough(len(r.Was), estates); take != nil {
+		if take = reconfig.Enough(len(r.Was), estates); take != nil {
 			break
 		}
 	}
@@ -323,9 +323,9 @@
 // inherit puts what was handed over on disk. A voter of both rolls keeps what others may need of its own books until the last
 // write: claims are only added, and the register changes in one write with the roll, unless it lacks much. Then it is one that
 // catches up until then, which is no loss to others: what it lacks is chosen, and lives with a majority without it.
-func (b *books) inherit(r codebook.Roll, got []handed, kept bool, left []hold.Put) {
-	estates, take := make([]relief.Estate, len(got)), make([]int, len(got))
-	acc := ballot.NewAcceptor()
+func (b *books) inherit(r codebook.Roll, got []handed, kept bool, left []storage.Put) {
+	estates, take := make([]reconfig.Estate, len(got)), make([]int, len(got))
+	acc := consensus.NewAcceptor()
 	for i, o := range got {
 		estates[i], take[i] = o.h.Estate, i
 		if c := o.h.Estate.Chosen; acc.Chosen.Less(c) {
@@ -333,16 +333,16 @@
 		}
 	}
 	var at int
-	acc.Promised, acc.Accepted, _, at = relief.Inherit(estates, take)
-	delta := ballot.Since(got[at].base.With(got[at].h.Delta...), acc.Chosen)
+	acc.Promised, acc.Accepted, _, at = reconfig.Inherit(estates, take)
+	delta := consensus.Since(got[at].base.With(got[at].h.Delta...), acc.Chosen)
 	acc.Value = acc.Stands.With(delta...)
 	if !kept {
-		b.past, b.seal, b.sealed = nil, relief.Seal{}, false
+		b.past, b.seal, b.sealed = nil, reconfig.Seal{}, false
 		b.clear()
 		left = append(b.putChange(), left...)
 	}
 	adrift := b.p.adrift.Load() // whatever is told is written again then
-	var claims []hold.Put
+	var claims []storage.Put
 	for _, o := range got {
 		for _, c := range o.claims {
 			if id, news := b.ledger.Restore(b.now(), c.Key, c.ID); news || adrift != b.moored {
@@ -350,9 +350,9 @@
 			}
 		}
 	}
-	var items []hold.Put
+	var items []storage.Put
 	size := 0
-	put := func(p hold.Put) {
+	put := func(p storage.Put) {
 		items = append(items, p)
 		size += len(p.Key) + len(p.Value)
 	}
@@ -363,7 +363,7 @@
 	}
 	for i := range b.acc.Stands.All() {
 		if _, ok := acc.Stands.Get(i.Key); !ok {
-			put(hold.Put{Table: tableItems, Key: itemKey(i.Key)})
+			put(storage.Put{Table: tableItems, Key: itemKey(i.Key)})
 		}
 	}
 	bundles, n := b.putDelta(delta)
@@ -374,7 +374,7 @@
 	if e := estates[at]; e.Holds && !got[at].h.Former {
 		former = manifest.Ballot{}
 	}
-	last := func(b *books, puts []hold.Put) {
+	last := func(b *books, puts []storage.Put) {
 		next := &books{p: b.p, roll: r, former: former}
 		next.place()
 		for i := range next.incs {
@@ -385,16 +385,16 @@
 		b.write(end, func(err error) {
 			b.p.later(func(b *books) {
 				if err == nil {
-					b.acc, b.bundles, b.former, b.past, b.seal, b.sealed = acc, n, former, nil, relief.Seal{}, false
+					b.acc, b.bundles, b.former, b.past, b.seal, b.sealed = acc, n, former, nil, reconfig.Seal{}, false
 					b.roll, b.incs, b.me = r, next.incs, next.me
-					b.duties = duty.NewLedger(b.now()) // what the old epoch granted comes to its end first
+					b.duties = lease.NewLedger(b.now()) // what the old epoch granted comes to its end first
 					b.p.o.Log("roll", fmt.Sprintf("epoch %d: took over from %d, %d items, %d keys", r.Epoch, len(got), acc.Value.Len(), b.ledger.Len()))
 				}
 				b.taken(r, err)
 			})
 		})
 	}
-	parts := func(puts []hold.Put, then func(*books)) {
+	parts := func(puts []storage.Put, then func(*books)) {
 		if len(puts) == 0 {
 			b.moored = adrift
 			then(b)
@@ -431,7 +431,7 @@
 					stale, err := load(d, tableItems, tableDelta)
 					return func(b *books) {
 						if err != nil || b.disk == nil {
-							b.taken(r, cmp.Or(err, hold.ErrDisk))
+							b.taken(r, cmp.Or(err, storage.ErrDisk))
 							return
 						}
 						for i := range acc.Stands.All() {
@@ -457,12 +457,12 @@
 }
 
 // atOnce bounds what a voter of both rolls changes of its register in one write.
-const atOnce = hold.MaxWrite - 64<<10
+const atOnce = storage.MaxWrite - 64<<10
 
 // empty makes this member one that holds nothing yet of a chosen value, higher than what it accepted. n: bundles of the delta
 // that will come to disk.
 func (b *books) empty(target manifest.Ballot, n int, done func(*books, error)) {
-	acc := ballot.NewAcceptor()
+	acc := consensus.NewAcceptor()
 	acc.Promised, acc.Target = b.acc.Promised, target
 	if acc.Promised.Less(target) {
 		acc.Promised = target
--- a/internal/purser/relief_test.go
+++ b/internal/store/relief_test.go
@@ -1,24 +1,24 @@
-package purser
+package store
 
 import (
 	"testing"
 
 	"saltmast/internal/codebook"
-	"saltmast/internal/duty"
 	"saltmast/internal/errcode"
-	"saltmast/internal/hold"
 	"saltmast/internal/idempotency"
+	"saltmast/internal/lease"
 	"saltmast/internal/manifest"
-	"saltmast/internal/relief"
+	"saltmast/internal/reconfig"
 	"saltmast/internal/signal"
+	"saltmast/internal/storage"
 )
 
 // A voter that accepted who comes next grants nothing from then on, answers once that is on disk, hands its books over only
 // then, and is as silent after a restart. The duty of changing the roll alone can still be had of it.
 func TestSealed(t *testing.T) {
 	d := newDesk(t, Options{Bootstrap: true, Found: voters})
-	d.as = hold.Empty
-	d.duties = duty.NewLedger(-duty.Span)
+	d.as = storage.Empty
+	d.duties = lease.NewLedger(-lease.Span)
 	d.open()
 	d.settle()
 	claim := func(d *desk, key string) errcode.Kind {
@@ -47,13 +47,13 @@
 		t.Errorf("a claim while the seal is on its way: %v", r.err)
 	}
 	d.settle()
-	var a relief.Answer
+	var a reconfig.Answer
 	if accept.n != 1 || signal.Decode(accept.body, &a) != nil || !a.Given {
 		t.Fatalf("%d answers, %+v", accept.n, a)
 	}
 	again := newDesk(t, Options{})
-	again.as, again.paper = hold.Whole, d.paper
-	again.duties = duty.NewLedger(-duty.Span)
+	again.as, again.paper = storage.Whole, d.paper
+	again.duties = lease.NewLedger(-lease.Span)
 	again.open()
 	again.settle()
 	for name, d := range map[string]*desk{"sealed": d, "sealed and started again": again} {
@@ -63,7 +63,7 @@
 		if r := d.call(codebook.Prepare, codebook.PrepareCall{B: manifest.Ballot{N: 9}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
 			t.Errorf("%s: a promise: %v", name, r.err)
 		}
-		for of, want := range map[duty.Name]errcode.Kind{duty.Teach: errcode.Gone, duty.Roll: errcode.OK} {
+		for of, want := range map[lease.Name]errcode.Kind{lease.Teach: errcode.Gone, lease.Roll: errcode.OK} {
 			if r := d.call(codebook.Lease, codebook.LeaseCall{Duty: of, By: 7, Epoch: 1}); errcode.Of(r.err) != want {
 				t.Errorf("%s: the duty %s: %v", name, of, r.err)
 			}
@@ -86,7 +86,7 @@
 		{"on another disk", []codebook.Voter{{Addr: "a:1", Disk: 5}, {Addr: "b:1"}, {Addr: "d:1"}}, Repairing},
 	} {
 		d := newDesk(t, Options{Bootstrap: true, Found: voters})
-		d.as, d.duties = hold.Empty, duty.NewLedger(0)
+		d.as, d.duties = storage.Empty, lease.NewLedger(0)
 		d.open()
 		d.settle()
 		d.mustering = true // no test here waits for a repair
--- a/internal/purser/repair.go
+++ b/internal/store/repair.go
@@ -1,4 +1,4 @@
-package purser
+package store
 
 import (
 	"errors"
@@ -6,14 +6,14 @@
 	"slices"
 	"time"
 
-	"saltmast/internal/ballot"
 	"saltmast/internal/codebook"
+	"saltmast/internal/consensus"
 	"saltmast/internal/errcode"
-	"saltmast/internal/hold"
 	"saltmast/internal/idempotency"
 	"saltmast/internal/manifest"
-	"saltmast/internal/relief"
+	"saltmast/internal/reconfig"
 	"saltmast/internal/signal"
+	"saltmast/internal/storage"
 )
 
 // A member that lost its disk may have promised, accepted and granted what it no longer knows. It says nothing as a member
@@ -55,7 +55,7 @@
 		return errcode.New(errcode.Preempted, "incarnation %d, here %d", m.Inc, b.incs[at])
 	}
 	b.incs[at] = m.Inc
-	b.write([]hold.Put{b.putIncs()}, func(err error) {
+	b.write([]storage.Put{b.putIncs()}, func(err error) {
 		if err != nil {
 			reply(c, nil, err)
 			return
@@ -101,9 +101,9 @@
 	if r.chosen, r.base = b.acc.Chosen, b.acc.Chosen; b.acc.CatchesUp() {
 		r.chosen, r.base, from = manifest.Ballot{}, b.acc.Accepted, b.acc.Value
 	}
-	p := ballot.PageOf(from, r.base, have)
+	p := consensus.PageOf(from, r.base, have)
 	if r.items, r.upto = p.Items, p.Upto; r.upto == r.base {
-		r.delta = ballot.Since(b.acc.Value, r.base)
+		r.delta = consensus.Since(b.acc.Value, r.base)
 	}
 	return r
 }
@@ -220,7 +220,7 @@
 		}
 		b.roll = roll
 		b.place()
-		b.write([]hold.Put{b.putRoll(), b.putIncs()}, func(error) {}) // asked for again where it is lost
+		b.write([]storage.Put{b.putRoll(), b.putIncs()}, func(error) {}) // asked for again where it is lost
 		if b.me >= 0 {
 			b.set(Repairing)
 			b.repair()
@@ -234,7 +234,7 @@
 // recover makes up for a lost disk.
 func (p *Purser) recover(addrs []string, roll codebook.Roll, me int, d disk) func(*books) {
 	n := len(roll.Voters)
-	need := n - ballot.Majority(n) + 1 // with fewer others heard, a majority that held this member may have none among them
+	need := n - consensus.Majority(n) + 1 // with fewer others heard, a majority that held this member may have none among them
 	known, _ := ask[codebook.Mustered](p, addrs, codebook.Muster, codebook.MusterCall{Addr: p.o.Addr}, musterTime)
 	for _, k := range known {
 		if k.Roll.Epoch > roll.Epoch {
@@ -292,13 +292,13 @@
 }
 
 // restore takes what the others told, puts it on disk in place of what is left there, and counts again.
-func (b *books) restore(inc uint64, got []mustered, left []hold.Put) {
+func (b *books) restore(inc uint64, got []mustered, left []storage.Put) {
 	if b.state != Repairing || b.disk == nil {
 		b.mustering = false
 		return
 	}
 	b.clear()
-	b.seal, b.sealed, b.past, b.former = relief.Seal{}, false, nil, manifest.Ballot{}
+	b.seal, b.sealed, b.past, b.former = reconfig.Seal{}, false, nil, manifest.Ballot{}
 	incs := make([]uint64, len(b.roll.Voters))
 	incs[b.me] = inc
 	voted := false // somebody accepted the value in this epoch
@@ -330,7 +330,7 @@
 	if !voted {
 		b.former = b.acc.Accepted
 	}
-	delta := ballot.Since(value, b.acc.Chosen)
+	delta := consensus.Since(value, b.acc.Chosen)
 	b.acc.Value = b.acc.Stands.With(delta...)
 	puts, bundles := b.putDelta(delta)
 	b.bundles = bundles
@@ -362,12 +362,12 @@
 
 // leftovers are the deletions of all items and claims on disk: of a repair that died. It waits for the disk, and is not for the
 // owner's goroutine.
-func leftovers(d disk) ([]hold.Put, error) { return load(d, tableItems, tableDelta, tableClaims) }
+func leftovers(d disk) ([]storage.Put, error) { return load(d, tableItems, tableDelta, tableClaims) }
 
-func load(d disk, tables ...hold.Table) (out []hold.Put, err error) {
+func load(d disk, tables ...storage.Table) (out []storage.Put, err error) {
 	for _, t := range tables {
 		err = errors.Join(err, d.Load(t, func(k, _ []byte) error {
-			out = append(out, hold.Put{Table: t, Key: k})
+			out = append(out, storage.Put{Table: t, Key: k})
 			return nil
 		}))
 	}
@@ -381,7 +381,7 @@
 )
 
 // save writes puts in parts, each when the one before is on disk. done hears of the end in its turn.
-func (b *books) save(puts []hold.Put, done func(*books, error)) {
+func (b *books) save(puts []storage.Put, done func(*books, error)) {
 	n := 0
 	for size := 0; n < len(puts) && n < partPuts && size < partBytes; n++ {
 		size += len(puts[n].Key) + len(puts[n].Value)
--- a/internal/purser/report.go
+++ b/internal/store/report.go
@@ -1,12 +1,12 @@
-package purser
+package store
 
 import (
 	"slices"
 	"time"
 
 	"saltmast/internal/codebook"
-	"saltmast/internal/duty"
 	"saltmast/internal/launch"
+	"saltmast/internal/lease"
 	"saltmast/internal/signal"
 )
 
@@ -20,7 +20,7 @@
 	if b.disk != nil {
 		own.StallMs = uint32(min(b.disk.Stalled(), time.Hour).Milliseconds())
 	}
-	b.duties.Each(b.now(), func(d duty.Name, by uint64, left time.Duration) {
+	b.duties.Each(b.now(), func(d lease.Name, by uint64, left time.Duration) {
 		own.Duties = append(own.Duties, codebook.DutyReport{Duty: string(d), By: by, LeftMs: uint32(left.Milliseconds())})
 	})
 	r.Purser = own
