--- a/cmd/harbourmaster/main.go
+++ b/cmd/harbourmaster/main.go
@@ -4,8 +4,8 @@
 import (
 	"os"
 
-	"saltmast/internal/harbour"
-	"saltmast/internal/launch"
+	"saltmast/internal/process"
+	"saltmast/internal/registry"
 )
 
-func main() { os.Exit(launch.Main(harbour.Program, os.Args[1:])) }
+func main() { os.Exit(process.Main(registry.Program, os.Args[1:])) }
--- a/cmd/latchkit/scale.go
+++ b/cmd/latchkit/scale.go
@@ -14,18 +14,18 @@
 
 	"github.com/spf13/cobra"
 
-	"saltmast/internal/harbour"
-	"saltmast/internal/launch"
 	"saltmast/internal/loadline"
+	"saltmast/internal/process"
 	"saltmast/internal/proxy"
+	"saltmast/internal/registry"
 	"saltmast/internal/store"
 )
 
 // partMain is one program of a scale run.
 func partMain(name string, argv []string) int {
-	programs := map[string]launch.Program{"tug": proxy.Program, "harbourmaster": harbour.Program, "purser": store.Program}
+	programs := map[string]process.Program{"tug": proxy.Program, "harbourmaster": registry.Program, "purser": store.Program}
 	if p, ok := programs[name]; ok {
-		return launch.Main(p, argv)
+		return process.Main(p, argv)
 	}
 	if name != "hollow" {
 		fmt.Fprintf(os.Stderr, "latchkit: part: %q is no program\n", name)
--- a/cmd/purser/main.go
+++ b/cmd/purser/main.go
@@ -4,8 +4,8 @@
 import (
 	"os"
 
-	"saltmast/internal/launch"
+	"saltmast/internal/process"
 	"saltmast/internal/store"
 )
 
-func main() { os.Exit(launch.Main(store.Program, os.Args[1:])) }
+func main() { os.Exit(process.Main(store.Program, os.Args[1:])) }
--- a/cmd/tug/main.go
+++ b/cmd/tug/main.go
@@ -4,8 +4,8 @@
 import (
 	"os"
 
-	"saltmast/internal/launch"
+	"saltmast/internal/process"
 	"saltmast/internal/proxy"
 )
 
-func main() { os.Exit(launch.Main(proxy.Program, os.Args[1:])) }
+func main() { os.Exit(process.Main(proxy.Program, os.Args[1:])) }
--- a/internal/manifest/check.go
+++ b/internal/configuration/check.go
@@ -1,4 +1,4 @@
-package manifest
+package configuration
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"saltmast/internal/survey"
+	"saltmast/internal/schema"
 )
 
 //go:embed manifest.cue
@@ -96,15 +96,15 @@
 	if len(items) == 0 {
 		return nil
 	}
-	err := survey.JSON(configurationSchema, append(doc, "}}"...), nil)
+	err := schema.JSON(configurationSchema, append(doc, "}}"...), nil)
 	if err == nil {
 		return nil
 	}
 	e := &Invalid{Where: "call", Why: err.Error()}
-	var f *survey.Fault
+	var f *schema.Fault
 	if errors.As(err, &f) && len(f.Path) >= 2 {
 		e.Where = Key{Kind: Kind(max(0, slices.Index(kinds[:], f.Path[0]))), Name: f.Path[1]}.String()
-		e.Why = (&survey.Fault{Path: f.Path[2:], Want: f.Want, Got: f.Got}).Error()
+		e.Why = (&schema.Fault{Path: f.Path[2:], Want: f.Want, Got: f.Got}).Error()
 	}
 	return e
 }
--- a/internal/manifest/manifest.go
+++ b/internal/configuration/manifest.go
@@ -1,7 +1,7 @@
-// Package manifest holds the operator's configuration: named items, each with a version of its own. Copies of it are joined
+// Package configuration holds the operator's configuration: named items, each with a version of its own. Copies of it are joined
 // item by item, in any order, and any of them can be read as a Chart. The package is pure: it opens, starts and waits for
 // nothing.
-package manifest
+package configuration
 
 import (
 	"bytes"
--- a/internal/manifest/past.go
+++ b/internal/configuration/past.go
@@ -1,4 +1,4 @@
-package manifest
+package configuration
 
 import (
 	"bytes"
--- a/internal/consensus/ballot.go
+++ b/internal/consensus/ballot.go
@@ -10,7 +10,7 @@
 import (
 	"slices"
 
-	"saltmast/internal/manifest"
+	"saltmast/internal/configuration"
 )
 
 // Vouch says under which incarnations an answer was given.
@@ -53,12 +53,12 @@
 // Chosen are there, and some of a later chosen value, Target. It forgets what it had accepted below Target, which is safe: a
 // majority without it has accepted Target, or more, for good.
 type Acceptor struct {
-	Promised manifest.Ballot // no lower ballot is taken
-	Accepted manifest.Ballot // of Value; zero: nothing, or nothing any more
-	Value    manifest.Set    // the last accepted: Stands with the items that changed after Chosen
-	Chosen   manifest.Ballot // of Stands; the highest that is known to be chosen and held whole
-	Stands   manifest.Set    // the chosen value; mixed while Target is higher than Chosen
-	Target   manifest.Ballot // the highest chosen ballot that a page was of
+	Promised configuration.Ballot // no lower ballot is taken
+	Accepted configuration.Ballot // of Value; zero: nothing, or nothing any more
+	Value    configuration.Set    // the last accepted: Stands with the items that changed after Chosen
+	Chosen   configuration.Ballot // of Stands; the highest that is known to be chosen and held whole
+	Stands   configuration.Set    // the chosen value; mixed while Target is higher than Chosen
+	Target   configuration.Ballot // the highest chosen ballot that a page was of
 }
 
 // NewAcceptor returns one that has accepted nothing.
@@ -70,7 +70,7 @@
 func (a *Acceptor) CatchesUp() bool { return a.Chosen.Less(a.Target) }
 
 // Known is the highest ballot that it knows to be chosen, whether it holds the value or not.
-func (a *Acceptor) Known() manifest.Ballot {
+func (a *Acceptor) Known() configuration.Ballot {
 	if a.CatchesUp() {
 		return a.Target
 	}
@@ -79,7 +79,7 @@
 
 // Prepare takes the promise to take nothing lower than b, and reports whether it was given. The promise counts once it is
 // on disk.
-func (a *Acceptor) Prepare(b manifest.Ballot) bool {
+func (a *Acceptor) Prepare(b configuration.Ballot) bool {
 	if b.Less(a.Promised) {
 		return false
 	}
@@ -88,7 +88,7 @@
 }
 
 // Promise is the answer to a proposer that holds the chosen value of ballot have whole.
-func (a *Acceptor) Promise(v Vouch, have manifest.Ballot) Promise {
+func (a *Acceptor) Promise(v Vouch, have configuration.Ballot) Promise {
 	p := Promise{Vouch: v, Given: true, Promised: a.Promised, Accepted: a.Accepted, Chosen: a.Chosen, Known: a.Known()}
 	if a.Accepted.Less(have) {
 		return p // it can't be the highest of a majority, which has one that accepted have or more
@@ -105,12 +105,12 @@
 }
 
 // May reports whether a value of ballot b may be accepted of which the items after ballot base are told.
-func (a *Acceptor) May(b, base manifest.Ballot) bool {
+func (a *Acceptor) May(b, base configuration.Ballot) bool {
 	return !b.Less(a.Promised) && !a.Chosen.Less(base)
 }
 
 // Delta is what is to be kept beside the base of the items that were told.
-func (a *Acceptor) Delta(told []manifest.Item) (delta []manifest.Item) {
+func (a *Acceptor) Delta(told []configuration.Item) (delta []configuration.Item) {
 	for _, i := range told {
 		if a.Chosen.Less(i.Ballot) {
 			delta = append(delta, i)
@@ -120,7 +120,7 @@
 }
 
 // Accept takes a value that is on disk already, by its delta. May was asked before.
-func (a *Acceptor) Accept(b manifest.Ballot, delta []manifest.Item) {
+func (a *Acceptor) Accept(b configuration.Ballot, delta []configuration.Item) {
 	if a.Promised.Less(b) {
 		a.Promised = b
 	}
@@ -128,12 +128,12 @@
 }
 
 // Learns reports whether it is news that the value of ballot b was chosen.
-func (a *Acceptor) Learns(b manifest.Ballot) bool {
+func (a *Acceptor) Learns(b configuration.Ballot) bool {
 	return b == a.Accepted && a.Chosen.Less(b)
 }
 
 // Learn hears that the value of ballot b was chosen, and reports whether that is news.
-func (a *Acceptor) Learn(b manifest.Ballot) bool {
+func (a *Acceptor) Learn(b configuration.Ballot) bool {
 	if !a.Learns(b) {
 		return false
 	}
@@ -155,7 +155,7 @@
 		a.Target = p.Target
 	}
 	a.Chosen, a.Stands = p.Upto, a.Stands.With(p.News(a.Stands)...)
-	a.Accepted, a.Value = manifest.Ballot{}, manifest.Set{}
+	a.Accepted, a.Value = configuration.Ballot{}, configuration.Set{}
 	if !a.CatchesUp() {
 		a.Accepted, a.Value = a.Chosen, a.Stands
 	}
@@ -163,10 +163,10 @@
 
 // Page is a part of a chosen value: its items of ballots after From, up to Upto. With all up to Target it is whole.
 type Page struct {
-	From   manifest.Ballot `cbor:"1,keyasint"`
-	Upto   manifest.Ballot `cbor:"2,keyasint"`
-	Target manifest.Ballot `cbor:"3,keyasint"` // of the value
-	Items  []manifest.Item `cbor:"4,keyasint"`
+	From   configuration.Ballot `cbor:"1,keyasint"`
+	Upto   configuration.Ballot `cbor:"2,keyasint"`
+	Target configuration.Ballot `cbor:"3,keyasint"` // of the value
+	Items  []configuration.Item `cbor:"4,keyasint"`
 }
 
 // Bounds, by Size. A page has PageMax at the most, unless the items of one ballot are more: a call's, which are DeltaMax at the
@@ -178,12 +178,14 @@
 )
 
 // Size is about what an item takes on disk and on the wire.
-func Size(i manifest.Item) int { return 2*len(i.Key.Name) + len(i.Spec) + pastSize*len(i.Past) + 48 }
+func Size(i configuration.Item) int {
+	return 2*len(i.Key.Name) + len(i.Spec) + pastSize*len(i.Past) + 48
+}
 
 const pastSize = 19 // of a number of the past, at the most
 
 // PageOf is the page of a chosen value behind a ballot.
-func PageOf(value manifest.Set, of, from manifest.Ballot) Page {
+func PageOf(value configuration.Set, of, from configuration.Ballot) Page {
 	p := Page{From: from, Upto: of, Target: of}
 	size, ended := 0, 0 // ended: items of ballots that are complete
 	for i := range value.Since(from) {
@@ -202,7 +204,7 @@
 }
 
 // News are the items of a page that are higher than what a set holds.
-func (p Page) News(s manifest.Set) (news []manifest.Item) {
+func (p Page) News(s configuration.Set) (news []configuration.Item) {
 	for _, i := range p.Items {
 		if have, ok := s.Get(i.Key); !ok || have.Ballot.Less(i.Ballot) {
 			news = append(news, i)
@@ -213,12 +215,12 @@
 
 // Pages are those of a copy of the chosen value that came so far. They come into force with the last of them.
 type Pages struct {
-	upto, target manifest.Ballot // of mixed, as of an Acceptor's base; zero: none came
-	mixed        manifest.Set
+	upto, target configuration.Ballot // of mixed, as of an Acceptor's base; zero: none came
+	mixed        configuration.Set
 }
 
 // Have is up to which ballot all items are there, beside the value in force.
-func (g *Pages) Have(of manifest.Ballot) manifest.Ballot {
+func (g *Pages) Have(of configuration.Ballot) configuration.Ballot {
 	if of.Less(g.upto) {
 		return g.upto
 	}
@@ -226,7 +228,7 @@
 }
 
 // Take takes a page beside the value in force, and gives that which is in force then.
-func (g *Pages) Take(p Page, of manifest.Ballot, stands manifest.Set) (manifest.Ballot, manifest.Set) {
+func (g *Pages) Take(p Page, of configuration.Ballot, stands configuration.Set) (configuration.Ballot, configuration.Set) {
 	have := g.Have(of)
 	if !of.Less(p.Target) || have.Less(p.From) || !have.Less(p.Upto) {
 		return of, stands
@@ -248,7 +250,7 @@
 }
 
 // Beyond reports whether a value has more than some bytes of items after a ballot.
-func Beyond(value manifest.Set, b manifest.Ballot, most int) bool {
+func Beyond(value configuration.Set, b configuration.Ballot, most int) bool {
 	for i := range value.Since(b) {
 		if most -= Size(i); most < 0 {
 			return true
@@ -258,31 +260,31 @@
 }
 
 // Since are the items of the chosen value that changed after ballot b.
-func Since(stands manifest.Set, b manifest.Ballot) []manifest.Item {
+func Since(stands configuration.Set, b configuration.Ballot) []configuration.Item {
 	return slices.Collect(stands.Since(b))
 }
 
 // Promise is one member's answer to a Prepare.
 type Promise struct {
-	Vouch    Vouch           `cbor:"1,keyasint"`
-	Given    bool            `cbor:"2,keyasint"`
-	Promised manifest.Ballot `cbor:"3,keyasint"` // that stands in the way where it was not given
-	Accepted manifest.Ballot `cbor:"4,keyasint"`
-	Items    []manifest.Item `cbor:"5,keyasint"`           // of the accepted value, that changed after what the proposer holds
-	Former   bool            `cbor:"6,keyasint,omitempty"` // accepted in a former epoch: a base, and no vote in this one
-	Chosen   manifest.Ballot `cbor:"7,keyasint"`           // it holds all items up to this
-	Known    manifest.Ballot `cbor:"8,keyasint"`           // the highest that it knows to be chosen
-	Cut      bool            `cbor:"9,keyasint,omitempty"` // there are more items than it tells at once
+	Vouch    Vouch                `cbor:"1,keyasint"`
+	Given    bool                 `cbor:"2,keyasint"`
+	Promised configuration.Ballot `cbor:"3,keyasint"` // that stands in the way where it was not given
+	Accepted configuration.Ballot `cbor:"4,keyasint"`
+	Items    []configuration.Item `cbor:"5,keyasint"`           // of the accepted value, that changed after what the proposer holds
+	Former   bool                 `cbor:"6,keyasint,omitempty"` // accepted in a former epoch: a base, and no vote in this one
+	Chosen   configuration.Ballot `cbor:"7,keyasint"`           // it holds all items up to this
+	Known    configuration.Ballot `cbor:"8,keyasint"`           // the highest that it knows to be chosen
+	Cut      bool                 `cbor:"9,keyasint,omitempty"` // there are more items than it tells at once
 }
 
 // Round gathers the promises to one ballot.
 type Round struct {
 	Voters   int
-	Have     manifest.Ballot // chosen, that the proposer holds whole; zero: none
-	Held     manifest.Set    // its value
+	Have     configuration.Ballot // chosen, that the proposer holds whole; zero: none
+	Held     configuration.Set    // its value
 	promises []Promise
-	Higher   manifest.Ballot // the highest that stood in the way
-	Short    string          // why what a majority promised is no base
+	Higher   configuration.Ballot // the highest that stood in the way
+	Short    string               // why what a majority promised is no base
 }
 
 // Add takes one promise. Of one member only the first counts.
@@ -298,7 +300,7 @@
 
 // Base is the value to go on from, once enough was promised: the highest accepted. chosen: a majority has accepted it, so
 // that it stands already, or somebody knows that it does.
-func (r *Round) Base() (base manifest.Set, of manifest.Ballot, chosen, ok bool) {
+func (r *Round) Base() (base configuration.Set, of configuration.Ballot, chosen, ok bool) {
 	var vs []Vouch
 	for _, p := range r.promises {
 		vs = append(vs, p.Vouch)
--- a/internal/consensus/ballot_test.go
+++ b/internal/consensus/ballot_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"testing"
 
-	"saltmast/internal/manifest"
+	"saltmast/internal/configuration"
 )
 
 // What may be counted together, of three members.
@@ -36,15 +36,15 @@
 
 // The base is the highest accepted of a majority; one member's word counts once, however often it comes.
 func TestBase(t *testing.T) {
-	key := manifest.Key{Kind: manifest.Routes, Name: "r"}
+	key := configuration.Key{Kind: configuration.Routes, Name: "r"}
 	p := func(by int, n uint64) Promise {
-		p := Promise{Vouch: Vouch{By: by, Incs: []uint64{1, 1, 1}}, Given: true, Accepted: manifest.Ballot{N: n}}
+		p := Promise{Vouch: Vouch{By: by, Incs: []uint64{1, 1, 1}}, Given: true, Accepted: configuration.Ballot{N: n}}
 		if n > 0 {
-			p.Items = []manifest.Item{{Key: key, Version: manifest.Version(n)}}
+			p.Items = []configuration.Item{{Key: key, Version: configuration.Version(n)}}
 		}
 		return p
 	}
-	refused := Promise{Vouch: p(1, 0).Vouch, Promised: manifest.Ballot{N: 9}}
+	refused := Promise{Vouch: p(1, 0).Vouch, Promised: configuration.Ballot{N: 9}}
 	for _, c := range []struct {
 		name       string
 		of         []Promise
@@ -65,7 +65,7 @@
 		}
 		base, of, chosen, ok := r.Base()
 		got, _ := base.Get(key)
-		if of.N != c.base || chosen != c.chosen || ok != c.ok || got.Version != manifest.Version(c.base) {
+		if of.N != c.base || chosen != c.chosen || ok != c.ok || got.Version != configuration.Version(c.base) {
 			t.Errorf("%s: %v of %v, chosen %v, ok %v", c.name, base, of, chosen, ok)
 		}
 	}
--- a/internal/consensus/explore_test.go
+++ b/internal/consensus/explore_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"saltmast/internal/configuration"
 	"saltmast/internal/explore"
-	"saltmast/internal/manifest"
 )
 
 // The whole space of three members and two rounds or three, of ballots 1 to 3, that run whenever they like: messages are lost, come
@@ -69,9 +69,9 @@
 // outcomes of a round's promises, whichever were heard: by base, that it may be that, and that it may be taken for chosen.
 type outcomes struct{ base, chosen [rounds + 1]bool }
 
-func ball(b uint8) (x manifest.Ballot) {
+func ball(b uint8) (x configuration.Ballot) {
 	if b > 0 {
-		x = manifest.Ballot{N: uint64(b), By: 1}
+		x = configuration.Ballot{N: uint64(b), By: 1}
 	}
 	return x
 }
@@ -176,7 +176,7 @@
 				n.m[i] = m
 				to(n, "member %d promises %d, has %d, under %d", i, b, m.accepted, m.inc)
 			}
-		} else if r.accepts[i]&(1<<m.inc) == 0 && a.May(ball(b), manifest.Ballot{}) && m.push(write{putAccept, b, 0, m.inc}) {
+		} else if r.accepts[i]&(1<<m.inc) == 0 && a.May(ball(b), configuration.Ballot{}) && m.push(write{putAccept, b, 0, m.inc}) {
 			n := s
 			if k.early {
 				n.r[b].accepts[i] |= 1 << m.inc
--- a/internal/consensus/order.go
+++ b/internal/consensus/order.go
@@ -1,16 +1,16 @@
 package consensus
 
-import "saltmast/internal/manifest"
+import "saltmast/internal/configuration"
 
 // Order is one call of an operator as it came to an agent. It may have been sent before, to any agent, and that copy may still
 // be under way.
 type Order struct {
-	Items []manifest.Item
-	Since manifest.Version // the newest refusal that the agent knew of when the order came
+	Items []configuration.Item
+	Since configuration.Version // the newest refusal that the agent knew of when the order came
 }
 
 // NewOrder is an order of a call's items that came to an agent which knows that stands was chosen.
-func NewOrder(items []manifest.Item, stands manifest.Set) Order {
+func NewOrder(items []configuration.Item, stands configuration.Set) Order {
 	last, _ := stands.Get(refusals)
 	return Order{Items: items, Since: last.Version}
 }
@@ -28,46 +28,46 @@
 
 // Outcome of an order against a base.
 type Outcome struct {
-	Next    manifest.Set
-	Changes []manifest.Item // of Next against the base, with the round's ballot
+	Next    configuration.Set
+	Changes []configuration.Item // of Next against the base, with the round's ballot
 	Verdict Verdict
-	At      manifest.Key // of a conflict, or what is too old to tell
-	Why     error        // of what is invalid
-	Late    bool         // some of the items come too late to count, and are remembered
+	At      configuration.Key // of a conflict, or what is too old to tell
+	Why     error             // of what is invalid
+	Late    bool              // some of the items come too late to count, and are remembered
 }
 
 // refusals is where the register remembers the calls that it refused last for the state that it is in. A copy of one may be
 // on its way at another agent: it came before that agent knew of the refusal, and is never taken. One that is sent anew is
 // judged anew.
-var refusals = manifest.Key{Kind: manifest.Refusals}
+var refusals = configuration.Key{Kind: configuration.Refusals}
 
 // refused reports whether a copy of the order was refused after it came, or may have been.
-func (o Order) refused(base manifest.Set) bool {
+func (o Order) refused(base configuration.Set) bool {
 	last, _ := base.Get(refusals)
 	if last.Version <= o.Since { // as a rule: the digest is not needed then
 		return false
 	}
-	sum := manifest.Sum(o.Items)
+	sum := configuration.Sum(o.Items)
 	for _, t := range last.Past {
 		if t.Sum == sum && t.Version > o.Since {
 			return true
 		}
 	}
 	n := len(last.Past)
-	return n == manifest.MaxPast && last.Past[n-1].Version > o.Since+1
+	return n == configuration.MaxPast && last.Past[n-1].Version > o.Since+1
 }
 
 // refuse is base with the refusal of the order.
-func (o Order) refuse(base manifest.Set, b manifest.Ballot, why error) Outcome {
+func (o Order) refuse(base configuration.Set, b configuration.Ballot, why error) Outcome {
 	last, _ := base.Get(refusals)
 	last.Key, last.Ballot, last.Dropped, last.Version = refusals, b, true, last.Version+1
-	last, _ = last.Remember(manifest.Taken{Version: last.Version, Sum: manifest.Sum(o.Items)})
-	return Outcome{Next: base.With(last), Changes: []manifest.Item{last}, Verdict: Invalid, Why: why}
+	last, _ = last.Remember(configuration.Taken{Version: last.Version, Sum: configuration.Sum(o.Items)})
+	return Outcome{Next: base.With(last), Changes: []configuration.Item{last}, Verdict: Invalid, Why: why}
 }
 
 // Lay lays the order over a base, under ballot b. valid says what is wrong with a whole that it would change. An order of
 // which every number was taken with its content changes nothing and is acknowledged, whatever became of it since.
-func (o Order) Lay(base manifest.Set, b manifest.Ballot, valid func(next manifest.Set) error) Outcome {
+func (o Order) Lay(base configuration.Set, b configuration.Ballot, valid func(next configuration.Set) error) Outcome {
 	out := Apply(base, o.Items, b)
 	if out.Verdict != Acknowledged || len(out.Changes) == 0 {
 		return out
@@ -87,9 +87,9 @@
 
 // Apply lays items over a base, under ballot b. Each number that is acknowledged is remembered with its content, also where
 // it comes too late to count: a number has one content for good.
-func Apply(base manifest.Set, items []manifest.Item, b manifest.Ballot) Outcome {
+func Apply(base configuration.Set, items []configuration.Item, b configuration.Ballot) Outcome {
 	out := Outcome{Next: base}
-	refuse := func(v Verdict, k manifest.Key) Outcome { return Outcome{Next: base, Verdict: v, At: k} }
+	refuse := func(v Verdict, k configuration.Key) Outcome { return Outcome{Next: base, Verdict: v, At: k} }
 	for _, i := range items {
 		cur, ok := base.Get(i.Key)
 		next, changed := cur, false
@@ -106,15 +106,15 @@
 				return refuse(Conflicts, i.Key)
 			}
 		default:
-			below = append([]manifest.Taken{i.Taken()}, below...)
+			below = append([]configuration.Taken{i.Taken()}, below...)
 		}
 		for _, t := range below {
 			switch cur.Knows(t) {
-			case manifest.Against:
+			case configuration.Against:
 				return refuse(Conflicts, i.Key)
-			case manifest.Overtime:
+			case configuration.Overtime:
 				return refuse(Unclear, i.Key)
-			case manifest.Unheard:
+			case configuration.Unheard:
 				if next, ok = next.Remember(t); !ok {
 					return refuse(Unclear, i.Key)
 				}
@@ -133,7 +133,7 @@
 }
 
 // fitting is items with as much of their past as a member keeps of one call beside its base.
-func fitting(items []manifest.Item) []manifest.Item {
+func fitting(items []configuration.Item) []configuration.Item {
 	all, bare := 0, 0
 	for _, i := range items {
 		all += Size(i)
@@ -151,7 +151,7 @@
 }
 
 // Fits reports whether the items of a call are not too many for a member to keep beside its base, whatever their past.
-func Fits(items []manifest.Item) bool {
+func Fits(items []configuration.Item) bool {
 	size := 0
 	for _, i := range items {
 		i.Past = nil
--- a/internal/consensus/order_test.go
+++ b/internal/consensus/order_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"saltmast/internal/configuration"
 	"saltmast/internal/explore"
-	"saltmast/internal/manifest"
 )
 
 // The whole space of orders that are sent, some of them twice, to agents that each run rounds as they like, with three members:
@@ -52,7 +52,7 @@
 
 type harbourRules struct {
 	copies []uint8 // which order each copy is of
-	calls  [][]manifest.Item
+	calls  [][]configuration.Item
 	rounds uint8
 	early  bool // all come at the beginning: nothing hangs on when
 	never  int  // the order that is valid at no time, plus one
@@ -63,19 +63,19 @@
 	byteWise   bool // contents are compared by their bytes
 
 	sums   []uint64
-	values []manifest.Set
+	values []configuration.Set
 	names  map[string]uint8
 	laid   map[[4]uint8]try
 }
 
 // value is the number of a set.
-func (k *harbourRules) value(s manifest.Set) uint8 {
-	var items []manifest.Item
+func (k *harbourRules) value(s configuration.Set) uint8 {
+	var items []configuration.Item
 	for i := range s.All() {
-		i.Ballot = manifest.Ballot{}
+		i.Ballot = configuration.Ballot{}
 		items = append(items, i)
 	}
-	slices.SortFunc(items, func(a, b manifest.Item) int {
+	slices.SortFunc(items, func(a, b configuration.Item) int {
 		return cmp.Or(cmp.Compare(a.Key.Kind, b.Key.Kind), cmp.Compare(a.Key.Name, b.Key.Name))
 	})
 	name := fmt.Sprint(items)
@@ -93,16 +93,16 @@
 	if t, ok := k.laid[at]; ok {
 		return t
 	}
-	o := Order{Items: k.calls[order], Since: manifest.Version(since)}
+	o := Order{Items: k.calls[order], Since: configuration.Version(since)}
 	base := k.values[value]
 	if k.recordless {
 		for i := range base.All() {
-			if i.Key.Kind != manifest.Refusals {
+			if i.Key.Kind != configuration.Refusals {
 				i.Past = nil
 				base = base.With(i)
 			}
 		}
-		o.Items = slices.DeleteFunc(slices.Clone(o.Items), func(i manifest.Item) bool { cur, _ := base.Get(i.Key); return i.Version < cur.Version })
+		o.Items = slices.DeleteFunc(slices.Clone(o.Items), func(i configuration.Item) bool { cur, _ := base.Get(i.Key); return i.Version < cur.Version })
 	}
 	if k.byteWise {
 		for _, i := range o.Items {
@@ -111,7 +111,7 @@
 			}
 		}
 	}
-	out := o.Lay(base, manifest.Ballot{N: 1}, func(next manifest.Set) error { return next.Check() })
+	out := o.Lay(base, configuration.Ballot{N: 1}, func(next configuration.Set) error { return next.Check() })
 	if k.forgetful && out.Verdict == Invalid {
 		out.Next = base
 	}
@@ -353,16 +353,16 @@
 	return ""
 }
 
-func (k *harbourRules) sameContent(a, b uint8, key manifest.Key) bool {
-	at := func(n uint8) manifest.Item {
-		return k.calls[n][slices.IndexFunc(k.calls[n], func(i manifest.Item) bool { return i.Key == key })]
+func (k *harbourRules) sameContent(a, b uint8, key configuration.Key) bool {
+	at := func(n uint8) configuration.Item {
+		return k.calls[n][slices.IndexFunc(k.calls[n], func(i configuration.Item) bool { return i.Key == key })]
 	}
 	return at(a).Same(at(b))
 }
 
 func TestWholeSpaceOfOrders(t *testing.T) {
-	call := func(upsert, remove string) []manifest.Item {
-		c, err := manifest.DecodeCall([]byte(`{"upsert":{"resources":[` + upsert + `]},"remove":{` + remove + `}}`))
+	call := func(upsert, remove string) []configuration.Item {
+		c, err := configuration.DecodeCall([]byte(`{"upsert":{"resources":[` + upsert + `]},"remove":{` + remove + `}}`))
 		if err != nil || c.Check() != nil {
 			t.Fatal(err, c.Check())
 		}
@@ -385,26 +385,26 @@
 	gone := call("", `"routes":[{"name":"x","version":"r3"}]`)
 	for _, c := range []struct {
 		name   string
-		calls  [][]manifest.Item
+		calls  [][]configuration.Item
 		copies []uint8
 		rounds uint8
 		early  bool
 		wrong  func(*harbourRules)
 	}{
-		{"two contents and a higher number", [][]manifest.Item{toA, toB, higher}, []uint8{0, 1, 2}, 4, true, nil},
-		{"removed and made anew", [][]manifest.Item{toA, gone, toB}, []uint8{0, 1, 2}, 4, true, nil},
-		{"an order that hangs on another", [][]manifest.Item{addC, toC}, []uint8{0, 1, 1}, 4, false, nil},
-		{"what it hangs on goes and comes", [][]manifest.Item{dropB, toB, againB}, []uint8{0, 1, 1, 2}, 4, true, nil},
-		{"one content, spelled in two ways", [][]manifest.Item{toA, spelled, higher}, []uint8{0, 1, 2}, 4, true, nil},
-		{"an invalid one that comes too late", [][]manifest.Item{toC, higher}, []uint8{0, 1, 0}, 4, true, nil},
-		{"a lower number is acknowledged whatever it holds", [][]manifest.Item{toA, toB, higher}, []uint8{0, 1, 2}, 4, true,
+		{"two contents and a higher number", [][]configuration.Item{toA, toB, higher}, []uint8{0, 1, 2}, 4, true, nil},
+		{"removed and made anew", [][]configuration.Item{toA, gone, toB}, []uint8{0, 1, 2}, 4, true, nil},
+		{"an order that hangs on another", [][]configuration.Item{addC, toC}, []uint8{0, 1, 1}, 4, false, nil},
+		{"what it hangs on goes and comes", [][]configuration.Item{dropB, toB, againB}, []uint8{0, 1, 1, 2}, 4, true, nil},
+		{"one content, spelled in two ways", [][]configuration.Item{toA, spelled, higher}, []uint8{0, 1, 2}, 4, true, nil},
+		{"an invalid one that comes too late", [][]configuration.Item{toC, higher}, []uint8{0, 1, 0}, 4, true, nil},
+		{"a lower number is acknowledged whatever it holds", [][]configuration.Item{toA, toB, higher}, []uint8{0, 1, 2}, 4, true,
 			func(k *harbourRules) { k.recordless = true }},
-		{"a content that is compared by its bytes", [][]manifest.Item{toA, spelled, higher}, []uint8{0, 1, 2}, 4, true,
+		{"a content that is compared by its bytes", [][]configuration.Item{toA, spelled, higher}, []uint8{0, 1, 2}, 4, true,
 			func(k *harbourRules) { k.byteWise = true }},
-		{"what comes too late is not looked at", [][]manifest.Item{toC, higher}, []uint8{0, 1, 0}, 4, true,
+		{"what comes too late is not looked at", [][]configuration.Item{toC, higher}, []uint8{0, 1, 0}, 4, true,
 			func(k *harbourRules) { k.recordless, k.never = true, 1 }},
-		{"a refusal that is not written", [][]manifest.Item{addC, toC}, []uint8{0, 1, 1}, 5, false, func(k *harbourRules) { k.lazy = true }},
-		{"a refusal that is not remembered", [][]manifest.Item{addC, toC}, []uint8{1, 0, 1}, 4, true, func(k *harbourRules) { k.forgetful = true }},
+		{"a refusal that is not written", [][]configuration.Item{addC, toC}, []uint8{0, 1, 1}, 5, false, func(k *harbourRules) { k.lazy = true }},
+		{"a refusal that is not remembered", [][]configuration.Item{addC, toC}, []uint8{1, 0, 1}, 4, true, func(k *harbourRules) { k.forgetful = true }},
 	} {
 		if explore.Slow && c.wrong == nil {
 			continue
@@ -413,9 +413,9 @@
 			t.Parallel()
 			k := &harbourRules{copies: c.copies, calls: c.calls, rounds: c.rounds, early: c.early, names: map[string]uint8{}, laid: map[[4]uint8]try{}}
 			for _, items := range c.calls {
-				k.sums = append(k.sums, manifest.Sum(items))
+				k.sums = append(k.sums, configuration.Sum(items))
 			}
-			k.value(manifest.SetOf(base...))
+			k.value(configuration.SetOf(base...))
 			if strings.HasPrefix(c.name, "an invalid one") {
 				k.never = 1
 			}
--- a/internal/consensus/pages_test.go
+++ b/internal/consensus/pages_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"saltmast/internal/configuration"
 	"saltmast/internal/explore"
-	"saltmast/internal/manifest"
 )
 
 // The whole space of three members, each a base and a delta on disk, with rounds that run whenever they like, proposers that hold
@@ -101,22 +101,22 @@
 
 const forgotten uint8 = 1
 
-func (c content) set() manifest.Set {
-	var items []manifest.Item
+func (c content) set() configuration.Set {
+	var items []configuration.Item
 	for b := uint8(1); b <= 4; b++ {
 		if c.own&(1<<b) != 0 {
-			items = append(items, manifest.Item{Key: manifest.Key{Kind: manifest.Routes, Name: fmt.Sprint("own", b)}, Version: manifest.Version(b), Ballot: ball(b)})
+			items = append(items, configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint("own", b)}, Version: configuration.Version(b), Ballot: ball(b)})
 		}
 	}
 	if c.common > 0 {
-		items = append(items, manifest.Item{Key: manifest.Key{Kind: manifest.Limits}, Version: manifest.Version(c.common), Ballot: ball(c.common)})
+		items = append(items, configuration.Item{Key: configuration.Key{Kind: configuration.Limits}, Version: configuration.Version(c.common), Ballot: ball(c.common)})
 	}
-	return manifest.SetOf(items...)
+	return configuration.SetOf(items...)
 }
 
-func contentOf(items []manifest.Item) (c content) {
+func contentOf(items []configuration.Item) (c content) {
 	for _, i := range items {
-		if i.Key.Kind == manifest.Limits {
+		if i.Key.Kind == configuration.Limits {
 			c.common = uint8(i.Ballot.N)
 		} else {
 			c.own |= 1 << i.Ballot.N
@@ -126,9 +126,9 @@
 }
 
 // sets are made once.
-var sets = map[content]manifest.Set{}
+var sets = map[content]configuration.Set{}
 
-func (c content) kept() manifest.Set {
+func (c content) kept() configuration.Set {
 	s, ok := sets[c]
 	if !ok {
 		s = c.set()
@@ -137,7 +137,7 @@
 	return s
 }
 
-func itemsOf(s manifest.Set) []manifest.Item { return Since(s, manifest.Ballot{}) }
+func itemsOf(s configuration.Set) []configuration.Item { return Since(s, configuration.Ballot{}) }
 
 // load is what a member reads off its disk.
 func (m pageMember) load() *Acceptor {
@@ -309,7 +309,7 @@
 	for _, base := range bases {
 		x := once(k.accepted, accepting{m, b, base, r.value}, func() (x change) {
 			a := m.load()
-			if x.ok = a.May(ball(b), ball(base)) || k.anyBase && a.May(ball(b), manifest.Ballot{}); x.ok {
+			if x.ok = a.May(ball(b), ball(base)) || k.anyBase && a.May(ball(b), configuration.Ballot{}); x.ok {
 				delta := a.Delta(Since(r.value.kept(), ball(base)))
 				a.Accept(ball(b), delta)
 				if x.m = saved(a, contentOf(delta)); k.folds {
@@ -370,7 +370,7 @@
 	}
 	a := m.load()
 	if k.lower { // whatever it accepted
-		a.Accepted = manifest.Ballot{}
+		a.Accepted = configuration.Ballot{}
 	}
 	if k.apart { // whatever it holds
 		a.Chosen = p.From
@@ -384,9 +384,9 @@
 	case k.unpromised:
 		a.Promised = promised
 	case k.early:
-		a.Chosen, a.Accepted, a.Target = ball(target), ball(target), manifest.Ballot{}
+		a.Chosen, a.Accepted, a.Target = ball(target), ball(target), configuration.Ballot{}
 	case k.forgets && upto == target:
-		a.Accepted, a.Target = a.Chosen, manifest.Ballot{}
+		a.Accepted, a.Target = a.Chosen, configuration.Ballot{}
 	}
 	x = change{true, saved(a, content{})}
 	if k.beside && a.CatchesUp() {
--- a/internal/pilot/body_test.go
+++ b/internal/controlapi/body_test.go
@@ -1,4 +1,4 @@
-package pilot
+package controlapi
 
 import (
 	"context"
--- a/internal/pilot/pilot.go
+++ b/internal/controlapi/pilot.go
@@ -1,6 +1,6 @@
-// Package pilot is the one dispatch of the calls that backends, operators and the platform make: method and path segments to
+// Package controlapi is the one dispatch of the calls that backends, operators and the platform make: method and path segments to
 // a function, and the error kind of that to an answer. What a program does not serve it leaves nil.
-package pilot
+package controlapi
 
 import (
 	"context"
--- a/internal/dataplane/balancer.go
+++ b/internal/dataplane/balancer.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"saltmast/internal/backends"
+	"saltmast/internal/configuration"
 	"saltmast/internal/errcode"
-	"saltmast/internal/manifest"
 	"saltmast/internal/retry"
 	"saltmast/internal/retrybudget"
 )
@@ -144,7 +144,7 @@
 }
 
 // Service draws the service of a request by the weights of its route, among those that have a backend where some have.
-func (h *Balancer) Service(r *manifest.Route) string {
+func (h *Balancer) Service(r *configuration.Route) string {
 	sum, all := 0, 0
 	for _, s := range r.Split {
 		all += s.Weight
@@ -249,7 +249,7 @@
 
 // Again decides whether a request that failed gets another attempt, and after what wait. sent: an attempt may have reached a
 // backend; then the next is one more arrival, which the ration must allow.
-func (h *Balancer) Again(now time.Duration, r *manifest.Route, service string, retries int, last errcode.Kind, sent bool, left time.Duration) (wait time.Duration, no denial) {
+func (h *Balancer) Again(now time.Duration, r *configuration.Route, service string, retries int, last errcode.Kind, sent bool, left time.Duration) (wait time.Duration, no denial) {
 	if retries >= maxRetries {
 		return 0, enough
 	}
--- a/internal/dataplane/balancer_test.go
+++ b/internal/dataplane/balancer_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"saltmast/internal/backends"
+	"saltmast/internal/configuration"
 	"saltmast/internal/errcode"
-	"saltmast/internal/manifest"
 	"saltmast/internal/retrybudget"
 )
 
@@ -26,7 +26,7 @@
 }
 
 var (
-	slow   = &manifest.Route{Target: 32 * time.Second, MaxAttempts: 9}
+	slow   = &configuration.Route{Target: 32 * time.Second, MaxAttempts: 9}
 	served = outcome{told: told{Status: 200}}
 )
 
@@ -105,7 +105,7 @@
 			h := helmOf(1)
 			low, high := time.Hour, time.Duration(0)
 			for range 90 {
-				w, no := h.Again(0, &manifest.Route{Target: c.target}, "s", retries, errcode.Full, false, time.Hour)
+				w, no := h.Again(0, &configuration.Route{Target: c.target}, "s", retries, errcode.Full, false, time.Hour)
 				if no != granted {
 					t.Fatal("no retry")
 				}
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -15,13 +15,13 @@
 	"time"
 
 	"saltmast/internal/backends"
+	"saltmast/internal/configuration"
 	"saltmast/internal/disconnect"
 	"saltmast/internal/errcode"
 	"saltmast/internal/idempotency"
-	"saltmast/internal/manifest"
 	"saltmast/internal/pacing"
 	"saltmast/internal/quorum"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
 	"saltmast/internal/sock"
 )
 
@@ -69,14 +69,14 @@
 type DataPlane struct {
 	o        Options
 	Gate     *Gate
-	balancer *signal.Owner[Balancer]
-	book     *signal.Owner[idempotency.Book[*Answer]]
+	balancer *rpc.Owner[Balancer]
+	book     *rpc.Owner[idempotency.Book[*Answer]]
 	hops     *hops
 	left     *disconnect.Watcher // looks at the connections of clients with a request under way
 	claim    atomic.Uint64
 	relay    atomic.Pointer[string] // a proxy that lately claimed for this one
 	out      atomic.Int64           // since the start, until when no majority is expected to answer this proxy
-	chart    atomic.Pointer[manifest.Chart]
+	chart    atomic.Pointer[configuration.Chart]
 
 	stopping atomic.Bool
 	mu       sync.Mutex
@@ -93,8 +93,8 @@
 	ClientLeft                                                      atomic.Int64     // requests whose client closed its connection before their answer was passed on
 	ByKind                                                          [32]atomic.Int64 // own answers, by error code
 
-	InTarget, Missed [manifest.RouteKinds]atomic.Int64 // requests that have ended, by kind of route
-	Ended            [endings][causes]atomic.Int64     // those that were not answered within their target
+	InTarget, Missed [configuration.RouteKinds]atomic.Int64 // requests that have ended, by kind of route
+	Ended            [endings][causes]atomic.Int64          // those that were not answered within their target
 }
 
 // New returns a dataplane that serves once Serve is called.
@@ -106,9 +106,9 @@
 	if o.Heard == nil {
 		o.Heard = func(string) {}
 	}
-	g := &DataPlane{o: o, Gate: newGate(o, pacer), balancer: signal.Own(h, 256), hops: newHops(o.Net, pacer),
+	g := &DataPlane{o: o, Gate: newGate(o, pacer), balancer: rpc.Own(h, 256), hops: newHops(o.Net, pacer),
 		left: disconnect.New(disconnect.Interval), conns: map[*client]bool{}}
-	g.book = signal.Own(idempotency.NewBook[*Answer](o.KeyWindow, o.AnswerBytes/2), 256)
+	g.book = rpc.Own(idempotency.NewBook[*Answer](o.KeyWindow, o.AnswerBytes/2), 256)
 	return g
 }
 
@@ -135,7 +135,7 @@
 }
 
 // Configure has the requests to come taken by another chart.
-func (g *DataPlane) Configure(c *manifest.Chart) { g.chart.Store(c) }
+func (g *DataPlane) Configure(c *configuration.Chart) { g.chart.Store(c) }
 
 // Configured reports whether there is a configuration.
 func (g *DataPlane) Configured() bool { return g.chart.Load() != nil }
@@ -186,8 +186,8 @@
 	if o.answer.Rest == nil {
 		return o.answer.Body, nil
 	}
-	rest, err := io.ReadAll(io.LimitReader(o.answer.Rest, signal.MaxFrame))
-	o.answer.Close(err == nil && len(rest) < signal.MaxFrame)
+	rest, err := io.ReadAll(io.LimitReader(o.answer.Rest, rpc.MaxFrame))
+	o.answer.Close(err == nil && len(rest) < rpc.MaxFrame)
 	return append(o.answer.Body, rest...), err
 }
 
--- a/internal/dataplane/front.go
+++ b/internal/dataplane/front.go
@@ -13,11 +13,11 @@
 	"sync"
 	"time"
 
+	"saltmast/internal/configuration"
 	"saltmast/internal/disconnect"
 	"saltmast/internal/errcode"
 	"saltmast/internal/http1"
 	"saltmast/internal/idempotency"
-	"saltmast/internal/manifest"
 	"saltmast/internal/sock"
 )
 
@@ -103,8 +103,8 @@
 }
 
 // patience is how long it may rest, by the limits of the time.
-func (c *client) patience(first bool) (manifest.ClientLimits, time.Duration) {
-	limits := manifest.DefaultLimits()
+func (c *client) patience(first bool) (configuration.ClientLimits, time.Duration) {
+	limits := configuration.DefaultLimits()
 	if chart := c.g.chart.Load(); chart != nil {
 		limits = chart.Limits()
 	}
@@ -116,7 +116,7 @@
 
 // await waits for the first byte of the next request, for so long as it may rest, or while the proxy stops until it is hurried. It
 // reports whether there is one, and the limits for it.
-func (c *client) await(first bool) (limits manifest.ClientLimits, ok bool) {
+func (c *client) await(first bool) (limits configuration.ClientLimits, ok bool) {
 	_, most := c.patience(first)
 	for since := time.Now(); ; {
 		err := c.wait(c.in, since.Add(most))
@@ -159,7 +159,7 @@
 }
 
 // request sees one request to its answer, and reports whether the connection goes on.
-func (c *client) request(r *http1.Request, limits manifest.ClientLimits) bool {
+func (c *client) request(r *http1.Request, limits configuration.ClientLimits) bool {
 	g := c.g
 	came := time.Now()
 	g.Counts.Requests.Add(1)
@@ -230,7 +230,7 @@
 }
 
 // body reads a body, whole where it is small; rest is what goes on as it comes.
-func (c *client) body(r *http1.Request, limits manifest.ClientLimits) (body []byte, rest *http1.Body, k errcode.Kind) {
+func (c *client) body(r *http1.Request, limits configuration.ClientLimits) (body []byte, rest *http1.Body, k errcode.Kind) {
 	if r.Length == 0 {
 		return nil, nil, errcode.OK
 	}
@@ -431,7 +431,7 @@
 	body  []byte
 	rest  io.Reader // what follows body, once
 	came  time.Time
-	route *manifest.Route
+	route *configuration.Route
 	err   error
 	cut   time.Time // nobody waits beyond
 	spent bool      // some of rest was read
@@ -501,7 +501,7 @@
 	if v.log.body = left - rest; rest <= 0 {
 		return nil, errcode.Overdue
 	}
-	if v.route.Kind == manifest.Deduplicated {
+	if v.route.Kind == configuration.Deduplicated {
 		return v.once()
 	}
 	a, k, _ := v.attempts()
--- a/internal/dataplane/gate.go
+++ b/internal/dataplane/gate.go
@@ -10,13 +10,13 @@
 	"time"
 
 	"saltmast/internal/backends"
+	"saltmast/internal/controlapi"
 	"saltmast/internal/disconnect"
 	"saltmast/internal/errcode"
 	"saltmast/internal/idempotency"
 	"saltmast/internal/links"
 	"saltmast/internal/pacing"
-	"saltmast/internal/pilot"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
 	"saltmast/internal/sock"
 )
 
@@ -25,7 +25,7 @@
 type Gate struct {
 	o     Options
 	pool  *links.Pool
-	book  *signal.Owner[idempotency.Book[*Answer]]
+	book  *rpc.Owner[idempotency.Book[*Answer]]
 	pacer *pacing.Pacer       // of what is sent to other proxies
 	left  *disconnect.Watcher // looks at the connections of other proxies with an ask under way
 
@@ -64,7 +64,7 @@
 	g := &Gate{o: o, pacer: pacer, pool: links.New(backendIdle, backendDial, 0), left: disconnect.New(disconnect.Interval), open: map[*resting]bool{},
 		berth: backends.Berth{Node: o.Node, Addr: o.GateAddr, Zone: o.Zone, Life: o.Life, Version: 1, Service: o.Service}}
 	g.pool.Net = sock.On(o.Net)
-	g.book = signal.Own(idempotency.NewBook[*Answer](o.KeyWindow, o.AnswerBytes/2), 256)
+	g.book = rpc.Own(idempotency.NewBook[*Answer](o.KeyWindow, o.AnswerBytes/2), 256)
 	return g
 }
 
@@ -100,7 +100,7 @@
 }
 
 // Beat takes a beat of the backend. One that comes late, or of a life that has ended, changes nothing.
-func (g *Gate) Beat(p pilot.Beat) error {
+func (g *Gate) Beat(p controlapi.Beat) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	same := p.ID == g.berth.Instance
--- a/internal/dataplane/hop.go
+++ b/internal/dataplane/hop.go
@@ -17,7 +17,7 @@
 	"saltmast/internal/idempotency"
 	"saltmast/internal/links"
 	"saltmast/internal/pacing"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
 	"saltmast/internal/sock"
 )
 
@@ -95,7 +95,7 @@
 // appendMessage appends a head and what is there of the body.
 func appendMessage(buf []byte, head any, body []byte) []byte {
 	at := len(buf)
-	buf = signal.Append(append(buf, 0, 0, 0, 0), head)
+	buf = rpc.Append(append(buf, 0, 0, 0, 0), head)
 	binary.BigEndian.PutUint32(buf[at:], uint32(len(buf)-at-4))
 	return append(buf, body...)
 }
@@ -111,7 +111,7 @@
 		return errcode.New(errcode.Malformed, "a head of %d bytes", size)
 	}
 	if b, err := in.Peek(int(size)); err == nil {
-		err = signal.Decode(b, head)
+		err = rpc.Decode(b, head)
 		in.Discard(int(size))
 		return err
 	}
@@ -119,7 +119,7 @@
 	if _, err := io.ReadFull(in, b); err != nil {
 		return err
 	}
-	return signal.Decode(b, head)
+	return rpc.Decode(b, head)
 }
 
 // pieceWriter writes a body in pieces.
--- a/internal/dataplane/keyed.go
+++ b/internal/dataplane/keyed.go
@@ -6,13 +6,13 @@
 	"slices"
 	"time"
 
-	"saltmast/internal/codebook"
 	"saltmast/internal/consensus"
 	"saltmast/internal/disconnect"
 	"saltmast/internal/errcode"
 	"saltmast/internal/idempotency"
+	"saltmast/internal/messages"
 	"saltmast/internal/quorum"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
 )
 
 const (
@@ -93,11 +93,11 @@
 
 // free tells all members that a claim is void.
 func (v *voyage) free(id idempotency.ID) {
-	msg := signal.Encode(codebook.ReleaseCall{Key: v.key, ID: id})
+	msg := rpc.Encode(messages.ReleaseCall{Key: v.key, ID: id})
 	roll := v.g.o.Council.Roll()
 	for i := range roll.Voters {
 		if c := v.g.o.Council.Client(i); c != nil {
-			c.Go(codebook.Release, msg, func([]byte, error) {})
+			c.Go(messages.Release, msg, func([]byte, error) {})
 		}
 	}
 }
@@ -230,11 +230,11 @@
 		roll := g.o.Council.Roll()
 		n := len(roll.Voters)
 		vote := idempotency.Vote{Voters: n}
-		msg := signal.Encode(codebook.ClaimCall{Key: key, ID: id, Epoch: roll.Epoch})
+		msg := rpc.Encode(messages.ClaimCall{Key: key, ID: id, Epoch: roll.Epoch})
 		gone := 0
-		g.o.Council.Gather(codebook.Claim, func(int) []byte { return msg }, time.Until(end), func(t quorum.Told) bool {
+		g.o.Council.Gather(messages.Claim, func(int) []byte { return msg }, time.Until(end), func(t quorum.Told) bool {
 			var gr idempotency.Grant
-			if t.Err != nil || signal.Decode(t.Body, &gr) != nil {
+			if t.Err != nil || rpc.Decode(t.Body, &gr) != nil {
 				if vote.Missed(); errcode.Of(t.Err) == errcode.Gone {
 					if gone++; gone == 1 {
 						g.o.Council.Learn(t.Place, roll.Epoch)
--- a/internal/dataplane/loss.go
+++ b/internal/dataplane/loss.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"saltmast/internal/configuration"
 	"saltmast/internal/errcode"
-	"saltmast/internal/manifest"
 )
 
 // ending is what a request was worth.
@@ -152,7 +152,7 @@
 }
 
 // ended counts a request that has ended. r: nil where no route took it.
-func (g *DataPlane) ended(p *passage, r *manifest.Route) {
+func (g *DataPlane) ended(p *passage, r *configuration.Route) {
 	e, c := p.judge()
 	if e == inTarget {
 		g.Counts.InTarget[r.Kind].Add(1)
@@ -173,7 +173,7 @@
 		}
 	}
 	for k := range c.InTarget {
-		kind := manifest.RouteKind(k).String()
+		kind := configuration.RouteKind(k).String()
 		add("in_target_"+kind, c.InTarget[k].Load())
 		add("missed_"+kind, c.Missed[k].Load())
 	}
--- a/internal/dataplane/loss_test.go
+++ b/internal/dataplane/loss_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"saltmast/internal/backends"
+	"saltmast/internal/controlapi"
 	"saltmast/internal/errcode"
-	"saltmast/internal/pilot"
 	"saltmast/internal/retrybudget"
 )
 
@@ -119,7 +119,7 @@
 		first = 0
 		ask(get, nil, "failed_ration", missed)
 		took = 1001 * time.Millisecond
-		w.Gate.Beat(pilot.Beat{ID: "i-2", Service: "ledger", Capacity: 2, Count: 1, State: backends.Serving, Warm: time.Minute})
+		w.Gate.Beat(controlapi.Beat{ID: "i-2", Service: "ledger", Capacity: 2, Count: 1, State: backends.Serving, Warm: time.Minute})
 		ask(get, nil, "late_cold_backend", missed)
 		w.Gate.Leave("i-2")
 		ask(get, nil, "refused_no_backend", missed)
--- a/internal/dataplane/report.go
+++ b/internal/dataplane/report.go
@@ -5,10 +5,10 @@
 	"io"
 	"time"
 
-	"saltmast/internal/codebook"
 	"saltmast/internal/errcode"
 	"saltmast/internal/idempotency"
-	"saltmast/internal/signal"
+	"saltmast/internal/messages"
+	"saltmast/internal/rpc"
 	"saltmast/internal/sock"
 )
 
@@ -29,8 +29,8 @@
 }
 
 // Tell adds to a report what is known here. The owners hand over copies.
-func (g *DataPlane) Tell(r *codebook.Reported, own *codebook.TugReport, brief bool) {
-	var all []codebook.BerthReport
+func (g *DataPlane) Tell(r *messages.Reported, own *messages.TugReport, brief bool) {
+	var all []messages.BerthReport
 	left := map[string]float64{}
 	g.balancer.Ask(func(h *Balancer) {
 		now := g.now()
@@ -38,9 +38,9 @@
 		for s, x := range h.rations {
 			left[s] = x.Left(now)
 		}
-		all = make([]codebook.BerthReport, 0, len(h.rows))
+		all = make([]messages.BerthReport, 0, len(h.rows))
 		for _, row := range h.rows {
-			b := codebook.Reports(row.Berth)
+			b := messages.Reports(row.Berth)
 			b.InFlight = row.inFlight
 			if now < row.awayTill {
 				b.AwayMs = uint32((row.awayTill - now).Milliseconds())
@@ -57,10 +57,10 @@
 	own.Running, own.Waiting = g.Gate.load()
 }
 
-func bookOf(o *signal.Owner[idempotency.Book[*Answer]]) (k codebook.Book) {
+func bookOf(o *rpc.Owner[idempotency.Book[*Answer]]) (k messages.Book) {
 	o.Ask(func(b *idempotency.Book[*Answer]) {
 		_, bytes := b.Len()
-		k = codebook.Book{AtWork: b.In(idempotency.AtWork), Done: b.In(idempotency.Done), Unknown: b.In(idempotency.Unknown), Void: b.In(idempotency.Void), Bytes: bytes}
+		k = messages.Book{AtWork: b.In(idempotency.AtWork), Done: b.In(idempotency.Done), Unknown: b.In(idempotency.Unknown), Void: b.In(idempotency.Void), Bytes: bytes}
 	})
 	return k
 }
@@ -75,12 +75,12 @@
 const maxReport = 1 << 20
 
 // Report asks the proxy whose gate is at addr.
-func (k *Asker) Report(addr string, call codebook.ReportCall, wait time.Duration) (r codebook.Reported, err error) {
+func (k *Asker) Report(addr string, call messages.ReportCall, wait time.Duration) (r messages.Reported, err error) {
 	cut := time.Now().Add(wait)
 	for range 2 { // the first connection may be one that was kept and is no more
 		var raw []byte
-		if raw, err = k.ask(addr, signal.Encode(call), cut); err == nil {
-			return r, signal.Decode(raw, &r)
+		if raw, err = k.ask(addr, rpc.Encode(call), cut); err == nil {
+			return r, rpc.Decode(raw, &r)
 		}
 		if errcode.Of(err) != errcode.Broken {
 			break
--- a/internal/dataplane/rest_test.go
+++ b/internal/dataplane/rest_test.go
@@ -11,7 +11,7 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/manifest"
+	"saltmast/internal/configuration"
 )
 
 // hooked is a connection that tells of each read which brought something, before whoever reads it hears of it.
@@ -50,13 +50,13 @@
 // limit has a route of one service, and limits, hold from now on.
 func (w *way) limit(t *testing.T, route, limits string) {
 	t.Helper()
-	call, err := manifest.DecodeCall([]byte(`{"upsert":{"resources":[{"resource-kind":"services","metadata":{"name":"ledger","version":"r1"},"specification":{}},` +
+	call, err := configuration.DecodeCall([]byte(`{"upsert":{"resources":[{"resource-kind":"services","metadata":{"name":"ledger","version":"r1"},"specification":{}},` +
 		`{"resource-kind":"limits","metadata":{"version":"r1"},"specification":` + limits + `},` +
 		`{"resource-kind":"routes","metadata":{"name":"a","version":"r1"},"specification":` + route + `}]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := manifest.Set{}
+	set := configuration.Set{}
 	for _, i := range call.Items {
 		set, _ = set.Join(i)
 	}
--- a/internal/dataplane/woken_test.go
+++ b/internal/dataplane/woken_test.go
@@ -5,13 +5,13 @@
 	"time"
 
 	"saltmast/internal/backends"
-	"saltmast/internal/pilot"
+	"saltmast/internal/controlapi"
 )
 
 // A proxy that slept does not hold its backend, whose beats it has yet to read, for gone; one that is silent it does.
 func TestBeatsAfterASleep(t *testing.T) {
 	g := newGate(Options{Heartbeat: time.Second, Log: func(string, string) {}, AnswerBytes: 1 << 20}, nil)
-	beat := pilot.Beat{ID: "a", Service: "pump", State: backends.Serving, Capacity: 2, Count: 7}
+	beat := controlapi.Beat{ID: "a", Service: "pump", State: backends.Serving, Capacity: 2, Count: 7}
 	g.Beat(beat)
 	begun := time.Now()
 	look := func(at time.Duration) backends.State { g.Watch(begun.Add(at)); return g.Berth().State }
--- a/internal/drydock/epochs.go
+++ b/internal/drydock/epochs.go
@@ -5,9 +5,9 @@
 	"path/filepath"
 	"time"
 
-	"saltmast/internal/codebook"
 	"saltmast/internal/drydock/surveyor"
-	"saltmast/internal/signal"
+	"saltmast/internal/messages"
+	"saltmast/internal/rpc"
 	"saltmast/internal/store"
 )
 
@@ -38,10 +38,10 @@
 }
 
 // replace asks a harbourmaster to have one core machine take another's place among those that count.
-func (o *operator) replace(at, old, by *coreMachine) (t codebook.RollsTold, err error) {
-	c := signal.NewClient(o.p, codebook.Beside(at.m.IP, firstFree, codebook.HarbourPort))
+func (o *operator) replace(at, old, by *coreMachine) (t messages.RollsTold, err error) {
+	c := rpc.NewClient(o.p, messages.Beside(at.m.IP, firstFree, messages.HarbourPort))
 	defer c.Close()
-	err = c.Call(codebook.Rolls, codebook.RollsCall{Replace: [][2]string{{old.name, by.name}}}, &t, 6*time.Second)
+	err = c.Call(messages.Rolls, messages.RollsCall{Replace: [][2]string{{old.name, by.name}}}, &t, 6*time.Second)
 	o.w.note("operator")("roll", fmt.Sprintf("%s by %s at %s: epoch %d after %d ms, %q, %v", old.name, by.name, at.name, t.Roll.Epoch, t.TookMs, t.Why, err))
 	return t, err
 }
--- a/internal/drydock/flaws.go
+++ b/internal/drydock/flaws.go
@@ -7,10 +7,10 @@
 	"strconv"
 	"time"
 
-	"saltmast/internal/codebook"
 	"saltmast/internal/drydock/surveyor"
 	"saltmast/internal/idempotency"
-	"saltmast/internal/signal"
+	"saltmast/internal/messages"
+	"saltmast/internal/rpc"
 )
 
 // What flawed worlds are made of, where settings are not enough.
@@ -106,15 +106,15 @@
 // giveBack has the members give back the claim of a key, whoever holds it.
 func (m *tugMachine) giveBack(key string) {
 	for _, core := range m.w.core {
-		c := signal.NewClient(m.crowd(), net.JoinHostPort(core.m.IP, strconv.Itoa(firstFree+codebook.PurserPort)))
+		c := rpc.NewClient(m.crowd(), net.JoinHostPort(core.m.IP, strconv.Itoa(firstFree+messages.PurserPort)))
 		var g idempotency.Grant
 		mine := idempotency.ID{Life: 1, N: 1, At: "nowhere"}
-		if c.Call(codebook.Claim, codebook.ClaimCall{Key: key, ID: mine, Epoch: 1}, &g, time.Second) == nil {
+		if c.Call(messages.Claim, messages.ClaimCall{Key: key, ID: mine, Epoch: 1}, &g, time.Second) == nil {
 			id := g.Holder
 			if g.Given {
 				id = mine
 			}
-			c.Call(codebook.Release, codebook.ReleaseCall{Key: key, ID: id}, nil, time.Second)
+			c.Call(messages.Release, messages.ReleaseCall{Key: key, ID: id}, nil, time.Second)
 		}
 		c.Close()
 	}
--- a/internal/drydock/longdays_test.go
+++ b/internal/drydock/longdays_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"saltmast/internal/almanac"
-	"saltmast/internal/articles"
+	"saltmast/internal/settings"
 )
 
 // Flawed worlds of the long and large days are noticed.
@@ -28,7 +28,7 @@
 		{"three disks of five lost after an acknowledgement", "five-voters", Flaw{}, threeWiped, "CONFIG", "read back"},
 		{"acknowledged before it is synced, and all lose power amid the day", "blackout-amid", Flaw{Early: 150 * time.Millisecond}, nil, "", ""},
 		{"a minority that missed changes, and all the others' disks lost", "two-parts", Flaw{Wipes: 2}, nil, "CONFIG", "read back"},
-		{"a half that confirms by itself", "two-parts", Flaw{Settings: func(s *articles.Settings) {
+		{"a half that confirms by itself", "two-parts", Flaw{Settings: func(s *settings.Settings) {
 			if s.NodeName == "core-1" { // it knows of no other that counts
 				s.Seeds = []string{net.JoinHostPort(s.IP, portControl)}
 			}
--- a/internal/drydock/mutants_test.go
+++ b/internal/drydock/mutants_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/articles"
+	"saltmast/internal/settings"
 )
 
 // A flawed world is noticed, by the rule that it breaks.
@@ -31,7 +31,7 @@
 		says string
 	}{
 		{"pursers that forget the claims they granted", change(day("keys"), func(d *Day) { d.Faults = Faults{} }),
-			Flaw{Settings: func(s *articles.Settings) {
+			Flaw{Settings: func(s *settings.Settings) {
 				if s.DataDir != "" {
 					s.Bounds.DedupWindow = -30*time.Second + 50*time.Millisecond // the margin of pursers is 30 s
 				}
@@ -53,7 +53,7 @@
 				return a
 			}}, "CONFIG", "back"},
 		{"further tries without a ration", day("failing"),
-			Flaw{Settings: func(s *articles.Settings) { s.Bounds.RetryRatio, s.Bounds.RetryAllowance = 1000, 1e5 }}, "BUDGET", "further arrivals"},
+			Flaw{Settings: func(s *settings.Settings) { s.Bounds.RetryRatio, s.Bounds.RetryAllowance = 1000, 1e5 }}, "BUDGET", "further arrivals"},
 		{"a 503 for a key that ran", day("quiet"),
 			Flaw{Between: func(m *tugMachine, r *request, a *answer) *answer {
 				if r.get("Violetlatch-Operation-Key") != "" && m.w.now() > 6*time.Second {
@@ -75,7 +75,7 @@
 				return strings.HasPrefix(r.path, "/debit/") && m.w.now() > 6*time.Second
 			}}, "TWICE", "mutating"},
 		{"a caller that is not the machine's service", day("quiet"),
-			Flaw{Settings: func(s *articles.Settings) {
+			Flaw{Settings: func(s *settings.Settings) {
 				if s.NodeName == "side-2" {
 					s.Service = "pump"
 				}
@@ -86,7 +86,7 @@
 		{"two disks of three lost after an acknowledgement", day("core-wipe"), Flaw{Wipes: 2}, "CONFIG", "read back"},
 		{"changes acknowledged before they are synced", day("power"), Flaw{Early: 100 * time.Millisecond}, "CONFIG", "read back"},
 		{"claims granted before they are synced", day("core-all-kill"), Flaw{Early: 200 * time.Millisecond}, "TWICE", "key"},
-		{"a member that grants with its disk lost", day("thin"), Flaw{Settings: func(s *articles.Settings) { s.Bootstrap = s.DataDir != "" }}, "TWICE", "key"},
+		{"a member that grants with its disk lost", day("thin"), Flaw{Settings: func(s *settings.Settings) { s.Bootstrap = s.DataDir != "" }}, "TWICE", "key"},
 		{"a claim given back though its request may have run", change(day("lost-answers"), func(d *Day) { d.Keys = 0.5 }),
 			Flaw{Between: func(m *tugMachine, r *request, a *answer) *answer {
 				if key := r.get("Violetlatch-Operation-Key"); key != "" && (a.status == 502 || a.status == 504) {
@@ -98,15 +98,15 @@
 			Flaw{Blind: func(addr string) bool { return strings.HasSuffix(addr, ":"+portOut) }}, "GONE", "runs went on"},
 		{"a gate that does not notice that its callers have left", day("leavers"),
 			Flaw{Blind: func(addr string) bool { return !strings.HasSuffix(addr, ":"+portOut) }}, "GONE", "runs went on"},
-		{"a roll that does not grow", day("five"), Flaw{Settings: func(s *articles.Settings) { s.Tolerance.Machines = 1 }}, "WORLD", "in epoch 1"},
-		{"voters that are replaced after minutes", day("in-turn"), Flaw{Settings: func(s *articles.Settings) { s.VoterLost = 5 * time.Minute }}, "WORLD", "a removal"},
-		{"a roll that counts machines alone", day("zone-lost"), Flaw{Settings: func(s *articles.Settings) {
-			s.Tolerance = articles.Tolerance{Machines: 1}
+		{"a roll that does not grow", day("five"), Flaw{Settings: func(s *settings.Settings) { s.Tolerance.Machines = 1 }}, "WORLD", "in epoch 1"},
+		{"voters that are replaced after minutes", day("in-turn"), Flaw{Settings: func(s *settings.Settings) { s.VoterLost = 5 * time.Minute }}, "WORLD", "a removal"},
+		{"a roll that counts machines alone", day("zone-lost"), Flaw{Settings: func(s *settings.Settings) {
+			s.Tolerance = settings.Tolerance{Machines: 1}
 		}}, "WORLD", "the loss of the zone"},
 		{"a voter that goes before its successor has the books", day("leaver"), Flaw{Hasty: true}, "WORLD", "right after a replacement"},
 		{"a change acknowledged on one voter's word", change(day("cut-wipe"), func(d *Day) {
 			d.Events = func(w *World, op *operator) { cutAndWipe(w, op, w.core[0]) }
-		}), Flaw{Settings: func(s *articles.Settings) {
+		}), Flaw{Settings: func(s *settings.Settings) {
 			if s.NodeName == "core-1" { // it knows of no other that counts
 				s.Seeds = []string{net.JoinHostPort(s.IP, portControl)}
 			}
--- a/internal/drydock/spoilt.go
+++ b/internal/drydock/spoilt.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"saltmast/internal/codebook"
 	"saltmast/internal/errcode"
-	"saltmast/internal/signal"
+	"saltmast/internal/messages"
+	"saltmast/internal/rpc"
 	"saltmast/internal/sock"
 )
 
@@ -32,7 +32,7 @@
 	flaw := n.c.w.flaw
 	switch {
 	case err != nil:
-	case flaw.News != nil && strings.HasSuffix(addr, ":"+strconv.Itoa(firstFree+codebook.HarbourPort)):
+	case flaw.News != nil && strings.HasSuffix(addr, ":"+strconv.Itoa(firstFree+messages.HarbourPort)):
 		return &spoiltListener{l, func(x net.Conn) net.Conn { return &toldConn{x, n.c} }}, nil
 	case flaw.Deaf && strings.HasSuffix(addr, ":"+portControl):
 		return &spoiltListener{l, func(x net.Conn) net.Conn { return &deafConn{x, make(chan struct{})} }}, nil
@@ -89,10 +89,10 @@
 		n := 4 + int(binary.BigEndian.Uint32(rest))
 		head, body := rest[:10], rest[10:n]
 		rest = rest[n:]
-		var news codebook.News
-		if head[8] == codebook.Pull && errcode.Kind(head[9]) == errcode.OK && signal.Decode(body, &news) == nil {
+		var news messages.News
+		if head[8] == messages.Pull && errcode.Kind(head[9]) == errcode.OK && rpc.Decode(body, &news) == nil {
 			t.c.w.flaw.News(t.c, &news)
-			body = signal.Encode(news)
+			body = rpc.Encode(news)
 		}
 		out = binary.BigEndian.AppendUint32(out, uint32(6+len(body)))
 		out = append(append(out, head[4:]...), body...)
--- a/internal/drydock/syncs_test.go
+++ b/internal/drydock/syncs_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/codebook"
 	"saltmast/internal/consensus"
 	"saltmast/internal/drydock/surveyor"
 	"saltmast/internal/idempotency"
-	"saltmast/internal/signal"
+	"saltmast/internal/messages"
+	"saltmast/internal/rpc"
 	"saltmast/internal/store"
 )
 
@@ -24,16 +24,16 @@
 
 // grants asks the voters of a roll for the key on behalf of a claimant, and gives how many grant it, of how many.
 func (q *quay) grants(id idempotency.ID) (given, of int) {
-	var roll codebook.Roll
+	var roll messages.Roll
 	for _, c := range q.core {
 		if r := c.pr.P.Status().Roll; r.Epoch > roll.Epoch {
 			roll = r
 		}
 	}
 	for _, v := range roll.Voters {
-		c := signal.NewClient(q.op.p, v.Addr)
+		c := rpc.NewClient(q.op.p, v.Addr)
 		var g idempotency.Grant
-		if c.Call(codebook.Claim, codebook.ClaimCall{Key: "k", ID: id, Epoch: roll.Epoch}, &g, 300*time.Millisecond) == nil && g.Given {
+		if c.Call(messages.Claim, messages.ClaimCall{Key: "k", ID: id, Epoch: roll.Epoch}, &g, 300*time.Millisecond) == nil && g.Given {
 			given++
 		}
 		c.Close()
--- a/internal/drydock/world.go
+++ b/internal/drydock/world.go
@@ -19,12 +19,12 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/articles"
-	"saltmast/internal/codebook"
 	"saltmast/internal/drydock/sea"
 	"saltmast/internal/drydock/surveyor"
-	"saltmast/internal/harbour"
+	"saltmast/internal/messages"
 	"saltmast/internal/proxy"
+	"saltmast/internal/registry"
+	"saltmast/internal/settings"
 	"saltmast/internal/sock"
 	"saltmast/internal/store"
 )
@@ -94,7 +94,7 @@
 
 // Flaw makes a world break a rule, to see whether the surveyor notices.
 type Flaw struct {
-	Settings func(s *articles.Settings)                         // other than the rules say
+	Settings func(s *settings.Settings)                         // other than the rules say
 	Between  func(m *tugMachine, r *request, a *answer) *answer // what a client gets instead
 	Beat     func(m *tugMachine, state string) bool             // a beat is acknowledged and not passed on
 	Twice    func(m *tugMachine, r *request) bool               // a backend runs it a second time
@@ -107,7 +107,7 @@
 	Hasty    bool                                               // a voter that is replaced goes with its disk before its successor has the books
 	Early    time.Duration                                      // disks answer so long before they have kept what they were given
 	Order    func(c *coreMachine, status int) int               // what an operator gets instead
-	News     func(c *coreMachine, n *codebook.News)             // what a harbourmaster tells those who pull
+	News     func(c *coreMachine, n *messages.News)             // what a harbourmaster tells those who pull
 	Blind    func(addr string) bool                             // proxies don't notice that who connected there has left
 	Deaf     bool                                               // harbourmasters don't notice that their callers have gone
 }
@@ -122,7 +122,7 @@
 	boot bool
 	p, h *sea.Process
 	pr   store.Running
-	hr   harbour.Running
+	hr   registry.Running
 	runs bool         // the purser
 	ill  atomic.Int32 // its disk: well, slow, hangs, refuses
 	lag  *rand.Rand   // of its disk
@@ -130,7 +130,7 @@
 	gone chan struct{} // closed once the last life's disk is let go
 	kept []copied      // of its disk, for Flaw.Early
 	seed []string      // in its settings file; nil: all of the core
-	set  *articles.Settings
+	set  *settings.Settings
 	amid atomic.Pointer[amid]
 	away atomic.Bool // it reaches no majority of the core
 }
@@ -159,7 +159,7 @@
 	backend *backend
 	lives   int
 	seed    []string // in its settings file; nil: all of the core
-	set     *articles.Settings
+	set     *settings.Settings
 	in      bool // the platform lets clients come
 	closed  bool // it leaves
 	reaches bool // its next life, whatever its seeds: machines that hear a majority of the core
@@ -231,20 +231,20 @@
 	}
 }
 
-func (w *World) settings(name, ip, zone string, boot bool) *articles.Settings {
-	s := &articles.Settings{NodeName: name, IP: ip, Zone: zone, Ports: [2]int{firstFree, lastFree}, Bootstrap: boot,
-		Listen: map[string]string{}, Heartbeat: 1300 * time.Millisecond, Bounds: articles.DefaultBounds(), MemoryMB: 200, Descriptors: 4000}
+func (w *World) settings(name, ip, zone string, boot bool) *settings.Settings {
+	s := &settings.Settings{NodeName: name, IP: ip, Zone: zone, Ports: [2]int{firstFree, lastFree}, Bootstrap: boot,
+		Listen: map[string]string{}, Heartbeat: 1300 * time.Millisecond, Bounds: settings.DefaultBounds(), MemoryMB: 200, Descriptors: 4000}
 	s.VoterLost = w.lost
 	for _, c := range w.core[:min(3, len(w.core))] { // as three are in a file; the roll grows by itself
 		s.Seeds = append(s.Seeds, net.JoinHostPort(c.m.IP, portControl))
 	}
 	if s.Tolerance.Machines = w.size.bears(); w.size.Together {
-		s.Tolerance = articles.Tolerance{Zones: 1}
+		s.Tolerance = settings.Tolerance{Zones: 1}
 	}
 	return s
 }
 
-func (w *World) spoil(s *articles.Settings) {
+func (w *World) spoil(s *settings.Settings) {
 	if w.flaw.Settings != nil {
 		w.flaw.Settings(s)
 	}
@@ -275,7 +275,7 @@
 	}
 	if c.h == nil {
 		c.h = c.m.Start()
-		c.hr, err = harbour.Launch(s, c.w.note(c.name+" harbour"), c.spoilt(c.h))
+		c.hr, err = registry.Launch(s, c.w.note(c.name+" harbour"), c.spoilt(c.h))
 	}
 	return err
 }
--- a/internal/loadline/hollow.go
+++ b/internal/loadline/hollow.go
@@ -17,12 +17,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sys/unix"
 
-	"saltmast/internal/articles"
-	"saltmast/internal/codebook"
-	"saltmast/internal/launch"
-	"saltmast/internal/manifest"
+	"saltmast/internal/configuration"
+	"saltmast/internal/messages"
+	"saltmast/internal/process"
 	"saltmast/internal/proxy"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
+	"saltmast/internal/settings"
 	"saltmast/internal/sock"
 )
 
@@ -56,7 +56,7 @@
 	Err        string
 	Agents     int // that run
 	Ready      int // of them, with a configuration and all that there is to tell
-	Traffic    []signal.Traffic
+	Traffic    []rpc.Traffic
 	Datagrams  [2]int64 // out, in
 	DataBytes  [2]int64
 	Spread     *hdrhistogram.Snapshot // microseconds, over agents and changes
@@ -202,12 +202,12 @@
 }
 
 // settings are those of agent i.
-func (p *plan) settings(i int) *articles.Settings {
+func (p *plan) settings(i int) *settings.Settings {
 	at := func(place int) string { return p.Addr(i, place) }
-	return &articles.Settings{NodeName: p.Node(i), Role: "tug", MachineClass: "sidecar", IP: p.IP(i), Zone: p.Zone(i), Region: p.Region(i),
+	return &settings.Settings{NodeName: p.Node(i), Role: "tug", MachineClass: "sidecar", IP: p.IP(i), Zone: p.Zone(i), Region: p.Region(i),
 		Serves: []string{"sidecar"}, Listen: map[string]string{"outbound": at(outbound), "readiness": at(readiness), "control-plane": at(control)},
 		Ports: [2]int{p.First + free, p.First + portsAll - 1}, Seeds: p.Seeds, MemoryMB: 256, Descriptors: 4100, Heartbeat: p.Beat,
-		Bounds: articles.DefaultBounds(), AppAddr: at(app), Service: p.Service(i)}
+		Bounds: settings.DefaultBounds(), AppAddr: at(app), Service: p.Service(i)}
 }
 
 // beats has the backends beat in turn.
@@ -252,7 +252,7 @@
 			t.Ready++
 		}
 	}
-	t.Traffic = signal.Totals()
+	t.Traffic = rpc.Totals()
 	for i := range 2 {
 		t.Datagrams[i], t.DataBytes[i] = h.counts.datagrams[i].Load(), h.counts.bytes[i].Load()
 	}
@@ -293,12 +293,12 @@
 
 // puller pulls as a proxy does, and keeps nothing of the table.
 func (p *plan) puller(a *hollow, end <-chan struct{}) {
-	self := entry(p.Layout, a.i, uint64(a.born), launch.Life())
+	self := entry(p.Layout, a.i, uint64(a.born), process.Life())
 	self.Instance = fmt.Sprintf("i-%d-%06x", a.i, a.life)
 	const hold = time.Second
 	for n := a.i; ; n++ {
-		c := signal.NewClient(nil, p.Core[n%len(p.Core)])
-		call := codebook.PullCall{Self: &self, HoldMs: uint32(hold.Milliseconds())}
+		c := rpc.NewClient(nil, p.Core[n%len(p.Core)])
+		call := messages.PullCall{Self: &self, HoldMs: uint32(hold.Milliseconds())}
 		if p.Mute {
 			call.Self = nil
 		}
@@ -309,15 +309,15 @@
 				return
 			default:
 			}
-			var news codebook.News
-			if c.Call(codebook.Pull, call, &news, hold+10*time.Second) != nil {
+			var news messages.News
+			if c.Call(messages.Pull, call, &news, hold+10*time.Second) != nil {
 				break
 			}
 			had := call.Have
 			if call = next(call, news); had.Less(call.Have) {
 				a.has(call.Have.N)
 			}
-			a.ready.Store(call.Have != manifest.Ballot{})
+			a.ready.Store(call.Have != configuration.Ballot{})
 		}
 		c.Close()
 		select {
@@ -329,7 +329,7 @@
 }
 
 // next is the pull after one that was answered so. Items come in parts, which are whole with the last alone.
-func next(call codebook.PullCall, news codebook.News) codebook.PullCall {
+func next(call messages.PullCall, news messages.News) messages.PullCall {
 	call.Life, call.At, call.Sum, call.Cursor = news.Life, news.At, news.Sum, news.Cursor
 	if news.Roll != nil {
 		call.Epoch = news.Roll.Epoch
--- a/internal/loadline/loadline.go
+++ b/internal/loadline/loadline.go
@@ -23,10 +23,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"saltmast/internal/backends"
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
 	"saltmast/internal/dataplane"
-	"saltmast/internal/manifest"
-	"saltmast/internal/signal"
+	"saltmast/internal/messages"
+	"saltmast/internal/rpc"
 )
 
 // Options of a run. Self is the command line of the kit itself.
@@ -238,10 +238,10 @@
 				return err
 			}
 			if program == "purser" {
-				p.addr = x.l.CoreAddr(i, free+codebook.PurserPort)
+				p.addr = x.l.CoreAddr(i, free+messages.PurserPort)
 				x.pursers = append(x.pursers, p)
 			} else {
-				p.addr = x.l.CoreAddr(i, free+codebook.HarbourPort)
+				p.addr = x.l.CoreAddr(i, free+messages.HarbourPort)
 				x.harbours = append(x.harbours, p)
 			}
 			if err := p.start(0); err != nil {
@@ -264,18 +264,18 @@
 			return err
 		}
 	}
-	c := signal.NewClient(nil, x.pursers[0].addr)
+	c := rpc.NewClient(nil, x.pursers[0].addr)
 	defer c.Close()
 	if err := x.until(fmt.Sprintf("a roll of %d", x.o.Voters), 20*time.Second, func() bool { // three found it, and it grows by itself
-		var w codebook.Watched
-		err := c.Call(codebook.Watch, codebook.WatchCall{Have: manifest.Ballot{N: 1 << 62}}, &w, time.Second)
+		var w messages.Watched
+		err := c.Call(messages.Watch, messages.WatchCall{Have: configuration.Ballot{N: 1 << 62}}, &w, time.Second)
 		return err == nil && len(w.Roll.Voters) == x.o.Voters && !w.Shut
 	}); err != nil {
 		return err
 	}
 	for i := range x.o.Tugs {
 		n := x.o.Agents + i
-		p := &runningProgram{name: fmt.Sprintf("tug-%d", i), args: x.part("part", "tug", "--counters", "0"), addr: x.l.Addr(n, free+codebook.GatePort),
+		p := &runningProgram{name: fmt.Sprintf("tug-%d", i), args: x.part("part", "tug", "--counters", "0"), addr: x.l.Addr(n, free+messages.GatePort),
 			settings: filepath.Join(x.o.Dir, fmt.Sprintf("tug-%d.yaml", i))}
 		if err := x.settings(p.settings, n, false, false, "tug"); err != nil {
 			return err
@@ -290,17 +290,17 @@
 
 // entries tells the first harbourmaster of backends, as a proxy tells on for others.
 func (x *run) entries() error {
-	c := signal.NewClient(nil, x.harbours[0].addr)
+	c := rpc.NewClient(nil, x.harbours[0].addr)
 	defer c.Close()
 	var all []backends.Berth
 	for i := range x.o.Entries {
 		n := x.o.Agents + x.o.Tugs + i
 		all = append(all, entry(x.l, n, 1, 1))
 	}
-	var news codebook.News
+	var news messages.News
 	for part := range slices.Chunk(all, 64) { // as many as a proxy tells at a time
-		call := codebook.PullCall{Others: part, Life: news.Life, At: ^uint64(0), Have: manifest.Ballot{N: 1 << 62}}
-		if err := c.Call(codebook.Pull, call, &news, 10*time.Second); err != nil {
+		call := messages.PullCall{Others: part, Life: news.Life, At: ^uint64(0), Have: configuration.Ballot{N: 1 << 62}}
+		if err := c.Call(messages.Pull, call, &news, 10*time.Second); err != nil {
 			return fmt.Errorf("entries: %w", err)
 		}
 	}
@@ -309,7 +309,7 @@
 
 // entry is what agent i tells of itself and of its backend.
 func entry(l Layout, i int, version, life uint64) backends.Berth {
-	return backends.Berth{Node: l.Node(i), Addr: l.Addr(i, free+codebook.GatePort), Zone: l.Zone(i), Version: version, Life: life,
+	return backends.Berth{Node: l.Node(i), Addr: l.Addr(i, free+messages.GatePort), Zone: l.Zone(i), Version: version, Life: life,
 		Instance: fmt.Sprintf("i-%d-%06x", i, life&0xffffff), Service: l.Service(i), Release: "v1", Capacity: 8, State: backends.Serving}
 }
 
@@ -458,7 +458,7 @@
 			sum = r.BerthsSum
 		}
 		for _, addr := range x.sample() {
-			r, err := x.asker.Report(addr, codebook.ReportCall{Brief: true}, 5*time.Second)
+			r, err := x.asker.Report(addr, messages.ReportCall{Brief: true}, 5*time.Second)
 			if err != nil || r.BerthsSum != sum {
 				return false
 			}
@@ -476,19 +476,19 @@
 	}
 	if !x.o.Thin {
 		for i := range min(sampled, x.o.Agents) {
-			out = append(out, x.l.Addr(i*x.o.Agents/min(sampled, x.o.Agents), free+codebook.GatePort))
+			out = append(out, x.l.Addr(i*x.o.Agents/min(sampled, x.o.Agents), free+messages.GatePort))
 		}
 	}
 	return out
 }
 
-func (x *run) report(p *runningProgram) (r codebook.Reported, err error) {
+func (x *run) report(p *runningProgram) (r messages.Reported, err error) {
 	if slices.Contains(x.tugs, p) {
-		return x.asker.Report(p.addr, codebook.ReportCall{Brief: true}, 5*time.Second)
+		return x.asker.Report(p.addr, messages.ReportCall{Brief: true}, 5*time.Second)
 	}
-	c := signal.NewClient(nil, p.addr)
+	c := rpc.NewClient(nil, p.addr)
 	defer c.Close()
-	err = c.Call(codebook.Report, codebook.ReportCall{Brief: true}, &r, 10*time.Second)
+	err = c.Call(messages.Report, messages.ReportCall{Brief: true}, &r, 10*time.Second)
 	return r, err
 }
 
@@ -597,9 +597,9 @@
 	roles map[string][]sums
 }
 
-var kindNames = map[uint8]string{codebook.Prepare: "prepare", codebook.Accept: "accept", codebook.Learn: "learn", codebook.Watch: "watch",
-	codebook.Claim: "claim", codebook.Release: "release", codebook.Muster: "muster", codebook.Pull: "pull", codebook.Report: "report", codebook.Lease: "lease",
-	codebook.Ready: "ready", codebook.Known: "known"}
+var kindNames = map[uint8]string{messages.Prepare: "prepare", messages.Accept: "accept", messages.Learn: "learn", messages.Watch: "watch",
+	messages.Claim: "claim", messages.Release: "release", messages.Muster: "muster", messages.Pull: "pull", messages.Report: "report", messages.Lease: "lease",
+	messages.Ready: "ready", messages.Known: "known"}
 
 func name(kind uint8) string {
 	if s := kindNames[kind]; s != "" {
@@ -641,7 +641,7 @@
 	return s
 }
 
-func (t *sums) take(all []signal.Traffic) {
+func (t *sums) take(all []rpc.Traffic) {
 	for _, k := range all {
 		t.kinds[name(k.Kind)] = Rate{float64(k.Out), float64(k.OutBytes), float64(k.In), float64(k.InBytes)}
 	}
--- a/internal/loadline/loadline_test.go
+++ b/internal/loadline/loadline_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"saltmast/internal/backends"
-	"saltmast/internal/codebook"
-	"saltmast/internal/manifest"
+	"saltmast/internal/configuration"
+	"saltmast/internal/messages"
 )
 
 // What a phase tells is for one process or agent, and leaves out whoever ended meanwhile or began with other totals.
@@ -83,15 +83,15 @@
 
 // A thin agent is told items in parts, goes on where the last part ended, and has a ballot with the last one alone.
 func TestPullGoesOnInParts(t *testing.T) {
-	var items []manifest.Item
+	var items []configuration.Item
 	for i := range 3000 {
-		items = append(items, manifest.Item{Key: manifest.Key{Name: fmt.Sprintf("route-%04d", i)}, Version: 1, Ballot: manifest.Ballot{N: uint64(i + 1)}, Spec: bytes.Repeat([]byte("x"), 400)})
+		items = append(items, configuration.Item{Key: configuration.Key{Name: fmt.Sprintf("route-%04d", i)}, Version: 1, Ballot: configuration.Ballot{N: uint64(i + 1)}, Spec: bytes.Repeat([]byte("x"), 400)})
 	}
-	stands, chosen := manifest.Set{}.With(items...), manifest.Ballot{N: 3000}
-	call, got, parts := codebook.PullCall{}, 0, 0
+	stands, chosen := configuration.Set{}.With(items...), configuration.Ballot{N: 3000}
+	call, got, parts := messages.PullCall{}, 0, 0
 	for ; call.Have.IsZero() && parts < 20; parts++ {
-		news := codebook.News{Life: 1}
-		news.Tell(call, backends.New(), chosen, stands, manifest.Ballot{})
+		news := messages.News{Life: 1}
+		news.Tell(call, backends.New(), chosen, stands, configuration.Ballot{})
 		got += len(news.Items)
 		call = next(call, news)
 	}
--- a/internal/loadline/phases.go
+++ b/internal/loadline/phases.go
@@ -12,12 +12,12 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
 	"saltmast/internal/idempotency"
-	"saltmast/internal/manifest"
+	"saltmast/internal/messages"
 	"saltmast/internal/quorum"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
 )
 
 // change sends one change to a core machine.
@@ -135,14 +135,14 @@
 
 // ballots learns by which ballot each change was chosen: it pulls from a harbourmaster, as a proxy does, until stopped.
 func (x *run) ballots(from int) (stop func() map[string]uint64) {
-	c := signal.NewClient(nil, x.l.CoreAddr(from, free+codebook.HarbourPort))
+	c := rpc.NewClient(nil, x.l.CoreAddr(from, free+messages.HarbourPort))
 	var over atomic.Bool
 	known := map[string]uint64{}
 	done := make(chan struct{})
-	call := codebook.PullCall{HoldMs: 200}
+	call := messages.PullCall{HoldMs: 200}
 	pull := func() bool {
-		var news codebook.News
-		if c.Call(codebook.Pull, call, &news, 5*time.Second) != nil {
+		var news messages.News
+		if c.Call(messages.Pull, call, &news, 5*time.Second) != nil {
 			return false
 		}
 		call = next(call, news)
@@ -236,10 +236,10 @@
 func (x *run) claims() (Phase, error) {
 	co := quorum.New(nil)
 	defer co.Close()
-	c := signal.NewClient(nil, x.pursers[0].addr)
+	c := rpc.NewClient(nil, x.pursers[0].addr)
 	defer c.Close()
-	var w codebook.Watched
-	if err := c.Call(codebook.Watch, codebook.WatchCall{Have: manifest.Ballot{N: 1 << 62}}, &w, 2*time.Second); err != nil {
+	var w messages.Watched
+	if err := c.Call(messages.Watch, messages.WatchCall{Have: configuration.Ballot{N: 1 << 62}}, &w, 2*time.Second); err != nil {
 		return Phase{}, err
 	}
 	co.Take(w.Roll)
@@ -255,9 +255,9 @@
 				for time.Now().Before(end) && x.ctx.Err() == nil {
 					k := n.Add(1)
 					begun := time.Now()
-					call := signal.Encode(codebook.ClaimCall{Key: fmt.Sprintf("scale-key-%012d", k), ID: idempotency.ID{Life: 1, N: k, At: x.l.Addr(0, free)}, Epoch: w.Roll.Epoch})
+					call := rpc.Encode(messages.ClaimCall{Key: fmt.Sprintf("scale-key-%012d", k), ID: idempotency.ID{Life: 1, N: k, At: x.l.Addr(0, free)}, Epoch: w.Roll.Epoch})
 					votes := 0
-					co.Gather(codebook.Claim, func(int) []byte { return call }, time.Second, func(t quorum.Told) bool {
+					co.Gather(messages.Claim, func(int) []byte { return call }, time.Second, func(t quorum.Told) bool {
 						if t.Err == nil {
 							votes++
 						}
--- a/internal/lookout/ask.go
+++ b/internal/lookout/ask.go
@@ -9,10 +9,10 @@
 	"strconv"
 	"time"
 
-	"saltmast/internal/codebook"
 	"saltmast/internal/dataplane"
 	"saltmast/internal/errcode"
-	"saltmast/internal/signal"
+	"saltmast/internal/messages"
+	"saltmast/internal/rpc"
 	"saltmast/internal/sock"
 )
 
@@ -27,7 +27,7 @@
 	Addr    string
 	Trouble string             // why there is no answer; "": there is one
 	Since   time.Time          // no answer since then at the latest; zero where there is one
-	Told    *codebook.Reported // nil: nothing
+	Told    *messages.Reported // nil: nothing
 }
 
 // Name is how tables name it.
@@ -67,7 +67,7 @@
 	Wait time.Duration
 
 	known   map[target]bool
-	clients map[string]*signal.Client
+	clients map[string]*rpc.Client
 	tugs    *dataplane.Asker
 	brief   bool
 }
@@ -75,7 +75,7 @@
 // Look asks all that can be found. Each is waited for as long as Wait; what an answer names further is asked at once.
 func (k *Asker) Look() *Look {
 	if k.tugs == nil {
-		k.tugs, k.clients = dataplane.NewAsker(k.Net), map[string]*signal.Client{}
+		k.tugs, k.clients = dataplane.NewAsker(k.Net), map[string]*rpc.Client{}
 	}
 	l := &Look{At: time.Now()}
 	named := map[target]bool{}
@@ -87,11 +87,11 @@
 		}
 		asked[t] = true
 		under++
-		call := codebook.ReportCall{Brief: k.brief && t.program == codebook.TheTug}
-		var c *signal.Client
-		if t.program != codebook.TheTug {
+		call := messages.ReportCall{Brief: k.brief && t.program == messages.TheTug}
+		var c *rpc.Client
+		if t.program != messages.TheTug {
 			if c = k.clients[t.addr]; c == nil {
-				c = signal.NewClient(k.Net, t.addr)
+				c = rpc.NewClient(k.Net, t.addr)
 				k.clients[t.addr] = c
 			}
 		}
@@ -103,7 +103,7 @@
 		}()
 	}
 	for _, addr := range k.At {
-		ask(target{codebook.TheHarbour, addr})
+		ask(target{messages.TheHarbour, addr})
 	}
 	for t := range k.known {
 		ask(t)
@@ -138,14 +138,14 @@
 	}
 }
 
-func (k *Asker) ask(c *signal.Client, t target, call codebook.ReportCall) *Agent {
+func (k *Asker) ask(c *rpc.Client, t target, call messages.ReportCall) *Agent {
 	a := &Agent{Program: t.program, Addr: t.addr}
-	var r codebook.Reported
+	var r messages.Reported
 	var err error
 	if c == nil {
 		r, err = k.tugs.Report(t.addr, call, k.Wait)
 	} else {
-		err = c.Call(codebook.Report, call, &r, k.Wait)
+		err = c.Call(messages.Report, call, &r, k.Wait)
 	}
 	switch {
 	case err != nil:
@@ -169,17 +169,17 @@
 }
 
 // names are the programs that a report speaks of.
-func names(r *codebook.Reported) (out []target) {
+func names(r *messages.Reported) (out []target) {
 	if r.Harbour != nil {
 		for _, m := range r.Harbour.Masters {
-			out = append(out, target{codebook.TheHarbour, m.Addr}, target{codebook.ThePurser, besideMaster(m.Addr)})
+			out = append(out, target{messages.TheHarbour, m.Addr}, target{messages.ThePurser, besideMaster(m.Addr)})
 		}
 		for _, b := range r.Berths {
-			out = append(out, target{codebook.TheTug, b.Addr})
+			out = append(out, target{messages.TheTug, b.Addr})
 		}
 	}
 	for _, v := range r.Voters {
-		out = append(out, target{codebook.ThePurser, v.Addr})
+		out = append(out, target{messages.ThePurser, v.Addr})
 	}
 	return out
 }
@@ -191,7 +191,7 @@
 	if err != nil || bad != nil {
 		return ""
 	}
-	return codebook.Beside(addr, n-codebook.HarbourPort, codebook.PurserPort)
+	return messages.Beside(addr, n-messages.HarbourPort, messages.PurserPort)
 }
 
 // settle names those that do not know their machine or told nothing, drops those that were asked at two addresses, and orders
@@ -205,12 +205,12 @@
 		}
 		if h := a.Told.Harbour; h != nil {
 			for _, m := range h.Masters {
-				at[target{codebook.TheHarbour, m.Addr}] = place{m.Name, m.Zone}
-				at[target{codebook.ThePurser, besideMaster(m.Addr)}] = place{m.Name, m.Zone}
+				at[target{messages.TheHarbour, m.Addr}] = place{m.Name, m.Zone}
+				at[target{messages.ThePurser, besideMaster(m.Addr)}] = place{m.Name, m.Zone}
 			}
 		}
 		for _, b := range a.Told.Berths {
-			at[target{codebook.TheTug, b.Addr}] = place{b.Node, b.Zone}
+			at[target{messages.TheTug, b.Addr}] = place{b.Node, b.Zone}
 		}
 	}
 	own := map[target]int{}
--- a/internal/lookout/differ.go
+++ b/internal/lookout/differ.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"saltmast/internal/codebook"
-	"saltmast/internal/manifest"
+	"saltmast/internal/configuration"
+	"saltmast/internal/messages"
 )
 
 // Difference is something that agents tell differently.
@@ -70,7 +70,7 @@
 	return out
 }
 
-func ballotText(b manifest.Ballot) string {
+func ballotText(b configuration.Ballot) string {
 	if b.IsZero() {
 		return "none"
 	}
@@ -78,11 +78,11 @@
 }
 
 // speaks reports whether an agent is one of those that should know the configuration.
-func speaks(r *codebook.Reported) bool { return r.Purser == nil || r.Purser.State == "serving" }
+func speaks(r *messages.Reported) bool { return r.Purser == nil || r.Purser.State == "serving" }
 
 // chosen is the ballot that an agent goes by. A purser that accepted what others know to be chosen, and did not hear that it
 // was, lacks nothing; the items that it tells are then of an older value, so that they say nothing.
-func chosen(r *codebook.Reported, known map[manifest.Ballot]bool) (b manifest.Ballot, whole bool) {
+func chosen(r *messages.Reported, known map[configuration.Ballot]bool) (b configuration.Ballot, whole bool) {
 	if p := r.Purser; p != nil && r.Chosen.Less(p.Accepted) && known[p.Accepted] {
 		return p.Accepted, false
 	}
@@ -93,8 +93,8 @@
 func (l *Look) items() *tellings {
 	t := &tellings{}
 	known := l.chosen()
-	var all []codebook.ItemReport
-	seen, dropped := map[manifest.Key]bool{}, map[manifest.Key]bool{}
+	var all []messages.ItemReport
+	seen, dropped := map[configuration.Key]bool{}, map[configuration.Key]bool{}
 	for _, a := range l.Agents {
 		if a.Told == nil {
 			continue
@@ -107,7 +107,7 @@
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b codebook.ItemReport) int {
+	slices.SortFunc(all, func(a, b messages.ItemReport) int {
 		return cmp.Or(cmp.Compare(a.Key.Kind, b.Key.Kind), cmp.Compare(a.Key.Name, b.Key.Name))
 	})
 	for _, a := range l.Agents {
@@ -117,7 +117,7 @@
 		if _, whole := chosen(a.Told, known); !whole {
 			continue
 		}
-		have := make(map[manifest.Key]codebook.ItemReport, len(a.Told.Items))
+		have := make(map[configuration.Key]messages.ItemReport, len(a.Told.Items))
 		for _, i := range a.Told.Items {
 			have[i.Key] = i
 		}
@@ -139,8 +139,8 @@
 }
 
 // chosen are the ballots that harbourmasters and tugs know to be chosen.
-func (l *Look) chosen() map[manifest.Ballot]bool {
-	known := map[manifest.Ballot]bool{}
+func (l *Look) chosen() map[configuration.Ballot]bool {
+	known := map[configuration.Ballot]bool{}
 	for _, a := range l.Agents {
 		if a.Told != nil && a.Told.Purser == nil {
 			known[a.Told.Chosen] = true
@@ -242,9 +242,9 @@
 
 // lastHeard is since when an agent that was not silent before is: harbourmasters know when they heard each voter.
 func (l *Look) lastHeard(a *Agent) time.Time {
-	best := uint32(codebook.Never)
+	best := uint32(messages.Never)
 	for _, o := range l.Agents {
-		if o.Told == nil || o.Told.Harbour == nil || a.Program != codebook.ThePurser {
+		if o.Told == nil || o.Told.Harbour == nil || a.Program != messages.ThePurser {
 			continue
 		}
 		for i, v := range o.Told.Voters {
@@ -253,7 +253,7 @@
 			}
 		}
 	}
-	if best == codebook.Never {
+	if best == messages.Never {
 		return l.At
 	}
 	return l.At.Add(-time.Duration(best) * time.Millisecond)
--- a/internal/lookout/json.go
+++ b/internal/lookout/json.go
@@ -6,8 +6,8 @@
 	"io"
 	"time"
 
-	"saltmast/internal/codebook"
-	"saltmast/internal/manifest"
+	"saltmast/internal/configuration"
+	"saltmast/internal/messages"
 )
 
 // The form of --json. Keys are stable: there may come more, and none changes its meaning.
@@ -126,15 +126,15 @@
 
 // ago is null for what never was.
 func ago(ms uint32) *uint32 {
-	if ms >= codebook.Never {
+	if ms >= messages.Never {
 		return nil
 	}
 	return &ms
 }
 
-func ballotJSON(b manifest.Ballot) jsonBallot { return jsonBallot{b.N, b.By} }
+func ballotJSON(b configuration.Ballot) jsonBallot { return jsonBallot{b.N, b.By} }
 
-func bookJSON(b codebook.Book) jsonBook {
+func bookJSON(b messages.Book) jsonBook {
 	return jsonBook{b.AtWork, b.Done, b.Unknown, b.Void, b.Bytes}
 }
 
--- a/internal/lookout/lookout.go
+++ b/internal/lookout/lookout.go
@@ -13,9 +13,9 @@
 	"github.com/alexflint/go-arg"
 	"golang.org/x/term"
 
-	"saltmast/internal/articles"
-	"saltmast/internal/codebook"
-	"saltmast/internal/launch"
+	"saltmast/internal/messages"
+	"saltmast/internal/process"
+	"saltmast/internal/settings"
 )
 
 type args struct {
@@ -32,7 +32,7 @@
 func (args) Description() string {
 	return "The console of the mesh: what each program knows, and what they tell differently. It changes nothing, but for roll."
 }
-func (args) Version() string { return "violetlatch " + launch.Version }
+func (args) Version() string { return "violetlatch " + process.Version }
 func (args) Epilogue() string {
 	return "Exit status of --once and --json: 0 all answer and agree, 1 wrong usage or nobody reached, 2 some do not answer or disagree."
 }
@@ -110,15 +110,15 @@
 		at = append(at, addr)
 	}
 	if a.Settings != "" {
-		s, err := articles.Load(a.Settings)
+		s, err := settings.Load(a.Settings)
 		if err != nil {
 			return nil, err
 		}
 		for _, x := range s.Seeds {
-			at = append(at, codebook.Beside(x, s.Ports[0], codebook.HarbourPort))
+			at = append(at, messages.Beside(x, s.Ports[0], messages.HarbourPort))
 		}
 		if len(at) == 0 {
-			at = append(at, s.Port(codebook.HarbourPort))
+			at = append(at, s.Port(messages.HarbourPort))
 		}
 	}
 	return at, nil
--- a/internal/lookout/lookout_test.go
+++ b/internal/lookout/lookout_test.go
@@ -11,54 +11,54 @@
 	"time"
 
 	"saltmast/internal/backends"
-	"saltmast/internal/codebook"
-	"saltmast/internal/manifest"
+	"saltmast/internal/configuration"
+	"saltmast/internal/messages"
 )
 
 var noon = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-func fleetBerths(n int) (out []codebook.BerthReport) {
+func fleetBerths(n int) (out []messages.BerthReport) {
 	for i := range n {
-		out = append(out, codebook.BerthReport{Node: fmt.Sprintf("side-%04d", i+1), Addr: fmt.Sprintf("10.1.%d.%d:7382", i/200, i%200+1), Zone: "east",
+		out = append(out, messages.BerthReport{Node: fmt.Sprintf("side-%04d", i+1), Addr: fmt.Sprintf("10.1.%d.%d:7382", i/200, i%200+1), Zone: "east",
 			Version: 2, Life: uint64(i + 100), Instance: fmt.Sprintf("berth-%d", i), Service: "pump", Capacity: 4, State: backends.Serving})
 	}
 	return out
 }
 
-func versions(route, service manifest.Version) []codebook.ItemReport {
-	return []codebook.ItemReport{{Key: manifest.Key{Kind: manifest.Routes, Name: "flow"}, Version: route},
-		{Key: manifest.Key{Kind: manifest.Services, Name: "pump"}, Version: service}}
+func versions(route, service configuration.Version) []messages.ItemReport {
+	return []messages.ItemReport{{Key: configuration.Key{Kind: configuration.Routes, Name: "flow"}, Version: route},
+		{Key: configuration.Key{Kind: configuration.Services, Name: "pump"}, Version: service}}
 }
 
 // fixed is a look at a mesh of one harbourmaster, two pursers and n backends with the tugs of the first two, of which the second
 // does not answer. The first tug missed the last change of a route.
 func fixed(n int) *Look {
-	voters := []codebook.Voter{{Name: "a", Addr: "10.0.0.1:7381"}, {Name: "b", Addr: "10.0.0.2:7381"}}
-	told := func(r codebook.Reported) *codebook.Reported {
+	voters := []messages.Voter{{Name: "a", Addr: "10.0.0.1:7381"}, {Name: "b", Addr: "10.0.0.2:7381"}}
+	told := func(r messages.Reported) *messages.Reported {
 		r.Version, r.Epoch, r.Voters, r.UpMs = "0.1.0", 1, voters, 95_000
 		return &r
 	}
-	now, old := manifest.Ballot{N: 7, By: 0xabc}, manifest.Ballot{N: 6, By: 0xabc}
-	h := codebook.Reported{Program: codebook.TheHarbour, Node: "core-1", Zone: "east", Addr: "10.0.0.1:7380", Life: 42, Chosen: now, Items: versions(3, 1),
-		Harbour: &codebook.HarbourReport{Masters: []codebook.Master{{Name: "core-1", Addr: "10.0.0.1:7380", Zone: "east"}}, FreshMs: 40,
+	now, old := configuration.Ballot{N: 7, By: 0xabc}, configuration.Ballot{N: 6, By: 0xabc}
+	h := messages.Reported{Program: messages.TheHarbour, Node: "core-1", Zone: "east", Addr: "10.0.0.1:7380", Life: 42, Chosen: now, Items: versions(3, 1),
+		Harbour: &messages.HarbourReport{Masters: []messages.Master{{Name: "core-1", Addr: "10.0.0.1:7380", Zone: "east"}}, FreshMs: 40,
 			HeardMs: []uint32{40, 12_000}, Pullers: []string{"side-0001"}, Teaches: true}}
 	h.SetBerths(fleetBerths(n), false)
-	p := codebook.Reported{Program: codebook.ThePurser, Addr: "10.0.0.1:7381", Chosen: old, Items: versions(2, 1),
-		Purser: &codebook.PurserReport{State: "serving", Incs: []uint64{1, 1}, Promised: now, Accepted: now, Keys: 12,
-			Duties: []codebook.DutyReport{{Duty: "teach", By: 42, LeftMs: 1500}}}, Counts: map[string]int64{"claims": 14, "denied": 2}}
-	g := codebook.Reported{Program: codebook.TheTug, Node: "side-0001", Zone: "east", Addr: "10.1.0.1:7382", Life: 100, Chosen: old, Items: versions(2, 1),
-		Tug: &codebook.TugReport{Ready: true, From: "10.0.0.1:7380", FromMs: 300, FreshMs: 40, Tokens: 495, Rations: map[string]float64{"pump": 9.5},
-			Begun: codebook.Book{AtWork: 1, Done: 5, Unknown: 1, Bytes: 2048}, Ran: codebook.Book{Done: 3}, Running: 2, Waiting: 1},
+	p := messages.Reported{Program: messages.ThePurser, Addr: "10.0.0.1:7381", Chosen: old, Items: versions(2, 1),
+		Purser: &messages.PurserReport{State: "serving", Incs: []uint64{1, 1}, Promised: now, Accepted: now, Keys: 12,
+			Duties: []messages.DutyReport{{Duty: "teach", By: 42, LeftMs: 1500}}}, Counts: map[string]int64{"claims": 14, "denied": 2}}
+	g := messages.Reported{Program: messages.TheTug, Node: "side-0001", Zone: "east", Addr: "10.1.0.1:7382", Life: 100, Chosen: old, Items: versions(2, 1),
+		Tug: &messages.TugReport{Ready: true, From: "10.0.0.1:7380", FromMs: 300, FreshMs: 40, Tokens: 495, Rations: map[string]float64{"pump": 9.5},
+			Begun: messages.Book{AtWork: 1, Done: 5, Unknown: 1, Bytes: 2048}, Ran: messages.Book{Done: 3}, Running: 2, Waiting: 1},
 		Counts: map[string]int64{"claims": 9, "claims_lost": 1}}
 	mine := fleetBerths(n)
 	mine[1].InFlight, mine[1].AwayMs = 3, 800
 	g.SetBerths(mine, false)
 	l := &Look{At: noon}
-	for _, r := range []codebook.Reported{h, p, g} {
+	for _, r := range []messages.Reported{h, p, g} {
 		l.Agents = append(l.Agents, &Agent{Program: r.Program, Node: r.Node, Zone: r.Zone, Addr: r.Addr, Told: told(r)})
 	}
-	l.Agents = append(l.Agents, &Agent{Program: codebook.ThePurser, Addr: "10.0.0.2:7381", Trouble: "no answer in time"},
-		&Agent{Program: codebook.TheTug, Addr: "10.1.0.2:7382", Trouble: "can't be reached"})
+	l.Agents = append(l.Agents, &Agent{Program: messages.ThePurser, Addr: "10.0.0.2:7381", Trouble: "no answer in time"},
+		&Agent{Program: messages.TheTug, Addr: "10.1.0.2:7382", Trouble: "can't be reached"})
 	l.settle()
 	return l
 }
@@ -215,7 +215,7 @@
 	// A proxy keeps no tombstones, and still lacks what stands.
 	core := l.Agents[0].Told
 	for _, dropped := range []bool{true, false} {
-		core.Items = append(slices.Clone(core.Items[:2]), codebook.ItemReport{Key: manifest.Key{Kind: manifest.Routes, Name: "gone"}, Version: 9, Dropped: dropped})
+		core.Items = append(slices.Clone(core.Items[:2]), messages.ItemReport{Key: configuration.Key{Kind: configuration.Routes, Name: "gone"}, Version: 9, Dropped: dropped})
 		told := slices.ContainsFunc(m.Note(l), func(d Difference) bool { return strings.Contains(d.Name, "gone") })
 		if told == dropped {
 			t.Errorf("dropped %v, told %v", dropped, told)
@@ -260,11 +260,11 @@
 
 // A report of the largest kind stays within its bound, and says what it left out.
 func TestReportBound(t *testing.T) {
-	r := codebook.Reported{Harbour: &codebook.HarbourReport{}}
-	var items []codebook.ItemReport
+	r := messages.Reported{Harbour: &messages.HarbourReport{}}
+	var items []messages.ItemReport
 	var pullers []string
 	for i := range 5000 {
-		items = append(items, codebook.ItemReport{Key: manifest.Key{Name: strings.Repeat("x", 60) + fmt.Sprint(i)}, Version: 1 << 40})
+		items = append(items, messages.ItemReport{Key: configuration.Key{Name: strings.Repeat("x", 60) + fmt.Sprint(i)}, Version: 1 << 40})
 		pullers = append(pullers, fmt.Sprintf("side-%04d", i))
 	}
 	r.SetItems(items)
--- a/internal/lookout/mesh_test.go
+++ b/internal/lookout/mesh_test.go
@@ -8,15 +8,15 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/articles"
 	"saltmast/internal/drydock/sea"
-	"saltmast/internal/harbour"
 	"saltmast/internal/proxy"
-	"saltmast/internal/signal"
+	"saltmast/internal/registry"
+	"saltmast/internal/rpc"
+	"saltmast/internal/settings"
 	"saltmast/internal/store"
 )
 
-func encode(v any) []byte { return signal.Encode(v) }
+func encode(v any) []byte { return rpc.Encode(v) }
 
 // The programs themselves, on a network in memory: all are found from one harbourmaster, agree, and one that dies is shown.
 func TestRealMesh(t *testing.T) {
@@ -24,8 +24,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := sea.New(1)
 		log := func(string, string) {}
-		settings := func(name, ip, zone string) *articles.Settings {
-			return &articles.Settings{NodeName: name, IP: ip, Zone: zone, Ports: [2]int{7380, 7395}, Heartbeat: time.Second, Bounds: articles.DefaultBounds(),
+		settings := func(name, ip, zone string) *settings.Settings {
+			return &settings.Settings{NodeName: name, IP: ip, Zone: zone, Ports: [2]int{7380, 7395}, Heartbeat: time.Second, Bounds: settings.DefaultBounds(),
 				Bootstrap: true, MemoryMB: 100, Seeds: []string{"10.1.0.2:80", "10.2.0.2:80", "10.3.0.2:80"},
 				Listen: map[string]string{"control-plane": net.JoinHostPort(ip, "9100"), "outbound": net.JoinHostPort(ip, "9101")}}
 		}
@@ -40,7 +40,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			hr, err := harbour.Launch(c, log, h)
+			hr, err := registry.Launch(c, log, h)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/lookout/roll.go
+++ b/internal/lookout/roll.go
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
-	"saltmast/internal/codebook"
 	"saltmast/internal/consensus"
 	"saltmast/internal/errcode"
-	"saltmast/internal/signal"
+	"saltmast/internal/messages"
+	"saltmast/internal/rpc"
 )
 
 // rollArgs are those of the one command that changes something.
@@ -25,7 +25,7 @@
 // change asks the first harbourmaster that answers for another roll. One that was asked and breaks off may have changed it: no
 // other is asked then.
 func (r *rollArgs) change(at []string, out io.Writer, wrong func(string, ...any) int) int {
-	call := codebook.RollsCall{Voters: r.Voters, Dry: r.Dry}
+	call := messages.RollsCall{Voters: r.Voters, Dry: r.Dry}
 	for _, x := range r.Replace {
 		old, by, ok := strings.Cut(x, "=")
 		if !ok || old == "" || by == "" {
@@ -37,9 +37,9 @@
 		return wrong("roll: nodes or --replace wanted")
 	}
 	for _, addr := range at {
-		c := signal.NewClient(nil, addr)
-		var t codebook.RollsTold
-		err := c.Call(codebook.Rolls, call, &t, rollWait)
+		c := rpc.NewClient(nil, addr)
+		var t messages.RollsTold
+		err := c.Call(messages.Rolls, call, &t, rollWait)
 		c.Close()
 		switch {
 		case errcode.Of(err) == errcode.Away:
@@ -65,7 +65,7 @@
 }
 
 // nodes are the voters of a roll, those that founded it by their addresses.
-func nodes(r codebook.Roll) string {
+func nodes(r messages.Roll) string {
 	var out []string
 	for _, v := range r.Voters {
 		if v.Name == v.Addr {
--- a/internal/lookout/tables.go
+++ b/internal/lookout/tables.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"saltmast/internal/backends"
-	"saltmast/internal/codebook"
+	"saltmast/internal/messages"
 )
 
 // Picture is one look as tables.
@@ -122,7 +122,7 @@
 }
 
 func millis(ms uint32) string {
-	if ms >= codebook.Never {
+	if ms >= messages.Never {
 		return "never"
 	}
 	return span(time.Duration(ms) * time.Millisecond)
@@ -166,7 +166,7 @@
 		{Name: "ration left", Most: 60, Spare: true}, {Name: "address", Spare: true}}}
 	masters := map[string]string{}
 	for _, a := range l.Agents {
-		if a.Program == codebook.TheHarbour {
+		if a.Program == messages.TheHarbour {
 			masters[a.Addr] = a.Node
 		}
 	}
@@ -178,7 +178,7 @@
 			cells[8], cells[9] = span(time.Duration(r.UpMs)*time.Millisecond), r.Version
 			if r.Tug != nil {
 				cells[6] = cmp.Or(masters[r.Tug.From], r.Tug.From, "none")
-				cells[7] = millis(min(codebook.Never, r.Tug.FromMs+r.Tug.FreshMs))
+				cells[7] = millis(min(messages.Never, r.Tug.FromMs+r.Tug.FreshMs))
 				cells[10] = strconv.FormatFloat(r.Tug.Tokens, 'f', 0, 64)
 				cells[11] = rationText(r.Tug)
 			}
@@ -191,7 +191,7 @@
 	return t
 }
 
-func rationText(r *codebook.TugReport) string {
+func rationText(r *messages.TugReport) string {
 	var parts []string
 	for s, x := range r.Rations {
 		parts = append(parts, fmt.Sprintf("%s %.1f", s, x))
@@ -205,7 +205,7 @@
 
 // Backend is what all agents together know of one.
 type Backend struct {
-	codebook.BerthReport
+	messages.BerthReport
 	Running, Waiting int // as its own tug tells
 	Known            bool
 	Sent, Away       int  // attempts there of all tugs that told; how many of those try it last
--- a/internal/roster/news_test.go
+++ b/internal/membership/news_test.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 import (
 	"bytes"
--- a/internal/roster/roster.go
+++ b/internal/membership/roster.go
@@ -1,4 +1,4 @@
-// Package roster knows which other members there are and which of them answer. It is a state machine: the caller hands in the
+// Package membership knows which other members there are and which of them answer. It is a state machine: the caller hands in the
 // time, datagrams and what else it has heard, and gets back what is to be sent. It starts no goroutine, opens no socket and
 // reads no clock, so that a whole fleet can be played in virtual time. Package udp below it carries one on a real socket.
 //
@@ -21,7 +21,7 @@
 // At rest each member sends one probe and one answer a period, about 46 bytes each with names of 17 bytes, whatever the size of
 // the fleet. While there is news, eight further datagrams a period at the most go out, and each of them is at most
 // DatagramBytes long.
-package roster
+package membership
 
 import (
 	"errors"
--- a/internal/masthead/masthead.go
+++ b/internal/membership/transport/masthead.go
@@ -1,7 +1,7 @@
-// Package masthead is a program's part in the roster of the mesh: which proxies and harbourmasters answer, by the address where
+// Package transport is a program's part in the roster of the mesh: which proxies and harbourmasters answer, by the address where
 // the rest of the mesh calls them. It carries and says; who is left alone for it is decided by those who ask. A nil *Masthead
 // knows of nobody, and is what a program without a place for datagrams goes on with. Start reading at Start.
-package masthead
+package transport
 
 import (
 	"encoding/binary"
@@ -12,10 +12,10 @@
 	"sync/atomic"
 	"time"
 
-	"saltmast/internal/articles"
-	"saltmast/internal/codebook"
-	"saltmast/internal/roster"
-	"saltmast/internal/roster/udp"
+	"saltmast/internal/membership"
+	"saltmast/internal/membership/udp"
+	"saltmast/internal/messages"
+	"saltmast/internal/settings"
 	"saltmast/internal/sock"
 )
 
@@ -33,7 +33,7 @@
 	Node, Zone string
 	Addr       string // host:port of its gate, or of its calls by signal
 	Role       uint8
-	State      roster.State
+	State      membership.State
 }
 
 // Masthead is one program's part. Its methods may be called by any goroutine.
@@ -56,17 +56,17 @@
 }
 
 // letters begin the names of members: a machine may have one of each role.
-var letters = map[uint8]string{codebook.RoleHarbour: "h", codebook.RoleTug: "t"}
+var letters = map[uint8]string{messages.RoleHarbour: "h", messages.RoleTug: "t"}
 
 // Start takes part by the settings, in a role, at the place of its port; port is the place where the mesh calls it. It
 // returns nil, with a line in the log, where there can be no part.
-func Start(s *articles.Settings, role uint8, place, port int, life uint64, on sock.Net, log func(event, text string)) *Masthead {
+func Start(s *settings.Settings, role uint8, place, port int, life uint64, on sock.Net, log func(event, text string)) *Masthead {
 	return start(s, role, place, port, life, on, log, 0)
 }
 
 // start is Start with room for so many names; 0: as many as a roster has by itself.
-func start(s *articles.Settings, role uint8, place, port int, life uint64, on sock.Net, log func(event, text string), names int) *Masthead {
-	m := &Masthead{first: s.Ports[0], log: log, begun: time.Now(), Changed: make(chan struct{}, 1), place: codebook.RosterPort}
+func start(s *settings.Settings, role uint8, place, port int, life uint64, on sock.Net, log func(event, text string), names int) *Masthead {
+	m := &Masthead{first: s.Ports[0], log: log, begun: time.Now(), Changed: make(chan struct{}, 1), place: messages.RosterPort}
 	m.peers.Store(&map[string]*peer{})
 	addr := s.Port(place)
 	own, err := netip.ParseAddrPort(addr)
@@ -74,7 +74,7 @@
 		log("roster", "none: no port for it in ephemeral-ports")
 		return nil
 	}
-	self := roster.Member{Name: letters[role] + s.NodeName, Life: life, Addr: own, Zone: s.Zone, Role: role,
+	self := membership.Member{Name: letters[role] + s.NodeName, Life: life, Addr: own, Zone: s.Zone, Role: role,
 		Meta: binary.BigEndian.AppendUint16(nil, uint16(s.Ports[0]+port))}
 	if err := self.Check(); err != nil {
 		log("roster", "none: "+err.Error())
@@ -85,15 +85,15 @@
 		log("roster", "none: "+err.Error())
 		return nil
 	}
-	m.carriage = udp.Start(udp.Options{Conn: conn, OnChange: m.changed, Roster: roster.Options{Self: self, Seeds: m.seeds(s),
+	m.carriage = udp.Start(udp.Options{Conn: conn, OnChange: m.changed, Roster: membership.Options{Self: self, Seeds: m.seeds(s),
 		Rand: rand.New(rand.NewSource(int64(life))), Period: Period, MaxMembers: names}})
 	return m
 }
 
 // seeds are the harbourmasters beside the seeds.
-func (m *Masthead) seeds(s *articles.Settings) (out []netip.AddrPort) {
+func (m *Masthead) seeds(s *settings.Settings) (out []netip.AddrPort) {
 	for _, x := range s.Seeds {
-		if a, err := netip.ParseAddrPort(codebook.Beside(x, m.first, m.place)); err == nil {
+		if a, err := netip.ParseAddrPort(messages.Beside(x, m.first, m.place)); err == nil {
 			out = append(out, a)
 		}
 	}
@@ -101,7 +101,7 @@
 }
 
 // changed takes what changed in the roster. It is called by the roster's owner.
-func (m *Masthead) changed(changes []roster.Change) {
+func (m *Masthead) changed(changes []membership.Change) {
 	old := *m.peers.Load()
 	peers := make(map[string]*peer, len(old))
 	for addr, p := range old {
@@ -109,7 +109,7 @@
 	}
 	for _, c := range changes {
 		is := c.Is
-		if len(is.Meta) < 2 || len(is.Name) < 2 || is.Role != codebook.RoleHarbour && is.Role != codebook.RoleTug {
+		if len(is.Meta) < 2 || len(is.Name) < 2 || is.Role != messages.RoleHarbour && is.Role != messages.RoleTug {
 			continue // of another version, which tells more
 		}
 		addr := net.JoinHostPort(is.Addr.Addr().String(), strconv.Itoa(int(binary.BigEndian.Uint16(is.Meta))))
@@ -119,7 +119,7 @@
 			p.told.Store(o.told.Load())
 		}
 		peers[addr] = p
-		if is.State == roster.Unknown {
+		if is.State == membership.Unknown {
 			delete(peers, addr)
 		}
 		m.say(c, p)
@@ -132,11 +132,11 @@
 }
 
 // say logs what became of a member that was known.
-func (m *Masthead) say(c roster.Change, p *peer) {
+func (m *Masthead) say(c membership.Change, p *peer) {
 	what := ""
 	switch was, is := c.Was.State, c.Is.State; {
-	case was == roster.Unknown || is == roster.Unknown || was == is:
-	case is == roster.Alive:
+	case was == membership.Unknown || is == membership.Unknown || was == is:
+	case is == membership.Alive:
 		what = "back"
 	default:
 		what = is.String()
@@ -163,14 +163,14 @@
 }
 
 // State is how the one who is called at addr is held; Unknown: nothing is known of it.
-func (m *Masthead) State(addr string) roster.State {
+func (m *Masthead) State(addr string) membership.State {
 	if m == nil {
-		return roster.Unknown
+		return membership.Unknown
 	}
 	if p := (*m.peers.Load())[addr]; p != nil {
 		return p.State
 	}
-	return roster.Unknown
+	return membership.Unknown
 }
 
 // Lives says whether the one who is called at addr counts as a member, or was heard just now. A roster that is full says nothing of
@@ -199,7 +199,7 @@
 		return out
 	}
 	for addr, p := range *m.peers.Load() {
-		if p.Role == role && p.State != roster.Alive && !m.justHeard(p) {
+		if p.Role == role && p.State != membership.Alive && !m.justHeard(p) {
 			out[addr] = true
 		}
 	}
@@ -227,7 +227,7 @@
 func (m *Masthead) Alive(role uint8) map[string]bool {
 	out := map[string]bool{}
 	for _, p := range m.Peers(role) {
-		if p.State == roster.Alive {
+		if p.State == membership.Alive {
 			out[p.Node] = true
 		}
 	}
@@ -238,7 +238,7 @@
 func (m *Masthead) Alone() bool { return m == nil || m.carriage.Snapshot().Live < 2 }
 
 // Reload takes the seeds of other settings.
-func (m *Masthead) Reload(s *articles.Settings) {
+func (m *Masthead) Reload(s *settings.Settings) {
 	if m != nil {
 		m.carriage.SetSeeds(m.seeds(s))
 	}
--- a/internal/masthead/masthead_test.go
+++ b/internal/membership/transport/masthead_test.go
@@ -1,4 +1,4 @@
-package masthead
+package transport
 
 import (
 	"net"
@@ -10,10 +10,10 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/articles"
-	"saltmast/internal/codebook"
 	"saltmast/internal/drydock/sea"
-	"saltmast/internal/roster"
+	"saltmast/internal/membership"
+	"saltmast/internal/messages"
+	"saltmast/internal/settings"
 )
 
 // TestWatch: three core machines and four others. One of these freezes, one is heard, one leaves.
@@ -32,11 +32,11 @@
 		for i := range 7 {
 			m := s.Machine("10.0.0."+strconv.Itoa(i+1), "east")
 			p := m.Start()
-			set := &articles.Settings{NodeName: "n" + strconv.Itoa(i), IP: m.IP, Zone: "east", Ports: [2]int{7000, 7010},
+			set := &settings.Settings{NodeName: "n" + strconv.Itoa(i), IP: m.IP, Zone: "east", Ports: [2]int{7000, 7010},
 				Seeds: []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}}
-			role, place, port := codebook.RoleTug, codebook.RosterTugPort, codebook.GatePort
+			role, place, port := messages.RoleTug, messages.RosterTugPort, messages.GatePort
 			if i < 3 {
-				role, place, port = codebook.RoleHarbour, codebook.RosterPort, codebook.HarbourPort
+				role, place, port = messages.RoleHarbour, messages.RosterPort, messages.HarbourPort
 			}
 			machines = append(machines, m)
 			heads = append(heads, Start(set, role, place, port, uint64(i+1), p, log))
@@ -44,7 +44,7 @@
 		time.Sleep(5 * time.Second)
 		tug := func(i int) string { return net.JoinHostPort(machines[i].IP, "7002") }
 		first := heads[3]
-		if n, m := len(first.Peers(codebook.RoleTug)), len(first.Peers(codebook.RoleHarbour)); n != 3 || m != 3 || !first.Lives(tug(4)) {
+		if n, m := len(first.Peers(messages.RoleTug)), len(first.Peers(messages.RoleHarbour)); n != 3 || m != 3 || !first.Lives(tug(4)) {
 			t.Fatalf("%d and %d others are known", n, m)
 		}
 		if len(said) > 0 {
@@ -55,7 +55,7 @@
 		// Each probes the six others in turn, so the first knows it within a turn and the time of a probe; the others soon after.
 		hold := func() (n int) {
 			for i, h := range heads {
-				if silent := h.Silent(codebook.RoleTug); i != 5 && len(silent) == 1 && silent[tug(5)] {
+				if silent := h.Silent(messages.RoleTug); i != 5 && len(silent) == 1 && silent[tug(5)] {
 					n++
 				} else if len(silent) > 0 {
 					t.Errorf("%d: silent are %v", i, silent)
@@ -75,13 +75,13 @@
 		within(7*Period, 1)
 		within(Period, 6)
 		first.Heard(tug(5))
-		if len(first.Silent(codebook.RoleTug)) > 0 {
+		if len(first.Silent(messages.RoleTug)) > 0 {
 			t.Error("one that was heard just now is silent")
 		}
 		machines[5].Freeze(false)
 		time.Sleep(3 * time.Second)
 		for i, h := range heads {
-			if silent := h.Silent(codebook.RoleTug); i != 5 && len(silent) > 0 {
+			if silent := h.Silent(messages.RoleTug); i != 5 && len(silent) > 0 {
 				t.Errorf("%d: silent are still %v", i, silent)
 			}
 		}
@@ -106,7 +106,7 @@
 		heads[6].Leave()
 		heads[6].Close()
 		time.Sleep(time.Second)
-		if st := first.State(tug(6)); st != roster.Left {
+		if st := first.State(tug(6)); st != membership.Left {
 			t.Errorf("one that left is held %v", st)
 		}
 		for _, h := range heads {
@@ -120,7 +120,7 @@
 		var none *Masthead
 		none.Heard("x")
 		none.Close()
-		if !none.Alone() || !none.Lives("x") || none.State("x") != roster.Unknown || len(none.Silent(codebook.RoleTug)) > 0 {
+		if !none.Alone() || !none.Lives("x") || none.State("x") != membership.Unknown || len(none.Silent(messages.RoleTug)) > 0 {
 			t.Error("without a roster somebody is told apart")
 		}
 	})
@@ -136,10 +136,10 @@
 		var heads []*Masthead
 		for i := range members {
 			m := s.Machine("10.0.0."+strconv.Itoa(i+1), "east")
-			set := &articles.Settings{NodeName: "n" + strconv.Itoa(i), IP: m.IP, Zone: "east", Ports: [2]int{7000, 7010}, Seeds: []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}}
-			role, place, port := codebook.RoleTug, codebook.RosterTugPort, codebook.GatePort
+			set := &settings.Settings{NodeName: "n" + strconv.Itoa(i), IP: m.IP, Zone: "east", Ports: [2]int{7000, 7010}, Seeds: []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}}
+			role, place, port := messages.RoleTug, messages.RosterTugPort, messages.GatePort
 			if i < 3 {
-				role, place, port = codebook.RoleHarbour, codebook.RosterPort, codebook.HarbourPort
+				role, place, port = messages.RoleHarbour, messages.RosterPort, messages.HarbourPort
 			}
 			machines = append(machines, m)
 			heads = append(heads, start(set, role, place, port, uint64(i+1), m.Start(), func(string, string) {}, names))
@@ -155,7 +155,7 @@
 				if !h.Lives(tug(j)) {
 					t.Errorf("%d takes %d for gone", i, j)
 				}
-				if h.State(tug(j)) == roster.Unknown {
+				if h.State(tug(j)) == membership.Unknown {
 					unknown++
 				} else {
 					known, frozen = known+1, j
@@ -171,11 +171,11 @@
 		for i, h := range heads {
 			switch st := h.State(tug(frozen)); {
 			case i == frozen:
-			case st == roster.Unknown && !h.Lives(tug(frozen)):
+			case st == membership.Unknown && !h.Lives(tug(frozen)):
 				t.Errorf("%d has no place for it and takes it for gone", i)
-			case st != roster.Unknown && h.Lives(tug(frozen)):
+			case st != membership.Unknown && h.Lives(tug(frozen)):
 				t.Errorf("%d holds the frozen one %v", i, st)
-			case st != roster.Unknown:
+			case st != membership.Unknown:
 				gone++
 			}
 		}
--- a/internal/roster/udp/udp.go
+++ b/internal/membership/udp/udp.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"saltmast/internal/roster"
+	"saltmast/internal/membership"
 )
 
 // ErrClosed is returned for what comes after Close.
@@ -20,20 +20,20 @@
 // Options are what Start needs.
 type Options struct {
 	Conn   net.PacketConn // UDP; belongs to the carriage from Start on, and is closed by Close
-	Roster roster.Options
+	Roster membership.Options
 	// Queue is how many commands and datagrams may wait; 256. When it is full, datagrams and Heard are dropped and counted, the
 	// other calls wait.
 	Queue int
 	// OnChange is called by the owner with what changed, in order, after the snapshot that shows it stands. It has to return at
 	// once and must not call Leave or Close. May be nil.
-	OnChange func([]roster.Change)
+	OnChange func([]membership.Change)
 }
 
 // Snapshot is the roster at one time. It is not to be changed.
 type Snapshot struct {
 	At      time.Duration // on the clock of Now
-	Self    roster.Member
-	Members []roster.Status // by name, this one included
+	Self    membership.Member
+	Members []membership.Status // by name, this one included
 	Live    int
 	Full    bool // see roster.Roster.Full
 	Digest  uint32
@@ -41,9 +41,9 @@
 
 // Counts are totals since Start.
 type Counts struct {
-	Roster   roster.Counts // at most one period old
-	Dropped  uint64        // datagrams and calls of Heard that found the queue full
-	Unsent   uint64        // datagrams that the socket refused
+	Roster   membership.Counts // at most one period old
+	Dropped  uint64            // datagrams and calls of Heard that found the queue full
+	Unsent   uint64            // datagrams that the socket refused
 	ReadErrs uint64
 }
 
@@ -58,7 +58,7 @@
 	wg    sync.WaitGroup
 
 	snapshot atomic.Pointer[Snapshot]
-	counts   atomic.Pointer[roster.Counts]
+	counts   atomic.Pointer[membership.Counts]
 	dropped  atomic.Uint64
 	unsent   atomic.Uint64
 	readErrs atomic.Uint64
@@ -69,7 +69,7 @@
 	from     netip.AddrPort
 	datagram []byte
 	heard    string
-	do       func(r *roster.Roster, now time.Duration) []roster.Send
+	do       func(r *membership.Roster, now time.Duration) []membership.Send
 }
 
 // Start begins to carry a roster. Its Options must be right, see roster.New.
@@ -78,7 +78,7 @@
 		o.Queue = 256
 	}
 	c := &Carriage{o: o, conn: o.Conn, start: time.Now(), queue: make(chan command, o.Queue), done: make(chan struct{})}
-	r := roster.New(o.Roster, 0)
+	r := membership.New(o.Roster, 0)
 	c.publish(r, true)
 	c.wg.Add(2)
 	go c.read()
@@ -102,7 +102,7 @@
 
 // SetSeeds replaces the seeds. It returns ErrClosed after Close.
 func (c *Carriage) SetSeeds(seeds []netip.AddrPort) error {
-	return c.do(func(r *roster.Roster, now time.Duration) []roster.Send {
+	return c.do(func(r *membership.Roster, now time.Duration) []membership.Send {
 		r.SetSeeds(now, seeds)
 		return nil
 	})
@@ -111,7 +111,7 @@
 // SetMeta replaces what this member tells of itself. It returns ErrClosed after Close, and roster.ErrMember for too much.
 func (c *Carriage) SetMeta(meta []byte) error {
 	var err error
-	if closed := c.do(func(r *roster.Roster, now time.Duration) []roster.Send {
+	if closed := c.do(func(r *membership.Roster, now time.Duration) []membership.Send {
 		err = r.SetMeta(now, meta)
 		return nil
 	}); closed != nil {
@@ -123,7 +123,7 @@
 // Leave tells others that this member goes for good. It returns once the first datagrams are on their way; Close may follow at
 // once. It returns ErrClosed after Close.
 func (c *Carriage) Leave() error {
-	return c.do(func(r *roster.Roster, now time.Duration) []roster.Send { return r.Leave(now) })
+	return c.do(func(r *membership.Roster, now time.Duration) []membership.Send { return r.Leave(now) })
 }
 
 // Close ends both goroutines and closes the socket. Others are told nothing: to them this member stops to answer.
@@ -138,9 +138,9 @@
 }
 
 // do has the owner do something, and waits until it is done and what it gave out is sent.
-func (c *Carriage) do(f func(*roster.Roster, time.Duration) []roster.Send) error {
+func (c *Carriage) do(f func(*membership.Roster, time.Duration) []membership.Send) error {
 	did := make(chan struct{})
-	cmd := command{do: func(r *roster.Roster, now time.Duration) []roster.Send {
+	cmd := command{do: func(r *membership.Roster, now time.Duration) []membership.Send {
 		defer close(did)
 		c.send(f(r, now))
 		return nil
@@ -169,7 +169,7 @@
 // read hands datagrams to the owner until the socket is closed.
 func (c *Carriage) read() {
 	defer c.wg.Done()
-	b := make([]byte, roster.DatagramBytes+1) // what is longer is cut here and refused there
+	b := make([]byte, membership.DatagramBytes+1) // what is longer is cut here and refused there
 	for {
 		n, from, err := c.conn.ReadFrom(b)
 		if err != nil {
@@ -209,7 +209,7 @@
 }
 
 // own is the owner's loop.
-func (c *Carriage) own(r *roster.Roster) {
+func (c *Carriage) own(r *membership.Roster) {
 	defer c.wg.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -239,7 +239,7 @@
 	}
 }
 
-func (c *Carriage) one(r *roster.Roster, cmd command) {
+func (c *Carriage) one(r *membership.Roster, cmd command) {
 	now := c.Now()
 	switch {
 	case cmd.do != nil:
@@ -252,7 +252,7 @@
 }
 
 // publish makes a snapshot if there are changes, and returns them.
-func (c *Carriage) publish(r *roster.Roster, counts bool) []roster.Change {
+func (c *Carriage) publish(r *membership.Roster, counts bool) []membership.Change {
 	changed := r.Changes()
 	if changed != nil || c.snapshot.Load() == nil {
 		c.snapshot.Store(&Snapshot{At: c.Now(), Self: r.Self(), Members: r.Members(), Live: r.Live(), Full: r.Full(), Digest: r.Digest()})
@@ -265,7 +265,7 @@
 }
 
 // send gives datagrams to the socket. What it does not take is as good as lost on the way.
-func (c *Carriage) send(out []roster.Send) {
+func (c *Carriage) send(out []membership.Send) {
 	for _, s := range out {
 		if _, err := c.conn.WriteTo(s.Data, net.UDPAddrFromAddrPort(s.To)); err != nil {
 			c.unsent.Add(1)
--- a/internal/roster/udp/udp_test.go
+++ b/internal/membership/udp/udp_test.go
@@ -11,26 +11,26 @@
 
 	"go.uber.org/goleak"
 
-	"saltmast/internal/roster"
+	"saltmast/internal/membership"
 )
 
 // harbour is three carriages on loopback, each with a channel on which its owner's changes arrive.
-func launch(t *testing.T, i int, seeds []netip.AddrPort) (*Carriage, netip.AddrPort, chan roster.Change) {
+func launch(t *testing.T, i int, seeds []netip.AddrPort) (*Carriage, netip.AddrPort, chan membership.Change) {
 	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := conn.LocalAddr().(*net.UDPAddr).AddrPort()
-	changes := make(chan roster.Change, 1000)
+	changes := make(chan membership.Change, 1000)
 	c := Start(Options{
 		Conn: conn,
-		Roster: roster.Options{
-			Self:   roster.Member{Name: fmt.Sprint("tug-", i), Life: uint64(i + 1), Addr: addr},
+		Roster: membership.Options{
+			Self:   membership.Member{Name: fmt.Sprint("tug-", i), Life: uint64(i + 1), Addr: addr},
 			Seeds:  seeds,
 			Rand:   rand.New(rand.NewSource(int64(i))),
 			Period: 50 * time.Millisecond,
 		},
-		OnChange: func(cs []roster.Change) {
+		OnChange: func(cs []membership.Change) {
 			for _, ch := range cs {
 				changes <- ch
 			}
@@ -41,7 +41,7 @@
 }
 
 // await reads changes until one says that a member is in a state.
-func await(t *testing.T, changes chan roster.Change, name string, s roster.State) {
+func await(t *testing.T, changes chan membership.Change, name string, s membership.State) {
 	t.Helper()
 	bound := time.After(20 * time.Second)
 	for {
@@ -61,24 +61,24 @@
 	a, addr, fromA := launch(t, 0, nil)
 	b, _, fromB := launch(t, 1, []netip.AddrPort{addr})
 	c, _, _ := launch(t, 2, []netip.AddrPort{addr})
-	await(t, fromA, "tug-1", roster.Alive)
-	await(t, fromB, "tug-2", roster.Alive)
+	await(t, fromA, "tug-1", membership.Alive)
+	await(t, fromB, "tug-2", membership.Alive)
 	if s := a.Snapshot(); len(s.Members) < 2 || s.Members[0].Name != "tug-0" {
 		t.Errorf("the snapshot is %+v", s)
 	}
 	if err := b.SetMeta([]byte("berth 7")); err != nil {
 		t.Error(err)
 	}
-	if err := b.SetMeta(make([]byte, roster.MetaBytes+1)); !errors.Is(err, roster.ErrMember) {
+	if err := b.SetMeta(make([]byte, membership.MetaBytes+1)); !errors.Is(err, membership.ErrMember) {
 		t.Errorf("too much meta: %v", err)
 	}
 	b.Heard("tug-0")
 	if err := b.Leave(); err != nil {
 		t.Error(err)
 	}
-	await(t, fromA, "tug-1", roster.Left)
+	await(t, fromA, "tug-1", membership.Left)
 	c.Close()
-	await(t, fromA, "tug-2", roster.Dead)
+	await(t, fromA, "tug-2", membership.Dead)
 	for _, x := range []*Carriage{a, b} {
 		if err := x.Close(); err != nil {
 			t.Error(err)
--- a/internal/codebook/codebook.go
+++ b/internal/messages/codebook.go
@@ -1,6 +1,6 @@
-// Package codebook holds the messages that the mesh's programs send each other, and the places of their ports. A message may
+// Package messages holds the messages that the mesh's programs send each other, and the places of their ports. A message may
 // gain fields; a reader ignores those that it does not know.
-package codebook
+package messages
 
 import (
 	"cmp"
@@ -9,10 +9,10 @@
 	"strconv"
 
 	"saltmast/internal/backends"
+	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
 	"saltmast/internal/idempotency"
 	"saltmast/internal/lease"
-	"saltmast/internal/manifest"
 	"saltmast/internal/reconfig"
 )
 
@@ -70,27 +70,27 @@
 
 // PrepareCall asks for the promise to take no ballot below B.
 type PrepareCall struct {
-	B     manifest.Ballot `cbor:"1,keyasint"`
-	Epoch uint64          `cbor:"2,keyasint"`
-	Have  manifest.Ballot `cbor:"3,keyasint"` // chosen, and held whole: the member tells what changed after it
+	B     configuration.Ballot `cbor:"1,keyasint"`
+	Epoch uint64               `cbor:"2,keyasint"`
+	Have  configuration.Ballot `cbor:"3,keyasint"` // chosen, and held whole: the member tells what changed after it
 }
 
 // AcceptCall tells the value of ballot B by its items that changed after ballot Base, up to which the member holds all items of
 // what was chosen.
 type AcceptCall struct {
-	B       manifest.Ballot `cbor:"1,keyasint"`
-	Base    manifest.Ballot `cbor:"2,keyasint"`
-	Changes []manifest.Item `cbor:"3,keyasint"`
-	Epoch   uint64          `cbor:"4,keyasint"`
+	B       configuration.Ballot `cbor:"1,keyasint"`
+	Base    configuration.Ballot `cbor:"2,keyasint"`
+	Changes []configuration.Item `cbor:"3,keyasint"`
+	Epoch   uint64               `cbor:"4,keyasint"`
 }
 
 // Accepted answers an AcceptCall, a LearnCall or a TurnCall.
 type Accepted struct {
-	Vouch    consensus.Vouch `cbor:"1,keyasint"`
-	Taken    bool            `cbor:"2,keyasint"`
-	Promised manifest.Ballot `cbor:"3,keyasint"`
-	Accepted manifest.Ballot `cbor:"4,keyasint"` // where it was not taken: what stands there
-	Chosen   manifest.Ballot `cbor:"5,keyasint"` // it holds all items up to this
+	Vouch    consensus.Vouch      `cbor:"1,keyasint"`
+	Taken    bool                 `cbor:"2,keyasint"`
+	Promised configuration.Ballot `cbor:"3,keyasint"`
+	Accepted configuration.Ballot `cbor:"4,keyasint"` // where it was not taken: what stands there
+	Chosen   configuration.Ballot `cbor:"5,keyasint"` // it holds all items up to this
 }
 
 // TurnCall brings a page of a chosen value to a member that missed it.
@@ -101,33 +101,33 @@
 
 // LearnCall tells that the value of ballot B was chosen.
 type LearnCall struct {
-	B manifest.Ballot `cbor:"1,keyasint"`
+	B configuration.Ballot `cbor:"1,keyasint"`
 }
 
 // WatchCall asks a purser for what was chosen after Have; the answer waits up to HoldMs for news.
 type WatchCall struct {
-	Have   manifest.Ballot `cbor:"1,keyasint"`
-	HoldMs uint32          `cbor:"2,keyasint"`
-	Epoch  uint64          `cbor:"3,keyasint"`           // of the roll that the caller has
-	Open   bool            `cbor:"4,keyasint,omitempty"` // that the member is sealed is news
+	Have   configuration.Ballot `cbor:"1,keyasint"`
+	HoldMs uint32               `cbor:"2,keyasint"`
+	Epoch  uint64               `cbor:"3,keyasint"`           // of the roll that the caller has
+	Open   bool                 `cbor:"4,keyasint,omitempty"` // that the member is sealed is news
 }
 
 // Watched is a purser's state as far as the caller lacks it.
 type Watched struct {
-	Vouch    consensus.Vouch `cbor:"1,keyasint"` // By is -1 where it does not count
-	Promised manifest.Ballot `cbor:"2,keyasint"`
-	Accepted manifest.Ballot `cbor:"3,keyasint"`
-	Chosen   manifest.Ballot `cbor:"4,keyasint"` // it holds all items up to this
-	Items    []manifest.Item `cbor:"5,keyasint"` // of the chosen value, that changed after From, up to Upto
-	Roll     Roll            `cbor:"6,keyasint"`
-	State    string          `cbor:"7,keyasint"` // serving, repairing, without disk, apart
-	Keys     int             `cbor:"8,keyasint"`
-	Shut     bool            `cbor:"9,keyasint,omitempty"` // sealed: a change of the roll is under way
-	Mark     uint64          `cbor:"10,keyasint,omitempty"`
-	HeldMs   uint32          `cbor:"14,keyasint,omitempty"` // for so long the call waited here: the rest of its time is the way's, or somebody slept
-	From     manifest.Ballot `cbor:"13,keyasint"`           // Have, as it was asked
-	Upto     manifest.Ballot `cbor:"11,keyasint"`           // with all up to Chosen, the page is the last
-	Known    manifest.Ballot `cbor:"12,keyasint"`           // the highest that it knows to be chosen: higher than Chosen while it catches up
+	Vouch    consensus.Vouch      `cbor:"1,keyasint"` // By is -1 where it does not count
+	Promised configuration.Ballot `cbor:"2,keyasint"`
+	Accepted configuration.Ballot `cbor:"3,keyasint"`
+	Chosen   configuration.Ballot `cbor:"4,keyasint"` // it holds all items up to this
+	Items    []configuration.Item `cbor:"5,keyasint"` // of the chosen value, that changed after From, up to Upto
+	Roll     Roll                 `cbor:"6,keyasint"`
+	State    string               `cbor:"7,keyasint"` // serving, repairing, without disk, apart
+	Keys     int                  `cbor:"8,keyasint"`
+	Shut     bool                 `cbor:"9,keyasint,omitempty"` // sealed: a change of the roll is under way
+	Mark     uint64               `cbor:"10,keyasint,omitempty"`
+	HeldMs   uint32               `cbor:"14,keyasint,omitempty"` // for so long the call waited here: the rest of its time is the way's, or somebody slept
+	From     configuration.Ballot `cbor:"13,keyasint"`           // Have, as it was asked
+	Upto     configuration.Ballot `cbor:"11,keyasint"`           // with all up to Chosen, the page is the last
+	Known    configuration.Ballot `cbor:"12,keyasint"`           // the highest that it knows to be chosen: higher than Chosen while it catches up
 }
 
 // Page is what is told of the chosen value.
@@ -172,25 +172,25 @@
 	Inc  uint64 `cbor:"2,keyasint"` // 0: step 1
 	From string `cbor:"3,keyasint"` // claims of keys after this one
 
-	Have manifest.Ballot `cbor:"4,keyasint"` // items after this ballot
+	Have configuration.Ballot `cbor:"4,keyasint"` // items after this ballot
 }
 
 // Mustered answers a MusterCall. Its books come in parts: first the items of the base, then the rest of the claims. What is
 // told beside is of the moment of the part.
 type Mustered struct {
-	Vouch    consensus.Vouch `cbor:"1,keyasint"`
-	Promised manifest.Ballot `cbor:"2,keyasint"`
-	Accepted manifest.Ballot `cbor:"3,keyasint"`
-	Chosen   manifest.Ballot `cbor:"4,keyasint"`
-	Items    []manifest.Item `cbor:"5,keyasint"` // of the base, up to Upto
-	Claims   []ClaimCall     `cbor:"6,keyasint"`
-	More     bool            `cbor:"7,keyasint"` // claims
-	Roll     Roll            `cbor:"8,keyasint"`
-	Former   bool            `cbor:"9,keyasint,omitempty"` // the value was accepted in a former epoch
-	Seal     *reconfig.Seal  `cbor:"10,keyasint,omitempty"`
-	Upto     manifest.Ballot `cbor:"11,keyasint"` // less than Base: there are more items
-	Base     manifest.Ballot `cbor:"12,keyasint"` // of the chosen value, or of the accepted one where it holds no chosen one whole
-	Delta    []manifest.Item `cbor:"13,keyasint"` // of the accepted value, that changed after Base
+	Vouch    consensus.Vouch      `cbor:"1,keyasint"`
+	Promised configuration.Ballot `cbor:"2,keyasint"`
+	Accepted configuration.Ballot `cbor:"3,keyasint"`
+	Chosen   configuration.Ballot `cbor:"4,keyasint"`
+	Items    []configuration.Item `cbor:"5,keyasint"` // of the base, up to Upto
+	Claims   []ClaimCall          `cbor:"6,keyasint"`
+	More     bool                 `cbor:"7,keyasint"` // claims
+	Roll     Roll                 `cbor:"8,keyasint"`
+	Former   bool                 `cbor:"9,keyasint,omitempty"` // the value was accepted in a former epoch
+	Seal     *reconfig.Seal       `cbor:"10,keyasint,omitempty"`
+	Upto     configuration.Ballot `cbor:"11,keyasint"` // less than Base: there are more items
+	Base     configuration.Ballot `cbor:"12,keyasint"` // of the chosen value, or of the accepted one where it holds no chosen one whole
+	Delta    []configuration.Item `cbor:"13,keyasint"` // of the accepted value, that changed after Base
 }
 
 // ReadyCall asks a purser how it stands, and for the number of its disk, which it puts there where it has none yet.
@@ -208,9 +208,9 @@
 
 // SucceedCall asks an old voter for a promise, or to accept a successor of its roll.
 type SucceedCall struct {
-	Epoch uint64          `cbor:"1,keyasint"` // that ends
-	B     manifest.Ballot `cbor:"2,keyasint"`
-	Next  *Roll           `cbor:"3,keyasint,omitempty"` // nil: a promise
+	Epoch uint64               `cbor:"1,keyasint"` // that ends
+	B     configuration.Ballot `cbor:"2,keyasint"`
+	Next  *Roll                `cbor:"3,keyasint,omitempty"` // nil: a promise
 }
 
 // RelieveCall tells a roll that is chosen. A voter of it answers once it speaks in the new epoch.
@@ -229,19 +229,19 @@
 	Epoch uint64 `cbor:"1,keyasint"` // that begins
 	From  string `cbor:"2,keyasint"` // claims of keys after this one
 
-	Have manifest.Ballot `cbor:"3,keyasint"` // items after this ballot
+	Have configuration.Ballot `cbor:"3,keyasint"` // items after this ballot
 }
 
 // Handed answers a HandoverCall, in parts as a Mustered.
 type Handed struct {
-	Estate reconfig.Estate `cbor:"1,keyasint"`
-	Former bool            `cbor:"2,keyasint,omitempty"`
-	Items  []manifest.Item `cbor:"3,keyasint"` // of the base, up to Upto
-	Claims []ClaimCall     `cbor:"4,keyasint"`
-	More   bool            `cbor:"5,keyasint"` // claims
-	Upto   manifest.Ballot `cbor:"6,keyasint"` // less than Base: there are more items
-	Base   manifest.Ballot `cbor:"7,keyasint"`
-	Delta  []manifest.Item `cbor:"8,keyasint"` // of the accepted value, that changed after Base
+	Estate reconfig.Estate      `cbor:"1,keyasint"`
+	Former bool                 `cbor:"2,keyasint,omitempty"`
+	Items  []configuration.Item `cbor:"3,keyasint"` // of the base, up to Upto
+	Claims []ClaimCall          `cbor:"4,keyasint"`
+	More   bool                 `cbor:"5,keyasint"` // claims
+	Upto   configuration.Ballot `cbor:"6,keyasint"` // less than Base: there are more items
+	Base   configuration.Ballot `cbor:"7,keyasint"`
+	Delta  []configuration.Item `cbor:"8,keyasint"` // of the accepted value, that changed after Base
 }
 
 // RollsCall asks a harbourmaster for another roll: all voters, or some of them replaced, each by the name of its node or by an
@@ -270,15 +270,15 @@
 
 // PullCall asks a harbourmaster for news, and tells it what the caller is the source of.
 type PullCall struct {
-	Self   *backends.Berth  `cbor:"1,keyasint,omitempty"` // of a tug
-	Master *Master          `cbor:"2,keyasint,omitempty"` // of a harbourmaster
-	Life   uint64           `cbor:"3,keyasint"`           // the harbourmaster's life that At is of; 0: none
-	At     uint64           `cbor:"4,keyasint"`           // its last change that the caller has
-	Have   manifest.Ballot  `cbor:"5,keyasint"`           // of the configuration
-	Epoch  uint64           `cbor:"6,keyasint"`           // of the roll
-	HoldMs uint32           `cbor:"8,keyasint"`
-	Others []backends.Berth `cbor:"9,keyasint,omitempty"` // of tugs that reach no harbourmaster and told this one
-	Sum    uint64           `cbor:"10,keyasint"`          // of the list of harbourmasters that the answerer told last
+	Self   *backends.Berth      `cbor:"1,keyasint,omitempty"` // of a tug
+	Master *Master              `cbor:"2,keyasint,omitempty"` // of a harbourmaster
+	Life   uint64               `cbor:"3,keyasint"`           // the harbourmaster's life that At is of; 0: none
+	At     uint64               `cbor:"4,keyasint"`           // its last change that the caller has
+	Have   configuration.Ballot `cbor:"5,keyasint"`           // of the configuration
+	Epoch  uint64               `cbor:"6,keyasint"`           // of the roll
+	HoldMs uint32               `cbor:"8,keyasint"`
+	Others []backends.Berth     `cbor:"9,keyasint,omitempty"` // of tugs that reach no harbourmaster and told this one
+	Sum    uint64               `cbor:"10,keyasint"`          // of the list of harbourmasters that the answerer told last
 
 	Cursor *Cursor `cbor:"11,keyasint,omitempty"` // goes on with items that this life told in part
 }
@@ -307,16 +307,16 @@
 
 // News is what a harbourmaster tells.
 type News struct {
-	Life    uint64           `cbor:"1,keyasint"`
-	At      uint64           `cbor:"2,keyasint"` // the last change of this life that the entries bring; the next part goes on from there
-	Berths  []backends.Berth `cbor:"3,keyasint"` // in the order of changes; each may be used as it comes
-	Chosen  manifest.Ballot  `cbor:"4,keyasint"` // that the items make whole; zero amid parts
-	Items   []manifest.Item  `cbor:"5,keyasint"`
-	Roll    *Roll            `cbor:"6,keyasint,omitempty"`
-	Masters []Master         `cbor:"7,keyasint,omitempty"`
-	FreshMs uint32           `cbor:"8,keyasint"`            // since it heard a majority of those that count
-	Sum     uint64           `cbor:"9,keyasint"`            // of the list of harbourmasters that it knows, told where the caller has another
-	HeldMs  uint32           `cbor:"10,keyasint,omitempty"` // of Watched
+	Life    uint64               `cbor:"1,keyasint"`
+	At      uint64               `cbor:"2,keyasint"` // the last change of this life that the entries bring; the next part goes on from there
+	Berths  []backends.Berth     `cbor:"3,keyasint"` // in the order of changes; each may be used as it comes
+	Chosen  configuration.Ballot `cbor:"4,keyasint"` // that the items make whole; zero amid parts
+	Items   []configuration.Item `cbor:"5,keyasint"`
+	Roll    *Roll                `cbor:"6,keyasint,omitempty"`
+	Masters []Master             `cbor:"7,keyasint,omitempty"`
+	FreshMs uint32               `cbor:"8,keyasint"`            // since it heard a majority of those that count
+	Sum     uint64               `cbor:"9,keyasint"`            // of the list of harbourmasters that it knows, told where the caller has another
+	HeldMs  uint32               `cbor:"10,keyasint,omitempty"` // of Watched
 
 	Cursor *Cursor `cbor:"11,keyasint,omitempty"` // there are more items: nothing of them may come into force yet
 	Whole  bool    `cbor:"12,keyasint,omitempty"` // items begin here that are all that stand: what isn't among them is gone
@@ -327,14 +327,14 @@
 
 // Cursor is where items that are told in parts go on.
 type Cursor struct {
-	Place manifest.Cursor `cbor:"1,keyasint"`
-	Since manifest.Ballot `cbor:"2,keyasint"` // what was removed after this ballot is told as removed
+	Place configuration.Cursor `cbor:"1,keyasint"`
+	Since configuration.Ballot `cbor:"2,keyasint"` // what was removed after this ballot is told as removed
 }
 
 // Tell tells what the caller lacks of the table's entries and of the set's items, as much as one message may hold. While both
 // are wanted, neither keeps the other waiting. bare: tombstones of ballots up to that are no more in the set, so that whoever
 // has only what is older, or nothing, is told all that stands. n names the teller's life.
-func (n *News) Tell(m PullCall, table *backends.Table, chosen manifest.Ballot, stands manifest.Set, bare manifest.Ballot) {
+func (n *News) Tell(m PullCall, table *backends.Table, chosen configuration.Ballot, stands configuration.Set, bare configuration.Ballot) {
 	at, room := m.At, PartBytes
 	if m.Life != n.Life && at != Tells { // what another life counted tells nothing here
 		at = 0
@@ -350,20 +350,20 @@
 	n.tellItems(m, chosen, stands, bare, room)
 }
 
-func (n *News) tellItems(m PullCall, chosen manifest.Ballot, stands manifest.Set, bare manifest.Ballot, room int) {
+func (n *News) tellItems(m PullCall, chosen configuration.Ballot, stands configuration.Set, bare configuration.Ballot, room int) {
 	if n.Chosen = chosen; !m.Have.Less(chosen) {
 		return
 	}
-	from, since := manifest.After(m.Have), m.Have
+	from, since := configuration.After(m.Have), m.Have
 	if m.Cursor != nil && m.Life == n.Life { // another life may have told of another set
 		from, since = m.Cursor.Place, m.Cursor.Since
 	}
 	if since.IsZero() || since.Less(bare) {
-		n.Whole, from, since = true, manifest.Cursor{}, chosen
+		n.Whole, from, since = true, configuration.Cursor{}, chosen
 	}
 	items, next := stands.Part(from, since, room)
 	if n.Items = items; next != nil { // parts make no ballot yet
-		n.Cursor, n.Chosen = &Cursor{Place: *next, Since: since}, manifest.Ballot{}
+		n.Cursor, n.Chosen = &Cursor{Place: *next, Since: since}, configuration.Ballot{}
 	}
 }
 
--- a/internal/codebook/report.go
+++ b/internal/messages/report.go
@@ -1,4 +1,4 @@
-package codebook
+package messages
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"slices"
 
 	"saltmast/internal/backends"
-	"saltmast/internal/manifest"
-	"saltmast/internal/signal"
+	"saltmast/internal/configuration"
+	"saltmast/internal/rpc"
 )
 
 // Names of the programs.
@@ -33,29 +33,29 @@
 	Life    uint64 `cbor:"6,keyasint"`
 	UpMs    uint64 `cbor:"7,keyasint"`
 
-	Chosen     manifest.Ballot  `cbor:"8,keyasint"`
-	Epoch      uint64           `cbor:"9,keyasint"`
-	Voters     []Voter          `cbor:"10,keyasint,omitempty"`
-	Items      []ItemReport     `cbor:"11,keyasint,omitempty"` // in the order of their keys
-	ItemsLeft  int              `cbor:"12,keyasint,omitempty"`
-	Berths     []BerthReport    `cbor:"13,keyasint,omitempty"` // in the order of nodes
-	BerthsLeft int              `cbor:"14,keyasint,omitempty"`
-	BerthsAll  int              `cbor:"15,keyasint,omitempty"`
-	BerthsSum  uint64           `cbor:"16,keyasint,omitempty"` // digest of all of them: who tells the same knows the same
-	Counts     map[string]int64 `cbor:"17,keyasint,omitempty"`
+	Chosen     configuration.Ballot `cbor:"8,keyasint"`
+	Epoch      uint64               `cbor:"9,keyasint"`
+	Voters     []Voter              `cbor:"10,keyasint,omitempty"`
+	Items      []ItemReport         `cbor:"11,keyasint,omitempty"` // in the order of their keys
+	ItemsLeft  int                  `cbor:"12,keyasint,omitempty"`
+	Berths     []BerthReport        `cbor:"13,keyasint,omitempty"` // in the order of nodes
+	BerthsLeft int                  `cbor:"14,keyasint,omitempty"`
+	BerthsAll  int                  `cbor:"15,keyasint,omitempty"`
+	BerthsSum  uint64               `cbor:"16,keyasint,omitempty"` // digest of all of them: who tells the same knows the same
+	Counts     map[string]int64     `cbor:"17,keyasint,omitempty"`
 
 	Tug     *TugReport     `cbor:"18,keyasint,omitempty"`
 	Harbour *HarbourReport `cbor:"19,keyasint,omitempty"`
 	Purser  *PurserReport  `cbor:"20,keyasint,omitempty"`
 
-	Traffic []signal.Traffic `cbor:"21,keyasint,omitempty"` // of the whole process, by kind of call
+	Traffic []rpc.Traffic `cbor:"21,keyasint,omitempty"` // of the whole process, by kind of call
 }
 
 // ItemReport is an item of the configuration without its content.
 type ItemReport struct {
-	Key     manifest.Key     `cbor:"1,keyasint"`
-	Version manifest.Version `cbor:"2,keyasint"`
-	Dropped bool             `cbor:"3,keyasint,omitempty"`
+	Key     configuration.Key     `cbor:"1,keyasint"`
+	Version configuration.Version `cbor:"2,keyasint"`
+	Dropped bool                  `cbor:"3,keyasint,omitempty"`
 }
 
 // BerthReport is an entry of the table of berths, as a program knows it.
@@ -114,14 +114,14 @@
 
 // PurserReport is a purser's own part.
 type PurserReport struct {
-	State    string          `cbor:"1,keyasint"`
-	StallMs  uint32          `cbor:"2,keyasint"` // for so long its disk has not finished a write
-	Place    int             `cbor:"3,keyasint"` // in the roll; -1: none
-	Incs     []uint64        `cbor:"4,keyasint"` // incarnations of the voters, by place
-	Promised manifest.Ballot `cbor:"5,keyasint"`
-	Accepted manifest.Ballot `cbor:"6,keyasint"`
-	Keys     int             `cbor:"7,keyasint"`
-	Duties   []DutyReport    `cbor:"8,keyasint,omitempty"`
+	State    string               `cbor:"1,keyasint"`
+	StallMs  uint32               `cbor:"2,keyasint"` // for so long its disk has not finished a write
+	Place    int                  `cbor:"3,keyasint"` // in the roll; -1: none
+	Incs     []uint64             `cbor:"4,keyasint"` // incarnations of the voters, by place
+	Promised configuration.Ballot `cbor:"5,keyasint"`
+	Accepted configuration.Ballot `cbor:"6,keyasint"`
+	Keys     int                  `cbor:"7,keyasint"`
+	Duties   []DutyReport         `cbor:"8,keyasint,omitempty"`
 }
 
 // DutyReport is a duty that a member has granted.
@@ -185,10 +185,10 @@
 }
 
 // ItemReports are those of a set, without what the register keeps for itself.
-func ItemReports(s manifest.Set) []ItemReport {
+func ItemReports(s configuration.Set) []ItemReport {
 	out := make([]ItemReport, 0, s.Len())
 	for i := range s.All() {
-		if i.Key.Kind == manifest.Refusals {
+		if i.Key.Kind == configuration.Refusals {
 			continue
 		}
 		out = append(out, ItemReport{Key: i.Key, Version: i.Version, Dropped: i.Dropped})
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"saltmast"
-	"saltmast/internal/roster"
+	"saltmast/internal/membership"
 	"saltmast/internal/shared"
 )
 
@@ -127,7 +127,7 @@
 	if o.Retries != nil {
 		p.rights = shared.NewWrong(p.self, *o.Retries, p.now(), o.Wrong)
 	}
-	if err := p.listen(); err != nil && !inUse(err) && !errors.Is(err, roster.ErrMember) {
+	if err := p.listen(); err != nil && !inUse(err) && !errors.Is(err, membership.ErrMember) {
 		return nil, err
 	}
 	return p, nil
@@ -547,7 +547,7 @@
 }
 
 // changed takes what became of members. The roster's owner calls it.
-func (p *Peers) changed(changes []roster.Change) {
+func (p *Peers) changed(changes []membership.Change) {
 	for _, c := range changes {
 		if o := c.Refused; o != nil {
 			p.refused.Add(1)
@@ -559,11 +559,11 @@
 }
 
 // note takes what a member is now.
-func (p *Peers) note(is roster.Status) {
+func (p *Peers) note(is membership.Status) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.members[is.Name]
-	if is.State == roster.Unknown {
+	if is.State == membership.Unknown {
 		delete(p.members, is.Name) // lost for so long that nobody calls it any more
 		return
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -15,8 +15,8 @@
 
 	"go.uber.org/goleak"
 
+	"saltmast/internal/membership"
 	"saltmast/internal/rig"
-	"saltmast/internal/roster"
 	"saltmast/internal/shared"
 )
 
@@ -224,7 +224,7 @@
 // Others would refuse it: it goes on alone, and says why.
 func TestANameThatIsTooLongTakesNoPart(t *testing.T) {
 	log := &rig.Capture{}
-	p, _ := start(t, options(strings.Repeat("n", roster.NameBytes+1), log))
+	p, _ := start(t, options(strings.Repeat("n", membership.NameBytes+1), log))
 	rig.Until(t, "a word of it", func() bool { return log.Has("a name of 65 bytes") })
 	if p.Addr() != "" {
 		t.Error("it listens")
@@ -294,7 +294,7 @@
 
 // ping is a first datagram of a member, as it stands in an envelope.
 func (c caller) ping(name, zone, to string) []byte {
-	r := roster.New(roster.Options{Self: roster.Member{Name: name, Zone: zone, Life: 7, Addr: c.addr}, Rand: rand.New(rand.NewSource(1)),
+	r := membership.New(membership.Options{Self: membership.Member{Name: name, Zone: zone, Life: 7, Addr: c.addr}, Rand: rand.New(rand.NewSource(1)),
 		Seeds: []netip.AddrPort{netip.MustParseAddrPort(to)}}, 0)
 	return datagram{from: c.addr, roster: r.Step(0)[0].Data}.append(nil)
 }
--- a/internal/peers/quay.go
+++ b/internal/peers/quay.go
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
-	"saltmast/internal/roster"
-	"saltmast/internal/roster/udp"
+	"saltmast/internal/membership"
+	"saltmast/internal/membership/udp"
 )
 
 const (
@@ -85,12 +85,12 @@
 		}
 		q.addr = netip.AddrPortFrom(own, q.addr.Port())
 	}
-	self := roster.Member{Name: o.Name, Life: max(1, o.Incarnation), Addr: q.addr, Zone: o.Zone}
+	self := membership.Member{Name: o.Name, Life: max(1, o.Incarnation), Addr: q.addr, Zone: o.Zone}
 	if err := self.Check(); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
 	q.ctx, q.cancel = context.WithCancel(context.Background())
-	q.roster = udp.Start(udp.Options{Conn: &datagrams{UDPConn: q.udp, q: q}, OnChange: p.changed, Roster: roster.Options{Self: self,
+	q.roster = udp.Start(udp.Options{Conn: &datagrams{UDPConn: q.udp, q: q}, OnChange: p.changed, Roster: membership.Options{Self: self,
 		Rand: rand.New(rand.NewSource(int64(o.Incarnation))), Period: o.Probe, AckTimeout: o.Probe / 2, DeadFor: forgetAfter,
 		MaxMembers: o.Members, FirstKeeps: true}})
 	q.running.Add(1)
--- a/internal/launch/launch.go
+++ b/internal/process/launch.go
@@ -1,6 +1,6 @@
-// Package launch is what the mesh's programs share of being programs: command line, settings file and its changes, signals,
+// Package process is what the mesh's programs share of being programs: command line, settings file and its changes, signals,
 // log. What a program does is its own package's. Start reading at Main.
-package launch
+package process
 
 import (
 	"errors"
@@ -16,7 +16,7 @@
 	"github.com/alexflint/go-arg"
 	"github.com/phuslu/log"
 
-	"saltmast/internal/articles"
+	"saltmast/internal/settings"
 )
 
 // Version of the programs.
@@ -26,13 +26,13 @@
 type Program struct {
 	Name  string
 	About string
-	Start func(s *articles.Settings, log func(event, text string)) (Running, error)
+	Start func(s *settings.Settings, log func(event, text string)) (Running, error)
 	Last  bool // its counters are told once more when it has stopped
 }
 
 // Running is a program that has started.
 type Running interface {
-	Reload(s *articles.Settings) // the settings file has changed
+	Reload(s *settings.Settings) // the settings file has changed
 	Counts() map[string]int64    // for the log, at intervals
 	Stop(grace time.Duration)    // ends in order, within so long
 }
@@ -77,7 +77,7 @@
 		return 2
 	}
 	if a.Check != nil {
-		if _, err := articles.Load(a.Check.File); err != nil {
+		if _, err := settings.Load(a.Check.File); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return 1
 		}
@@ -86,9 +86,9 @@
 	}
 	stop := make(chan os.Signal, 4)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP) // from the first moment on: unheard, they end the process
-	path := articles.Path()
-	watch := articles.NewWatch(path)
-	s, err := articles.Load(path)
+	path := settings.Path()
+	watch := settings.NewWatch(path)
+	s, err := settings.Load(path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
@@ -113,7 +113,7 @@
 		count = t.C
 	}
 	reload := func() {
-		n, err := articles.Load(path)
+		n, err := settings.Load(path)
 		if err != nil { // what ran goes on
 			say("settings", err.Error())
 			return
--- a/internal/launch/launch_test.go
+++ b/internal/process/launch_test.go
@@ -1,4 +1,4 @@
-package launch_test
+package process_test
 
 import (
 	"context"
@@ -13,13 +13,13 @@
 
 	"github.com/rogpeppe/go-internal/testscript"
 
-	"saltmast/internal/launch"
+	"saltmast/internal/process"
 	"saltmast/internal/proxy"
 )
 
 func TestMain(m *testing.M) {
 	os.Setenv("GORACE", "atexit_sleep_ms=0")
-	testscript.Main(m, map[string]func(){"tug": func() { os.Exit(launch.Main(proxy.Program, os.Args[1:])) }})
+	testscript.Main(m, map[string]func(){"tug": func() { os.Exit(process.Main(proxy.Program, os.Args[1:])) }})
 }
 
 // TestScripts runs the command lines as they are documented.
--- a/internal/proxy/age_test.go
+++ b/internal/proxy/age_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/codebook"
+	"saltmast/internal/messages"
 )
 
 // News is as old as the way that it took, other than where the harbourmaster held the call: it may lie unread through a sleep.
@@ -16,10 +16,10 @@
 			fresh, held uint32
 			took        time.Duration
 			want        uint32
-		}{{100, 1000, 1010 * time.Millisecond, 110}, {100, 1000, 21 * time.Second, 20_100}, {0, 0, 0, 0}, {codebook.Never, 0, time.Second, codebook.Never}, {5, 900, 0, 5}} {
+		}{{100, 1000, 1010 * time.Millisecond, 110}, {100, 1000, 21 * time.Second, 20_100}, {0, 0, 0, 0}, {messages.Never, 0, time.Second, messages.Never}, {5, 900, 0, 5}} {
 			sent := time.Now()
 			time.Sleep(c.took)
-			n := codebook.News{FreshMs: c.fresh, HeldMs: c.held}
+			n := messages.News{FreshMs: c.fresh, HeldMs: c.held}
 			if age(&n, sent); n.FreshMs != c.want {
 				t.Errorf("%+v: %d", c, n.FreshMs)
 			}
@@ -29,9 +29,9 @@
 
 // A harbourmaster that hears no majority, as one that has just begun behind a cut, takes no other off the list.
 func TestListed(t *testing.T) {
-	a, b, moved := codebook.Master{Name: "a", Addr: "1"}, codebook.Master{Name: "b", Addr: "2"}, codebook.Master{Name: "a", Addr: "3"}
-	known, told := []codebook.Master{a, b}, []codebook.Master{moved}
-	if got := listed(known, told, true); !slices.Equal(got, []codebook.Master{moved, b}) {
+	a, b, moved := messages.Master{Name: "a", Addr: "1"}, messages.Master{Name: "b", Addr: "2"}, messages.Master{Name: "a", Addr: "3"}
+	known, told := []messages.Master{a, b}, []messages.Master{moved}
+	if got := listed(known, told, true); !slices.Equal(got, []messages.Master{moved, b}) {
 		t.Error("stale:", got)
 	}
 	if got := listed(known, told, false); !slices.Equal(got, told) {
--- a/internal/proxy/parts.go
+++ b/internal/proxy/parts.go
@@ -1,8 +1,8 @@
 package proxy
 
 import (
-	"saltmast/internal/codebook"
-	"saltmast/internal/manifest"
+	"saltmast/internal/configuration"
+	"saltmast/internal/messages"
 )
 
 // parts is how far one source has told, in several answers. Entries of the table are news as they come: each is whole by itself,
@@ -12,13 +12,13 @@
 	life   uint64 // of the source
 	at     uint64 // its change up to which all entries were told
 	more   bool   // there are more
-	items  []manifest.Item
+	items  []configuration.Item
 	whole  bool             // they are all that stand
-	cursor *codebook.Cursor // where the next part goes on; nil: nothing is under way
+	cursor *messages.Cursor // where the next part goes on; nil: nothing is under way
 }
 
 // add takes an answer. Items of a part are kept back, and told by the last one, which names what was chosen.
-func (p *parts) add(n *codebook.News) {
+func (p *parts) add(n *messages.News) {
 	if n.Whole || p.life != n.Life || p.cursor == nil { // it tells from the beginning
 		p.items, p.whole = nil, n.Whole
 	}
@@ -32,7 +32,7 @@
 }
 
 // goOn has a call go on behind the last answer.
-func (p *parts) goOn(call *codebook.PullCall) {
+func (p *parts) goOn(call *messages.PullCall) {
 	call.Life, call.At, call.Cursor = p.life, p.at, p.cursor
 }
 
@@ -51,13 +51,13 @@
 
 // inForce is what stands once news is taken whose ballot is higher than what was in force. A proxy keeps no tombstones: its
 // ballot alone keeps older news out. bare is the last ballot that one may have had.
-func inForce(stands manifest.Set, bare manifest.Ballot, n codebook.News) (manifest.Set, manifest.Ballot) {
+func inForce(stands configuration.Set, bare configuration.Ballot, n messages.News) (configuration.Set, configuration.Ballot) {
 	if n.Whole {
-		stands, bare = stands.Moved(manifest.SetOf(n.Items...)), n.Chosen
+		stands, bare = stands.Moved(configuration.SetOf(n.Items...)), n.Chosen
 	} else {
 		stands = stands.With(n.Items...)
 	}
-	var gone []manifest.Key
+	var gone []configuration.Key
 	for _, i := range n.Items {
 		if !i.Dropped {
 			continue
--- a/internal/proxy/parts_test.go
+++ b/internal/proxy/parts_test.go
@@ -11,24 +11,24 @@
 	"pgregory.net/rapid"
 
 	"saltmast/internal/backends"
-	"saltmast/internal/codebook"
-	"saltmast/internal/manifest"
+	"saltmast/internal/configuration"
+	"saltmast/internal/messages"
 )
 
 // While the configuration and the table change and a proxy goes from one source to another and back, some of them behind or begun
 // anew, what it puts in force is always one value that was chosen, whole, and never an older one; and once a source says that
 // there are no more entries, there is none that it has and this one lacks.
 func TestPartsAreOneWhole(t *testing.T) {
-	spec := bytes.Repeat([]byte("x"), codebook.PartBytes/3) // a few items fill a message
-	release := strings.Repeat("x", codebook.PartBytes/7)    // and a few entries
+	spec := bytes.Repeat([]byte("x"), messages.PartBytes/3) // a few items fill a message
+	release := strings.Repeat("x", messages.PartBytes/7)    // and a few entries
 	history := func(t *rapid.T) {
-		b := func(n int) manifest.Ballot { return manifest.Ballot{N: uint64(n), By: uint32(n % 3)} }
-		chosen := []manifest.Set{{}} // by ballot
+		b := func(n int) configuration.Ballot { return configuration.Ballot{N: uint64(n), By: uint32(n % 3)} }
+		chosen := []configuration.Set{{}} // by ballot
 		change := func(items int) {
-			var is []manifest.Item
+			var is []configuration.Item
 			n := len(chosen)
 			for range items {
-				i := manifest.Item{Key: manifest.Key{Name: fmt.Sprint(rapid.IntRange(0, 7).Draw(t, "key"))}, Version: manifest.Version(n), Ballot: b(n),
+				i := configuration.Item{Key: configuration.Key{Name: fmt.Sprint(rapid.IntRange(0, 7).Draw(t, "key"))}, Version: configuration.Version(n), Ballot: b(n),
 					Dropped: rapid.IntRange(0, 2).Draw(t, "dropped") == 0}
 				if !i.Dropped {
 					i.Spec = spec
@@ -51,15 +51,15 @@
 			moor()
 		}
 		call := func(at uint64, to *proxied) { // of one message
-			n := codebook.News{Life: lives[at]}
-			var m codebook.PullCall
+			n := messages.News{Life: lives[at]}
+			var m messages.PullCall
 			m.Have = to.have
 			to.got.goOn(&m)
 			if at == 3 {
 				n.Tell(m, proxy.table, proxy.have, proxy.stands, proxy.bare)
 			} else {
 				k := knows[at-1]
-				n.Tell(m, tables[at], b(k), chosen[k], manifest.Ballot{})
+				n.Tell(m, tables[at], b(k), chosen[k], configuration.Ballot{})
 			}
 			size := 0
 			for _, i := range n.Items {
@@ -69,7 +69,7 @@
 				size += len(x.Release)
 				to.table.Join(x)
 			}
-			if size > codebook.PartBytes {
+			if size > messages.PartBytes {
 				t.Fatalf("a message of %d bytes", size)
 			}
 			to.got.add(&n)
@@ -83,7 +83,7 @@
 				to.have = n.Chosen
 				to.stands, to.bare = inForce(to.stands, to.bare, n)
 			}
-			var want []manifest.Item
+			var want []configuration.Item
 			for i := range chosen[to.have.N].All() {
 				if !i.Dropped {
 					want = append(want, i)
@@ -124,7 +124,7 @@
 					moor()
 				}
 			case 8: // another harbourmaster hears of some of them
-				entries, _, _ := tables[1].Part(0, rapid.IntRange(1, codebook.PartBytes).Draw(t, "bytes"))
+				entries, _, _ := tables[1].Part(0, rapid.IntRange(1, messages.PartBytes).Draw(t, "bytes"))
 				for _, x := range entries {
 					tables[2].Join(x)
 				}
@@ -145,7 +145,7 @@
 		for range 20 { // in calm times it comes to its end
 			call(at, &own)
 		}
-		if last := []manifest.Ballot{b(knows[0]), b(knows[1]), proxy.have}[at-1]; own.have.Less(last) || own.got.cursor != nil || own.got.more {
+		if last := []configuration.Ballot{b(knows[0]), b(knows[1]), proxy.have}[at-1]; own.have.Less(last) || own.got.cursor != nil || own.got.more {
 			t.Fatalf("ballot %d of %d, or still in parts", own.have.N, last.N)
 		}
 	}
@@ -155,7 +155,7 @@
 }
 
 // brief names items by key and ballot.
-func brief(items []manifest.Item) (out []string) {
+func brief(items []configuration.Item) (out []string) {
 	for _, i := range items {
 		out = append(out, fmt.Sprint(i.Key.Name, "@", i.Ballot.N))
 	}
@@ -164,13 +164,13 @@
 
 // proxied is what a proxy holds.
 type proxied struct {
-	have, bare manifest.Ballot
-	stands     manifest.Set
+	have, bare configuration.Ballot
+	stands     configuration.Set
 	got        parts
 	table      *backends.Table
 	sources    sources
 }
 
 func begun() proxied {
-	return proxied{stands: manifest.Set{}.Charted(), table: backends.New(), sources: sources{}}
+	return proxied{stands: configuration.Set{}.Charted(), table: backends.New(), sources: sources{}}
 }
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"saltmast/internal/codebook"
-	"saltmast/internal/launch"
-	"saltmast/internal/signal"
+	"saltmast/internal/messages"
+	"saltmast/internal/process"
+	"saltmast/internal/rpc"
 )
 
 // pulled is the last news taken of a harbourmaster.
@@ -17,27 +17,27 @@
 
 // report tells what is known here to whoever asks at the gate.
 func (t *Tug) report(raw []byte) ([]byte, error) {
-	var call codebook.ReportCall
+	var call messages.ReportCall
 	if len(raw) > 0 {
-		if err := signal.Decode(raw, &call); err != nil {
+		if err := rpc.Decode(raw, &call); err != nil {
 			return nil, err
 		}
 	}
 	s, roll := t.s.Load(), t.council.Roll()
-	r := codebook.Reported{Program: codebook.TheTug, Version: launch.Version, Node: s.NodeName, Zone: s.Zone, Addr: s.Port(codebook.GatePort),
+	r := messages.Reported{Program: messages.TheTug, Version: process.Version, Node: s.NodeName, Zone: s.Zone, Addr: s.Port(messages.GatePort),
 		Life: t.life, UpMs: uint64(t.way.Up().Milliseconds()), Epoch: roll.Epoch, Voters: roll.Voters, Counts: t.Counts()}
-	own := &codebook.TugReport{Ready: t.ready() == nil, Stopping: t.stopping.Load(), FromMs: codebook.Never, FreshMs: codebook.Never}
+	own := &messages.TugReport{Ready: t.ready() == nil, Stopping: t.stopping.Load(), FromMs: messages.Never, FreshMs: messages.Never}
 	if p := t.from.Load(); p != nil {
 		own.From, own.FreshMs = p.addr, p.freshMs
-		own.FromMs = uint32(min(time.Since(p.at).Milliseconds(), codebook.Never))
+		own.FromMs = uint32(min(time.Since(p.at).Milliseconds(), messages.Never))
 	}
 	t.mu.Lock()
 	r.Chosen = t.chosen
-	items := codebook.ItemReports(t.stands)
+	items := messages.ItemReports(t.stands)
 	t.mu.Unlock()
 	r.SetItems(items)
 	r.Tug = own
-	r.Traffic = signal.Totals()
+	r.Traffic = rpc.Totals()
 	t.way.Tell(&r, own, call.Brief)
-	return signal.Encode(r), nil
+	return rpc.Encode(r), nil
 }
--- a/internal/proxy/start_test.go
+++ b/internal/proxy/start_test.go
@@ -11,35 +11,35 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/articles"
 	"saltmast/internal/backends"
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
 	"saltmast/internal/dataplane"
 	"saltmast/internal/drydock/sea"
-	"saltmast/internal/manifest"
-	"saltmast/internal/signal"
+	"saltmast/internal/messages"
+	"saltmast/internal/rpc"
+	"saltmast/internal/settings"
 )
 
 // many is a configuration of n routes, all of one change.
-func many(n int) manifest.Set {
-	b := manifest.Ballot{N: 1, By: 1}
-	items := []manifest.Item{{Key: manifest.Key{Kind: manifest.Services, Name: "cranes"}, Version: 1, Ballot: b, Spec: []byte(`{}`)}}
+func many(n int) configuration.Set {
+	b := configuration.Ballot{N: 1, By: 1}
+	items := []configuration.Item{{Key: configuration.Key{Kind: configuration.Services, Name: "cranes"}, Version: 1, Ballot: b, Spec: []byte(`{}`)}}
 	for i := range n {
-		items = append(items, manifest.Item{Key: manifest.Key{Kind: manifest.Routes, Name: fmt.Sprintf("berth-%05d", i)}, Version: 1, Ballot: b,
+		items = append(items, configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: fmt.Sprintf("berth-%05d", i)}, Version: 1, Ballot: b,
 			Spec: fmt.Appendf(nil, `{"host":"quay-%d.example","path-prefix":"/b%d/","route-kind":"idempotent","deadline-s":0.8,"target-s":0.3,"priority":2,"split":[{"service":"cranes","weight":90},{"service":"cranes","weight":10}],"max-attempts":2}`, i/100, i)})
 	}
-	return manifest.SetOf(items...)
+	return configuration.SetOf(items...)
 }
 
 // teller is a harbourmaster that only tells: what is in force, and nothing else.
 type teller struct {
 	life    uint64
 	freshMs uint32
-	stands  manifest.Set
+	stands  configuration.Set
 	mu      sync.Mutex // once it serves: of chosen, table and what it counts
-	chosen  manifest.Ballot
+	chosen  configuration.Ballot
 	table   *backends.Table
-	onPart  func(part int64, n *codebook.News) // before it is told
+	onPart  func(part int64, n *messages.News) // before it is told
 	parts   atomic.Int64                       // messages with items or entries
 	largest atomic.Int64
 	breakAt int64 // it ends with this part untold; 0: never
@@ -47,21 +47,21 @@
 }
 
 func (s *teller) serve(t *testing.T, on *sea.Process, addr string) {
-	l, err := signal.Listen(on, addr)
+	l, err := rpc.Listen(on, addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	signal.Serve(l, func(c signal.Call) {
-		var m codebook.PullCall
-		if c.Kind != codebook.Pull || signal.Decode(c.Body, &m) != nil {
+	rpc.Serve(l, func(c rpc.Call) {
+		var m messages.PullCall
+		if c.Kind != messages.Pull || rpc.Decode(c.Body, &m) != nil {
 			return
 		}
-		n := codebook.News{Life: s.life, FreshMs: s.freshMs}
+		n := messages.News{Life: s.life, FreshMs: s.freshMs}
 		s.mu.Lock()
 		if s.table == nil {
 			s.table = backends.New()
 		}
-		n.Tell(m, s.table, s.chosen, s.stands, manifest.Ballot{})
+		n.Tell(m, s.table, s.chosen, s.stands, configuration.Ballot{})
 		s.mu.Unlock()
 		if len(n.Items)+len(n.Berths) == 0 {
 			time.Sleep(time.Duration(m.HoldMs) * time.Millisecond)
@@ -74,12 +74,12 @@
 			s.onPart(s.parts.Load(), &n)
 			s.mu.Unlock()
 		}
-		s.largest.Store(max(s.largest.Load(), int64(len(signal.Encode(n)))))
+		s.largest.Store(max(s.largest.Load(), int64(len(rpc.Encode(n)))))
 		c.Reply(n, nil)
 	})
 }
 
-func (s *teller) choose(b manifest.Ballot) {
+func (s *teller) choose(b configuration.Ballot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.chosen = b
@@ -89,7 +89,7 @@
 func side(t *testing.T, s *sea.Sea, ip, zone string, seeds ...string) (*Tug, *sea.Machine, *sea.Process) {
 	m := s.Machine(ip, zone)
 	p := m.Start()
-	g, err := Start(&articles.Settings{NodeName: ip, IP: ip, Zone: zone, Ports: [2]int{7380, 7395}, Heartbeat: time.Second, Bounds: articles.DefaultBounds(),
+	g, err := Start(&settings.Settings{NodeName: ip, IP: ip, Zone: zone, Ports: [2]int{7380, 7395}, Heartbeat: time.Second, Bounds: settings.DefaultBounds(),
 		MemoryMB: 100, Seeds: seeds, Listen: map[string]string{"control-plane": ip + ":9100", "outbound": ip + ":9101", "readiness": ip + ":9102"}}, func(string, string) {}, p)
 	if err != nil {
 		t.Fatal(err)
@@ -119,9 +119,9 @@
 		for i, h := range tellers {
 			m := s.Machine(fmt.Sprintf("10.1.0.%d", 2+i), "zone-1")
 			p := m.Start()
-			h.stands, h.chosen = set, manifest.Ballot{N: 1, By: 1}
+			h.stands, h.chosen = set, configuration.Ballot{N: 1, By: 1}
 			h.onBreak = p.End
-			h.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+codebook.HarbourPort)))
+			h.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+messages.HarbourPort)))
 			cores = append(cores, m)
 			ends = append(ends, p.End)
 		}
@@ -131,7 +131,7 @@
 			t.Fatalf("%v: %d items", err, first.stands.Len())
 		}
 		for i, h := range tellers {
-			if h.largest.Load() > codebook.PartBytes*5/4 {
+			if h.largest.Load() > messages.PartBytes*5/4 {
 				t.Errorf("teller %d: a message of %d bytes", i, h.largest.Load())
 			}
 		}
@@ -167,7 +167,7 @@
 // told, and is itself a source of all of it.
 func TestTableByParts(t *testing.T) {
 	const backendCount = 40
-	release := strings.Repeat("x", codebook.PartBytes/5)
+	release := strings.Repeat("x", messages.PartBytes/5)
 	for breakAt := int64(1); breakAt <= backendCount/4+1; breakAt++ {
 		synctest.Test(t, func(t *testing.T) {
 			s := sea.New(1)
@@ -179,14 +179,14 @@
 			for i := range 2 {
 				m := s.Machine(fmt.Sprintf("10.1.0.%d", 2+i), "zone-1")
 				p := m.Start()
-				h := &teller{life: uint64(11 + i), stands: many(1), chosen: manifest.Ballot{N: 1, By: 1}, table: backends.New(), onBreak: p.End}
+				h := &teller{life: uint64(11 + i), stands: many(1), chosen: configuration.Ballot{N: 1, By: 1}, table: backends.New(), onBreak: p.End}
 				for n := range backendCount {
 					h.table.Join(backends.Berth{Node: fmt.Sprintf("n-%02d", n), Addr: "10.2.0.1:7", Zone: "zone-1", Version: 1, Release: release})
 				}
 				if i == 0 {
 					h.breakAt = breakAt
 				}
-				h.onPart = func(part int64, n *codebook.News) {
+				h.onPart = func(part int64, n *messages.News) {
 					told.Lock()
 					defer told.Unlock()
 					if part <= breakAt { // and another one changes meanwhile
@@ -201,7 +201,7 @@
 					}
 					whole = whole || !n.More && !n.Partial
 				}
-				h.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+codebook.HarbourPort)))
+				h.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+messages.HarbourPort)))
 				cores, ends = append(cores, m), append(ends, p.End)
 			}
 			knows := func(g *Tug) (n int) {
@@ -270,14 +270,14 @@
 				to, balancer := begun(), dataplane.NewBalancer()
 				bytes, most, parts = 0, 0, 0
 				for to.got.more = true; to.got.more; parts++ {
-					m := codebook.PullCall{}
+					m := messages.PullCall{}
 					to.got.goOn(&m)
-					told := codebook.News{Life: 1}
-					told.Tell(m, table, manifest.Ballot{}, manifest.Set{}, manifest.Ballot{})
-					raw := signal.Encode(told)
+					told := messages.News{Life: 1}
+					told.Tell(m, table, configuration.Ballot{}, configuration.Set{}, configuration.Ballot{})
+					raw := rpc.Encode(told)
 					bytes, most = bytes+len(raw), max(most, len(raw))
-					var news codebook.News
-					if err := signal.Decode(raw, &news); err != nil {
+					var news messages.News
+					if err := rpc.Decode(raw, &news); err != nil {
 						b.Fatal(err)
 					}
 					to.got.add(&news)
@@ -286,7 +286,7 @@
 					}
 					balancer.Learn(0, news.Berths)
 				}
-				if to.table.Len() != n || most > codebook.PartBytes {
+				if to.table.Len() != n || most > messages.PartBytes {
 					b.Fatal(to.table.Len(), most)
 				}
 				kept = append(kept, to, balancer)
@@ -305,19 +305,19 @@
 func BenchmarkNews(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		set := many(n).Charted()
-		first, _ := set.Get(manifest.Key{Name: "berth-00000"})
-		tell := func(b *testing.B, to *proxied, at manifest.Ballot) (bytes int) {
+		first, _ := set.Get(configuration.Key{Name: "berth-00000"})
+		tell := func(b *testing.B, to *proxied, at configuration.Ballot) (bytes int) {
 			for to.have.Less(at) {
-				var m codebook.PullCall
-				if err := signal.Decode(signal.Encode(codebook.PullCall{Life: to.got.life, Have: to.have, Cursor: to.got.cursor}), &m); err != nil {
+				var m messages.PullCall
+				if err := rpc.Decode(rpc.Encode(messages.PullCall{Life: to.got.life, Have: to.have, Cursor: to.got.cursor}), &m); err != nil {
 					b.Fatal(err)
 				}
-				told := codebook.News{Life: 1}
-				told.Tell(m, backends.New(), at, set, manifest.Ballot{})
-				raw := signal.Encode(told)
+				told := messages.News{Life: 1}
+				told.Tell(m, backends.New(), at, set, configuration.Ballot{})
+				raw := rpc.Encode(told)
 				bytes += len(raw)
-				var news codebook.News
-				if err := signal.Decode(raw, &news); err != nil {
+				var news messages.News
+				if err := rpc.Decode(raw, &news); err != nil {
 					b.Fatal(err)
 				}
 				if to.got.add(&news); to.have.Less(news.Chosen) {
@@ -327,15 +327,15 @@
 			}
 			return bytes
 		}
-		begin := func() *proxied { return &proxied{stands: manifest.Set{}.Charted()} }
+		begin := func() *proxied { return &proxied{stands: configuration.Set{}.Charted()} }
 		b.Run(fmt.Sprint("change-", n), func(b *testing.B) {
-			to, bytes, at := begin(), 0, manifest.Ballot{N: 1, By: 1}
+			to, bytes, at := begin(), 0, configuration.Ballot{N: 1, By: 1}
 			tell(b, to, at)
 			b.ReportAllocs()
 			for b.Loop() {
 				at.N++
 				i := first
-				i.Version, i.Ballot = manifest.Version(at.N), at
+				i.Version, i.Ballot = configuration.Version(at.N), at
 				set = set.With(i)
 				if bytes += tell(b, to, at); set.Check() != nil || to.stands.Chart().Route("quay-0.example", "/b0/") == nil {
 					b.Fatal("wrong")
@@ -348,7 +348,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				to := begin()
-				if bytes = tell(b, to, manifest.Ballot{N: 1 << 40, By: 1}); to.stands.Len() != n+1 {
+				if bytes = tell(b, to, configuration.Ballot{N: 1 << 40, By: 1}); to.stands.Len() != n+1 {
 					b.Fatal("not all")
 				}
 			}
@@ -364,8 +364,8 @@
 		s := sea.New(1)
 		var cut atomic.Pointer[time.Time]
 		var late atomic.Int64 // pulls of the near one, begun 3 s after the cut and later
-		near, far := &teller{life: 11, stands: many(1), chosen: manifest.Ballot{N: 1, By: 1}}, &teller{life: 12, stands: many(1), chosen: manifest.Ballot{N: 1, By: 1}}
-		near.onPart = func(_ int64, n *codebook.News) {
+		near, far := &teller{life: 11, stands: many(1), chosen: configuration.Ballot{N: 1, By: 1}}, &teller{life: 12, stands: many(1), chosen: configuration.Ballot{N: 1, By: 1}}
+		near.onPart = func(_ int64, n *messages.News) {
 			if n.FreshMs = 400; cut.Load() != nil {
 				out := time.Since(*cut.Load())
 				n.FreshMs += uint32(out.Milliseconds())
@@ -378,12 +378,12 @@
 		for i, h := range []*teller{near, far} {
 			ip := fmt.Sprintf("10.1.0.%d", 2+i)
 			p := s.Machine(ip, fmt.Sprint("zone-", 1+i)).Start()
-			h.serve(t, p, net.JoinHostPort(ip, fmt.Sprint(7380+codebook.HarbourPort)))
+			h.serve(t, p, net.JoinHostPort(ip, fmt.Sprint(7380+messages.HarbourPort)))
 			ends = append(ends, p.End)
 		}
 		g, _, p := side(t, s, "10.1.0.10", "zone-1", "10.1.0.2:80", "10.1.0.3:80")
 		g.mu.Lock()
-		g.masters = []codebook.Master{{Name: "near", Addr: "10.1.0.2:7380", Zone: "zone-1"}, {Name: "far", Addr: "10.1.0.3:7380", Zone: "zone-2"}}
+		g.masters = []messages.Master{{Name: "near", Addr: "10.1.0.2:7380", Zone: "zone-1"}, {Name: "far", Addr: "10.1.0.3:7380", Zone: "zone-2"}}
 		g.mu.Unlock()
 		time.Sleep(12 * time.Second)
 		if from := g.from.Load(); from == nil || from.addr != "10.1.0.2:7380" {
@@ -391,7 +391,7 @@
 		}
 		now := time.Now()
 		cut.Store(&now)
-		far.choose(manifest.Ballot{N: 2, By: 1})
+		far.choose(configuration.Ballot{N: 2, By: 1})
 		took := within(20*time.Second, func() bool { g.mu.Lock(); defer g.mu.Unlock(); return g.chosen.N == 2 })
 		if took > 1500*time.Millisecond {
 			t.Errorf("a change was in force after %v", took)
@@ -413,10 +413,10 @@
 func TestProxyIsToldByItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sea.New(1)
-		h := &teller{life: 11, stands: many(1), chosen: manifest.Ballot{N: 1, By: 1}}
+		h := &teller{life: 11, stands: many(1), chosen: configuration.Ballot{N: 1, By: 1}}
 		core := s.Machine("10.1.0.2", "zone-1")
 		pc := core.Start()
-		h.serve(t, pc, net.JoinHostPort(core.IP, fmt.Sprint(7380+codebook.HarbourPort)))
+		h.serve(t, pc, net.JoinHostPort(core.IP, fmt.Sprint(7380+messages.HarbourPort)))
 		first, _, p1 := side(t, s, "10.1.0.10", "zone-1", "10.1.0.2:80")
 		within(5*time.Second, func() bool { return first.ready() == nil })
 		second, m2, p2 := side(t, s, "10.1.0.11", "zone-1", "10.1.0.2:80")
--- a/internal/proxy/tug.go
+++ b/internal/proxy/tug.go
@@ -14,36 +14,36 @@
 	"sync/atomic"
 	"time"
 
-	"saltmast/internal/articles"
 	"saltmast/internal/backends"
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
+	"saltmast/internal/controlapi"
 	"saltmast/internal/dataplane"
 	"saltmast/internal/errcode"
-	"saltmast/internal/launch"
-	"saltmast/internal/manifest"
-	"saltmast/internal/masthead"
-	"saltmast/internal/pilot"
+	"saltmast/internal/membership/transport"
+	"saltmast/internal/messages"
+	"saltmast/internal/process"
 	"saltmast/internal/quorum"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
+	"saltmast/internal/settings"
 	"saltmast/internal/sock"
 )
 
 // Tug is one proxy.
 type Tug struct {
-	s       atomic.Pointer[articles.Settings]
+	s       atomic.Pointer[settings.Settings]
 	log     func(event, text string)
 	net     sock.Net
 	way     *dataplane.DataPlane
 	council *quorum.Council
-	head    *masthead.Masthead
+	head    *transport.Masthead
 	life    uint64
 
 	mu      sync.Mutex
-	masters []codebook.Master
+	masters []messages.Master
 	table   *backends.Table
-	stands  manifest.Set
-	chosen  manifest.Ballot
-	bare    manifest.Ballot      // tombstones up to this one are no more in stands
+	stands  configuration.Set
+	chosen  configuration.Ballot
+	bare    configuration.Ballot // tombstones up to this one are no more in stands
 	news    chan struct{}        // holds one when this proxy has something to tell
 	heard   time.Time            // a harbourmaster that had heard a majority
 	full    bool                 // such a one has told all that there is
@@ -73,15 +73,15 @@
 )
 
 // Program is the proxy as a program.
-var Program = launch.Program{Name: "tug", About: "The proxy of the mesh: carries the requests of one machine.", Last: true,
-	Start: func(s *articles.Settings, log func(event, text string)) (launch.Running, error) {
+var Program = process.Program{Name: "tug", About: "The proxy of the mesh: carries the requests of one machine.", Last: true,
+	Start: func(s *settings.Settings, log func(event, text string)) (process.Running, error) {
 		return Start(s, log, nil)
 	}}
 
 // Start begins to serve by the settings. on: nil for the system's network.
-func Start(s *articles.Settings, log func(event, text string), on sock.Net) (*Tug, error) {
+func Start(s *settings.Settings, log func(event, text string), on sock.Net) (*Tug, error) {
 	on = sock.On(on)
-	t := &Tug{log: log, net: on, council: quorum.New(on), life: launch.Life(), table: backends.New(), sources: sources{}, left: map[string]time.Time{}, stands: manifest.Set{}.Charted(),
+	t := &Tug{log: log, net: on, council: quorum.New(on), life: process.Life(), table: backends.New(), sources: sources{}, left: map[string]time.Time{}, stands: configuration.Set{}.Charted(),
 		news: make(chan struct{}, 1), ended: make(chan struct{})}
 	t.s.Store(s)
 	listen := func(addr string) (net.Listener, error) {
@@ -94,9 +94,9 @@
 		}
 		return l, err
 	}
-	gateAddr := s.Port(codebook.GatePort)
+	gateAddr := s.Port(messages.GatePort)
 	if gateAddr == "" {
-		return nil, fmt.Errorf("%s: %d ephemeral-ports wanted", s.Path, codebook.GatePort+1)
+		return nil, fmt.Errorf("%s: %d ephemeral-ports wanted", s.Path, messages.GatePort+1)
 	}
 	answers := 24 << 20
 	if s.MemoryMB > 0 {
@@ -115,7 +115,7 @@
 		t.way.Hear(b)
 		t.tell()
 	})
-	gate, err := signal.Listen(on, gateAddr)
+	gate, err := rpc.Listen(on, gateAddr)
 	if err != nil {
 		return nil, fmt.Errorf("gate: %w", err)
 	}
@@ -132,9 +132,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("readiness: %w", err)
 	}
-	t.head = masthead.Start(s, codebook.RoleTug, codebook.RosterTugPort, codebook.GatePort, t.life, on, log)
-	t.http(control, &pilot.Port{Beat: t.way.Gate.Beat, Leave: t.way.Gate.Leave, Refused: t.refused})
-	t.http(ready, &pilot.Port{Ready: t.ready})
+	t.head = transport.Start(s, messages.RoleTug, messages.RosterTugPort, messages.GatePort, t.life, on, log)
+	t.http(control, &controlapi.Port{Beat: t.way.Gate.Beat, Leave: t.way.Gate.Leave, Refused: t.refused})
+	t.http(ready, &controlapi.Port{Ready: t.ready})
 	go t.way.ServeGate(gate)
 	go t.way.Serve(out)
 	go t.pull()
@@ -149,11 +149,11 @@
 	return err
 }
 
-func (t *Tug) http(l net.Listener, p *pilot.Port) {
+func (t *Tug) http(l net.Listener, p *controlapi.Port) {
 	if l == nil {
 		return
 	}
-	s := pilot.Server(p)
+	s := controlapi.Server(p)
 	t.servers = append(t.servers, s)
 	go s.Serve(l)
 }
@@ -206,7 +206,7 @@
 		case <-t.ended:
 			return
 		}
-		if now := t.head.Silent(codebook.RoleTug); !maps.Equal(now, silent) {
+		if now := t.head.Silent(messages.RoleTug); !maps.Equal(now, silent) {
 			silent = now
 			t.way.Silence(now)
 		}
@@ -216,12 +216,12 @@
 // sweep drops the entries of machines that are long gone, while this one hears the core and others: one that is cut off knows
 // nothing of who is gone.
 func (t *Tug) sweep(now time.Duration) {
-	alive := t.head.Alive(codebook.RoleTug)
+	alive := t.head.Alive(messages.RoleTug)
 	node := t.s.Load().NodeName
 	t.mu.Lock()
 	var gone []string
 	if !t.head.Alone() && time.Since(t.heard) < 2*staleMs*time.Millisecond {
-		gone = t.table.Sweep(now, masthead.GoneAfter, func(b backends.Berth) bool { return b.Node == node || t.head.Lives(b.Addr) })
+		gone = t.table.Sweep(now, transport.GoneAfter, func(b backends.Berth) bool { return b.Node == node || t.head.Lives(b.Addr) })
 	}
 	t.whole = t.whole || t.table.Lacks(alive)
 	t.mu.Unlock()
@@ -251,21 +251,21 @@
 	for _, m := range t.masters {
 		add(m.Addr, m.Zone)
 	}
-	for _, p := range t.head.Peers(codebook.RoleHarbour) {
+	for _, p := range t.head.Peers(messages.RoleHarbour) {
 		if p.State.Live() {
 			add(p.Addr, p.Zone)
 		}
 	}
 	for _, x := range s.Seeds {
-		add(codebook.Beside(x, s.Ports[0], codebook.HarbourPort), "")
+		add(messages.Beside(x, s.Ports[0], messages.HarbourPort), "")
 	}
 	for _, v := range t.council.Roll().Voters { // a harbourmaster that has just begun knows of no other, but it knows who counts
-		add(codebook.Beside(v.Addr, s.Ports[0], codebook.HarbourPort), "")
+		add(messages.Beside(v.Addr, s.Ports[0], messages.HarbourPort), "")
 	}
 	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
 	rand.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
 	all = append(near, far...)
-	silent := t.head.Silent(codebook.RoleHarbour)
+	silent := t.head.Silent(messages.RoleHarbour)
 	rank := func(a string) int {
 		switch {
 		case silent[a]:
@@ -336,14 +336,14 @@
 
 // pullFrom pulls from one harbourmaster until that is of no more use. good: it was of some.
 func (t *Tug) pullFrom(addr string) (good bool) {
-	c := signal.NewClient(t.net, addr)
+	c := rpc.NewClient(t.net, addr)
 	defer c.Close()
 	type result struct {
 		body []byte
 		err  error
 	}
 	s := t.s.Load()
-	var call codebook.PullCall // the first is answered at once: how long ago it heard a majority is to be known
+	var call messages.PullCall // the first is answered at once: how long ago it heard a majority is to be known
 	began := time.Now()
 	got := t.sources[addr]
 	for !t.over() {
@@ -356,10 +356,10 @@
 		t.mu.Unlock()
 		done := make(chan result, 1)
 		sent := time.Now()
-		id := c.Go(codebook.Pull, signal.Encode(call), func(body []byte, err error) { done <- result{body, err} })
+		id := c.Go(messages.Pull, rpc.Encode(call), func(body []byte, err error) { done <- result{body, err} })
 		timer := time.NewTimer(pullHold + pullTime)
 		var r result
-		var n codebook.News
+		var n messages.News
 	wait:
 		for {
 			select {
@@ -370,7 +370,7 @@
 				t.mu.Lock()
 				others := slices.Clone(t.others)
 				t.mu.Unlock()
-				c.Go(codebook.Pull, signal.Encode(codebook.PullCall{Self: &b, Others: others, Life: call.Life, At: codebook.Tells, Have: manifest.Ballot{N: 1 << 62}, Sum: call.Sum, Epoch: call.Epoch}), func([]byte, error) {})
+				c.Go(messages.Pull, rpc.Encode(messages.PullCall{Self: &b, Others: others, Life: call.Life, At: messages.Tells, Have: configuration.Ballot{N: 1 << 62}, Sum: call.Sum, Epoch: call.Epoch}), func([]byte, error) {})
 			case <-timer.C:
 				c.Forget(id)
 				r.err = errcode.New(errcode.TimedOut, "")
@@ -381,7 +381,7 @@
 			}
 		}
 		timer.Stop()
-		if r.err != nil || signal.Decode(r.body, &n) != nil {
+		if r.err != nil || rpc.Decode(r.body, &n) != nil {
 			return false
 		}
 		t.pulls.Add(1)
@@ -396,7 +396,7 @@
 		got.add(&n)
 		better := t.take(n)
 		t.sources.keep(addr, &got)
-		if n.FreshMs > staleMs && (better || t.another(addr) || time.Since(began) > time.Second || n.FreshMs >= codebook.Never && time.Since(began) > 300*time.Millisecond) {
+		if n.FreshMs > staleMs && (better || t.another(addr) || time.Since(began) > time.Second || n.FreshMs >= messages.Never && time.Since(began) > 300*time.Millisecond) {
 			t.mu.Lock()
 			t.left[addr] = time.Now()
 			t.mu.Unlock()
@@ -431,20 +431,20 @@
 		if ip == "" || ip == s.IP {
 			return
 		}
-		from = codebook.Beside(net.JoinHostPort(ip, "0"), s.Ports[0], codebook.GatePort)
+		from = messages.Beside(net.JoinHostPort(ip, "0"), s.Ports[0], messages.GatePort)
 	}
 	got := t.sources[from]
 	for !t.over() {
 		b := t.way.Gate.Berth()
 		t.mu.Lock()
-		call := codebook.PullCall{Self: &b, Have: t.chosen, Epoch: t.council.Roll().Epoch}
+		call := messages.PullCall{Self: &b, Have: t.chosen, Epoch: t.council.Roll().Epoch}
 		t.anew(&got)
 		got.goOn(&call)
 		t.mu.Unlock()
 		sent := time.Now()
-		raw, err := t.way.AskNews(from, signal.Encode(call), pullTime)
-		var n codebook.News
-		if err != nil || signal.Decode(raw, &n) != nil {
+		raw, err := t.way.AskNews(from, rpc.Encode(call), pullTime)
+		var n messages.News
+		if err != nil || rpc.Decode(raw, &n) != nil {
 			return
 		}
 		t.byOther.Add(1)
@@ -460,8 +460,8 @@
 
 // newsFor answers another proxy that reaches no harbourmaster, and tells on what it is the source of.
 func (t *Tug) newsFor(raw []byte) ([]byte, error) {
-	var call codebook.PullCall
-	if err := signal.Decode(raw, &call); err != nil {
+	var call messages.PullCall
+	if err := rpc.Decode(raw, &call); err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
@@ -469,20 +469,20 @@
 	if told {
 		t.others = append(t.others, *call.Self)
 	}
-	n := codebook.News{Life: t.life, FreshMs: codebook.Never, Partial: !t.full}
+	n := messages.News{Life: t.life, FreshMs: messages.Never, Partial: !t.full}
 	n.Tell(call, t.table, t.chosen, t.stands, t.bare)
 	if r := t.council.Roll(); r.Epoch != call.Epoch && r.Epoch > 0 {
 		n.Roll = &r
 	}
 	if !t.heard.IsZero() {
-		n.FreshMs = uint32(min(time.Since(t.heard).Milliseconds(), codebook.Never))
+		n.FreshMs = uint32(min(time.Since(t.heard).Milliseconds(), messages.Never))
 	}
 	t.mu.Unlock()
 	if told {
 		t.way.Learn([]backends.Berth{*call.Self})
 		t.tell()
 	}
-	return signal.Encode(n), nil
+	return rpc.Encode(n), nil
 }
 
 // maxOthers bounds what is told on for others at a time.
@@ -505,18 +505,18 @@
 }
 
 // age adds the time that news took on its way, of a call sent then: either end may have slept meanwhile.
-func age(n *codebook.News, sent time.Time) {
+func age(n *messages.News, sent time.Time) {
 	way := max(0, time.Since(sent).Milliseconds()-int64(n.HeldMs))
-	n.FreshMs = uint32(min(int64(n.FreshMs)+way, codebook.Never))
+	n.FreshMs = uint32(min(int64(n.FreshMs)+way, messages.Never))
 }
 
 // take takes news. A configuration of one who hears no majority is left there while another may have a newer one: seek.
-func (t *Tug) take(n codebook.News) (seek bool) {
+func (t *Tug) take(n messages.News) (seek bool) {
 	if n.Roll != nil && t.council.Take(*n.Roll) {
 		t.log("roll", fmt.Sprintf("epoch %d, %d count", n.Roll.Epoch, len(n.Roll.Voters)))
 	}
 	var news []backends.Berth
-	var chart *manifest.Chart
+	var chart *configuration.Chart
 	t.mu.Lock()
 	if len(n.Masters) > 0 {
 		t.masters = listed(t.masters, n.Masters, n.FreshMs > staleMs)
@@ -556,11 +556,11 @@
 }
 
 // listed is the list of harbourmasters after another was told. One who hears no majority may know few: it takes nobody off.
-func listed(known, told []codebook.Master, stale bool) []codebook.Master {
+func listed(known, told []messages.Master, stale bool) []messages.Master {
 	out := slices.Clone(told)
 	if stale {
 		for _, m := range known {
-			if !slices.ContainsFunc(told, func(x codebook.Master) bool { return x.Name == m.Name }) {
+			if !slices.ContainsFunc(told, func(x messages.Master) bool { return x.Name == m.Name }) {
 				out = append(out, m)
 			}
 		}
@@ -576,7 +576,7 @@
 }
 
 // Reload takes other settings: seeds alone may change while it runs.
-func (t *Tug) Reload(s *articles.Settings) {
+func (t *Tug) Reload(s *settings.Settings) {
 	t.s.Store(s)
 	t.head.Reload(s)
 }
--- a/internal/quorum/council.go
+++ b/internal/quorum/council.go
@@ -8,10 +8,10 @@
 	"sync/atomic"
 	"time"
 
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
 	"saltmast/internal/errcode"
-	"saltmast/internal/manifest"
-	"saltmast/internal/signal"
+	"saltmast/internal/messages"
+	"saltmast/internal/rpc"
 	"saltmast/internal/sock"
 )
 
@@ -19,8 +19,8 @@
 type Council struct {
 	net     sock.Net
 	mu      sync.Mutex
-	roll    codebook.Roll
-	clients []*signal.Client
+	roll    messages.Roll
+	clients []*rpc.Client
 	newer   chan struct{} // closed when a newer roll is taken
 
 	learning atomic.Bool
@@ -30,20 +30,20 @@
 func New(n sock.Net) *Council { return &Council{net: n, newer: make(chan struct{})} }
 
 // Roll is the newest roll.
-func (c *Council) Roll() codebook.Roll {
+func (c *Council) Roll() messages.Roll {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.roll
 }
 
 // Take takes a roll if it is newer, and reports whether it was.
-func (c *Council) Take(r codebook.Roll) bool {
+func (c *Council) Take(r messages.Roll) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r.Epoch <= c.roll.Epoch {
 		return false
 	}
-	old := map[string]*signal.Client{}
+	old := map[string]*rpc.Client{}
 	for _, cl := range c.clients {
 		old[cl.Addr()] = cl
 	}
@@ -51,7 +51,7 @@
 	for _, v := range r.Voters {
 		cl := old[v.Addr]
 		if cl == nil {
-			cl = signal.NewClient(c.net, v.Addr)
+			cl = rpc.NewClient(c.net, v.Addr)
 		}
 		delete(old, v.Addr)
 		c.clients = append(c.clients, cl)
@@ -88,11 +88,11 @@
 	if cl == nil || !c.learning.CompareAndSwap(false, true) {
 		return
 	}
-	call := codebook.WatchCall{Have: manifest.Ballot{N: 1 << 62}, HoldMs: uint32(learnTime.Milliseconds()), Epoch: epoch}
+	call := messages.WatchCall{Have: configuration.Ballot{N: 1 << 62}, HoldMs: uint32(learnTime.Milliseconds()), Epoch: epoch}
 	go func() {
 		defer c.learning.Store(false)
-		var w codebook.Watched
-		if cl.Call(codebook.Watch, call, &w, 2*learnTime) == nil {
+		var w messages.Watched
+		if cl.Call(messages.Watch, call, &w, 2*learnTime) == nil {
 			c.Take(w.Roll)
 		}
 	}()
@@ -111,7 +111,7 @@
 }
 
 // Client is the client to the voter of a place; nil: there is none.
-func (c *Council) Client(place int) *signal.Client {
+func (c *Council) Client(place int) *rpc.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if place >= len(c.clients) {
--- a/internal/reconfig/explore_test.go
+++ b/internal/reconfig/explore_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
+	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
 	"saltmast/internal/explore"
 	"saltmast/internal/idempotency"
-	"saltmast/internal/manifest"
 )
 
 // The whole space of one change of the roll: voters 0, 1 and 2, a joiner 3, two proposers of different rolls, and either two
@@ -95,9 +95,9 @@
 
 func place(roll uint8, i int) int { return slices.Index(voters[roll][:], i) }
 
-func ball(n uint8) (b manifest.Ballot) {
+func ball(n uint8) (b configuration.Ballot) {
 	if n > 0 {
-		b = manifest.Ballot{N: uint64(n), By: 1}
+		b = configuration.Ballot{N: uint64(n), By: 1}
 	}
 	return b
 }
@@ -450,7 +450,7 @@
 				n.r[b].promises[i] |= told
 				to(n, "machine %d promises round %d in epoch %d, has %d", i, b+1, e, m.value)
 			}
-		} else if told := uint8(1) << bit(m.knows); a.May(ball(b+1), manifest.Ballot{}) && (r.accepts[i]&told == 0 || m.value != b+1) {
+		} else if told := uint8(1) << bit(m.knows); a.May(ball(b+1), configuration.Ballot{}) && (r.accepts[i]&told == 0 || m.value != b+1) {
 			a.Accept(ball(b+1), nil)
 			n := s
 			n.m[i].vowed, n.m[i].value, n.m[i].former = uint8(a.Promised.N), b+1, false
--- a/internal/reconfig/relief.go
+++ b/internal/reconfig/relief.go
@@ -12,8 +12,8 @@
 	"maps"
 	"slices"
 
+	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
-	"saltmast/internal/manifest"
 )
 
 // Voter is a member of those that count: where its purser is.
@@ -43,17 +43,17 @@
 
 // Seal is an old voter's part in the end of its epoch. The zero value has promised nothing.
 type Seal struct {
-	Promised manifest.Ballot `cbor:"1,keyasint"` // no lower ballot is taken
-	Accepted manifest.Ballot `cbor:"2,keyasint"` // of Next
-	Next     Roll            `cbor:"3,keyasint"`
-	Closed   bool            `cbor:"4,keyasint,omitempty"` // it slept through the vote, and heard that a successor is chosen
+	Promised configuration.Ballot `cbor:"1,keyasint"` // no lower ballot is taken
+	Accepted configuration.Ballot `cbor:"2,keyasint"` // of Next
+	Next     Roll                 `cbor:"3,keyasint"`
+	Closed   bool                 `cbor:"4,keyasint,omitempty"` // it slept through the vote, and heard that a successor is chosen
 }
 
 // Shut reports whether the epoch has ended for this voter.
 func (s *Seal) Shut() bool { return s.Closed || !s.Accepted.IsZero() }
 
 // Prepare takes the promise to take nothing lower than b, and reports whether it was given. It counts once it is on disk.
-func (s *Seal) Prepare(b manifest.Ballot) bool {
+func (s *Seal) Prepare(b configuration.Ballot) bool {
 	if b.Less(s.Promised) {
 		return false
 	}
@@ -62,7 +62,7 @@
 }
 
 // Accept accepts a successor, and reports whether it did. From then on nothing is granted; it counts once it is on disk.
-func (s *Seal) Accept(b manifest.Ballot, next Roll) bool {
+func (s *Seal) Accept(b configuration.Ballot, next Roll) bool {
 	if b.Less(s.Promised) {
 		return false
 	}
@@ -89,8 +89,8 @@
 
 // Round gathers the answers to one ballot.
 type Round struct {
-	Voters   int             // of the old epoch
-	Higher   manifest.Ballot // the highest that stood in the way
+	Voters   int                  // of the old epoch
+	Higher   configuration.Ballot // the highest that stood in the way
 	promises []Answer
 	accepts  []consensus.Vouch
 }
@@ -113,7 +113,7 @@
 	if len(sound) < consensus.Majority(r.Voters) {
 		return next, false, false
 	}
-	var of manifest.Ballot
+	var of configuration.Ballot
 	for _, a := range r.promises {
 		told := slices.ContainsFunc(sound, func(v consensus.Vouch) bool { return v.By == a.Vouch.By })
 		if told && of.Less(a.Seal.Accepted) {
@@ -132,7 +132,7 @@
 	return len(consensus.Sound(r.accepts)) >= consensus.Majority(r.Voters)
 }
 
-func (r *Round) raise(b manifest.Ballot) {
+func (r *Round) raise(b configuration.Ballot) {
 	if r.Higher.Less(b) {
 		r.Higher = b
 	}
@@ -140,11 +140,11 @@
 
 // Estate is what one voter hands over, other than its claims of keys.
 type Estate struct {
-	Vouch    consensus.Vouch `cbor:"1,keyasint"`
-	Holds    bool            `cbor:"2,keyasint"` // it speaks in the new epoch already; else it is sealed in the old one
-	Promised manifest.Ballot `cbor:"3,keyasint"`
-	Accepted manifest.Ballot `cbor:"4,keyasint"`
-	Chosen   manifest.Ballot `cbor:"5,keyasint"`
+	Vouch    consensus.Vouch      `cbor:"1,keyasint"`
+	Holds    bool                 `cbor:"2,keyasint"` // it speaks in the new epoch already; else it is sealed in the old one
+	Promised configuration.Ballot `cbor:"3,keyasint"`
+	Accepted configuration.Ballot `cbor:"4,keyasint"`
+	Chosen   configuration.Ballot `cbor:"5,keyasint"`
 }
 
 // Enough says which of the estates a new voter takes over: that of one who speaks in the new epoch already, whose books have
@@ -170,7 +170,7 @@
 // Inherit is the register that a new voter begins with: the highest promise, the highest accepted value, which is that of the
 // estate at, and what is known to be chosen. The value was accepted in a former epoch: two new voters may have inherited
 // different ones, so that it is what rounds are built on, and is chosen by count only once it was accepted anew.
-func Inherit(told []Estate, take []int) (promised, accepted, chosen manifest.Ballot, at int) {
+func Inherit(told []Estate, take []int) (promised, accepted, chosen configuration.Ballot, at int) {
 	at = take[0]
 	for _, i := range take {
 		e := told[i]
