--- a/internal/harbour/contact_test.go
+++ b/internal/registry/contact_test.go
@@ -1,4 +1,4 @@
-package harbour
+package registry
 
 import (
 	"context"
@@ -6,14 +6,14 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
 	"saltmast/internal/drydock/sea"
 	"saltmast/internal/errcode"
 	"saltmast/internal/lease"
-	"saltmast/internal/manifest"
+	"saltmast/internal/messages"
 	"saltmast/internal/quorum"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
 )
 
 // Contact is with a majority that spoke lately, in this epoch, unsealed, and knows of nothing that is not known here; whatever
@@ -23,30 +23,30 @@
 		time.Sleep(time.Minute)
 		for name, c := range map[string]struct {
 			ago    time.Duration
-			change func(*codebook.Watched)
+			change func(*messages.Watched)
 			most   uint32
 		}{
-			"a majority spoke":              {0, func(*codebook.Watched) {}, 0},
-			"it was read late":              {20 * time.Second, func(*codebook.Watched) {}, 20_000},
-			"one is sealed":                 {0, func(w *codebook.Watched) { w.Shut = true }, codebook.Never},
-			"one is of another epoch":       {0, func(w *codebook.Watched) { w.Roll.Epoch = 1 }, codebook.Never},
-			"one may know of a newer value": {0, func(w *codebook.Watched) { w.Accepted.N = 9 }, codebook.Never},
-			"one makes up for its disk":     {0, func(w *codebook.Watched) { w.State = "repairing" }, codebook.Never},
-			"one speaks for another":        {0, func(w *codebook.Watched) { w.Vouch.By = 0 }, codebook.Never},
-			"one has yet to hear what is chosen": {0, func(w *codebook.Watched) {
-				w.Chosen, w.Accepted, w.Known, w.Upto = manifest.Ballot{}, manifest.Ballot{}, manifest.Ballot{}, manifest.Ballot{}
+			"a majority spoke":              {0, func(*messages.Watched) {}, 0},
+			"it was read late":              {20 * time.Second, func(*messages.Watched) {}, 20_000},
+			"one is sealed":                 {0, func(w *messages.Watched) { w.Shut = true }, messages.Never},
+			"one is of another epoch":       {0, func(w *messages.Watched) { w.Roll.Epoch = 1 }, messages.Never},
+			"one may know of a newer value": {0, func(w *messages.Watched) { w.Accepted.N = 9 }, messages.Never},
+			"one makes up for its disk":     {0, func(w *messages.Watched) { w.State = "repairing" }, messages.Never},
+			"one speaks for another":        {0, func(w *messages.Watched) { w.Vouch.By = 0 }, messages.Never},
+			"one has yet to hear what is chosen": {0, func(w *messages.Watched) {
+				w.Chosen, w.Accepted, w.Known, w.Upto = configuration.Ballot{}, configuration.Ballot{}, configuration.Ballot{}, configuration.Ballot{}
 			}, 0},
-			"one catches up with a newer value": {0, func(w *codebook.Watched) { w.Known.N = 9 }, codebook.Never},
+			"one catches up with a newer value": {0, func(w *messages.Watched) { w.Known.N = 9 }, messages.Never},
 		} {
 			h, b := ashore(t)
-			roll := codebook.Roll{Epoch: 2, Voters: make([]codebook.Voter, 3)}
+			roll := messages.Roll{Epoch: 2, Voters: make([]messages.Voter, 3)}
 			h.council.Take(roll)
 			b.leases = map[lease.Name]*lease.Lease{}
 			b.heard, b.vouched, b.pending, b.behind, b.shut = make([]time.Time, 3), make([]time.Time, 3), make([]time.Time, 3), make([]int, 3), make([]time.Time, 3)
-			b.marks, b.upto, b.taught, b.answered = make([]codebook.Mark, 3), make([]manifest.Ballot, 3), make([]bool, 3), make([]time.Time, 3)
+			b.marks, b.upto, b.taught, b.answered = make([]messages.Mark, 3), make([]configuration.Ballot, 3), make([]bool, 3), make([]time.Time, 3)
 			for i := range 2 {
-				w := codebook.Watched{State: "serving", Vouch: consensus.Vouch{By: i}, Roll: roll, Chosen: manifest.Ballot{N: 3}, Accepted: manifest.Ballot{N: 3},
-					Known: manifest.Ballot{N: 3}, Upto: manifest.Ballot{N: 3}}
+				w := messages.Watched{State: "serving", Vouch: consensus.Vouch{By: i}, Roll: roll, Chosen: configuration.Ballot{N: 3}, Accepted: configuration.Ballot{N: 3},
+					Known: configuration.Ballot{N: 3}, Upto: configuration.Ballot{N: 3}}
 				ago := c.ago
 				if i == 1 {
 					c.change(&w)
@@ -107,14 +107,14 @@
 		h, b := ashore(t)
 		defer h.council.Close()
 		h.o.Lost = 2 * time.Second
-		roll := codebook.Roll{Epoch: 2, Voters: make([]codebook.Voter, 3)}
+		roll := messages.Roll{Epoch: 2, Voters: make([]messages.Voter, 3)}
 		h.council.Take(roll)
 		b.adopted(roll)
 		for _, sleep := range []time.Duration{0, 500 * time.Millisecond, 500 * time.Millisecond, time.Minute} {
 			time.Sleep(sleep)
 			for i := range 3 {
 				if i < 2 || sleep < time.Minute {
-					b.watched(i, codebook.Watched{State: "serving", Vouch: consensus.Vouch{By: i}, Roll: roll}, time.Now())
+					b.watched(i, messages.Watched{State: "serving", Vouch: consensus.Vouch{By: i}, Roll: roll}, time.Now())
 				}
 			}
 		}
@@ -129,7 +129,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := sea.New(1)
 		p := s.Machine("10.0.0.1", "north").Start()
-		var voters []codebook.Voter
+		var voters []messages.Voter
 		var all []*voter
 		var h *Harbour
 		sleeps := false
@@ -141,8 +141,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			server := signal.Serve(l, func(c signal.Call) {
-				if c.Kind == codebook.Prepare {
+			server := rpc.Serve(l, func(c rpc.Call) {
+				if c.Kind == messages.Prepare {
 					cancel()
 					if sleeps {
 						h.own.Send(func(*books) { time.Sleep(20 * time.Second) })
@@ -151,16 +151,16 @@
 				v.handle(c)
 			})
 			defer server.Close()
-			voters, all = append(voters, codebook.Voter{Addr: ip + ":80"}), append(all, v)
+			voters, all = append(voters, messages.Voter{Addr: ip + ":80"}), append(all, v)
 		}
 		var b *books
 		h, b = ashore(t)
 		h.council = quorum.New(p)
 		defer h.council.Close()
-		h.council.Take(codebook.Roll{Epoch: 1, Voters: voters})
-		h.own = signal.Own(b, 16)
+		h.council.Take(messages.Roll{Epoch: 1, Voters: voters})
+		h.own = rpc.Own(b, 16)
 		defer h.own.End()
-		items := []manifest.Item{{Key: manifest.Key{Kind: manifest.Services, Name: "s"}, Version: 1, Spec: []byte("{}")}}
+		items := []configuration.Item{{Key: configuration.Key{Kind: configuration.Services, Name: "s"}, Version: 1, Spec: []byte("{}")}}
 		begun := time.Now()
 		if k := errcode.Of(h.propose(ctx, consensus.Order{Items: items})); k != errcode.CoreOut {
 			t.Error("a call whose caller has gone:", k)
@@ -191,8 +191,8 @@
 		p := sea.New(1).Machine("10.0.0.1", "north").Start()
 		h, b := ashore(t)
 		h.council = quorum.New(p)
-		h.council.Take(codebook.Roll{Epoch: 1, Voters: []codebook.Voter{{Addr: "10.0.0.2:80"}, {Addr: "10.0.0.3:80"}, {Addr: "10.0.0.4:80"}}})
-		h.own = signal.Own(b, 16)
+		h.council.Take(messages.Roll{Epoch: 1, Voters: []messages.Voter{{Addr: "10.0.0.2:80"}, {Addr: "10.0.0.3:80"}, {Addr: "10.0.0.4:80"}}})
+		h.own = rpc.Own(b, 16)
 		for _, c := range []struct {
 			name   string
 			silent time.Duration // of two; the third was heard just now
@@ -225,10 +225,10 @@
 		h, b := ashore(t)
 		defer h.council.Close()
 		h.o.Lost, h.o.Bears.Zones = 2*time.Second, 1
-		roll := codebook.Roll{Epoch: 2}
+		roll := messages.Roll{Epoch: 2}
 		for i, zone := range []string{"east", "east", "west"} {
 			name := string(rune('a' + i))
-			roll.Voters = append(roll.Voters, codebook.Voter{Name: name, Addr: name + ":1", Zone: zone})
+			roll.Voters = append(roll.Voters, messages.Voter{Name: name, Addr: name + ":1", Zone: zone})
 		}
 		h.council.Take(roll)
 		close(h.ended) // no change is begun
@@ -242,7 +242,7 @@
 		if b.tend(now) {
 			t.Error("soon, with nobody who could take a place")
 		}
-		b.masters["d"] = codebook.Master{Name: "d", Addr: "d:1", Zone: "south"}
+		b.masters["d"] = messages.Master{Name: "d", Addr: "d:1", Zone: "south"}
 		if !b.tend(now) {
 			t.Error("a look later at the earliest")
 		}
--- a/internal/harbour/end_test.go
+++ b/internal/registry/end_test.go
@@ -1,4 +1,4 @@
-package harbour
+package registry
 
 import (
 	"sync"
--- a/internal/harbour/harbour.go
+++ b/internal/registry/harbour.go
@@ -1,7 +1,7 @@
-// Package harbour is the registry of the mesh: it knows which proxies and backends there are, takes the operator's calls and
+// Package registry is the registry of the mesh: it knows which proxies and backends there are, takes the operator's calls and
 // carries them to those that count, and brings all news to proxies, which pull what they lack. Nothing of it is on disk: what
 // it lost is told again by those who told it first. Start reading at Start.
-package harbour
+package registry
 
 import (
 	"context"
@@ -17,23 +17,23 @@
 	"time"
 
 	"saltmast/internal/backends"
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
+	"saltmast/internal/controlapi"
 	"saltmast/internal/errcode"
 	"saltmast/internal/lease"
-	"saltmast/internal/manifest"
-	"saltmast/internal/masthead"
-	"saltmast/internal/pilot"
+	"saltmast/internal/membership"
+	"saltmast/internal/membership/transport"
+	"saltmast/internal/messages"
 	"saltmast/internal/quorum"
 	"saltmast/internal/reconfig"
-	"saltmast/internal/roster"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
 	"saltmast/internal/sock"
 )
 
 // Options are what a harbourmaster is started with.
 type Options struct {
-	Self    codebook.Master // its own name, address of calls by signal, zone
+	Self    messages.Master // its own name, address of calls by signal, zone
 	Purser  string          // host:port of the purser beside it
 	Seeds   func() []string // hosts that serve control, as host:port; only the host counts
 	First   int             // the first of the free ports
@@ -41,7 +41,7 @@
 	Control net.Listener    // outside calls
 	Calls   net.Listener    // calls by signal
 	Net     sock.Net        // nil: the system's
-	Head    *masthead.Masthead
+	Head    *transport.Masthead
 	Log     func(event, text string)
 	Losses  int                // of voters at once that are to be borne; 0: as many as the roll that was founded bears
 	Lost    time.Duration      // a voter that answers nobody for so long is replaced; 0: VoterLost
@@ -60,11 +60,11 @@
 // Harbour is one harbourmaster.
 type Harbour struct {
 	o       Options
-	own     *signal.Owner[books]
+	own     *rpc.Owner[books]
 	council *quorum.Council
-	server  *signal.Server
+	server  *rpc.Server
 	http    *http.Server
-	port    *pilot.Port
+	port    *controlapi.Port
 	Counts  Counts
 	ended   chan struct{}
 	running sync.WaitGroup
@@ -78,19 +78,19 @@
 type books struct {
 	h        *Harbour
 	berths   *backends.Table
-	chosen   manifest.Ballot
-	stands   manifest.Set
-	pages    consensus.Pages   // of a later one
-	highest  manifest.Ballot   // of any ballot heard of
-	heard    []time.Time       // by place: when the member last spoke as one, at the latest
-	answered []time.Time       // by place: when it last answered, however it stood
-	vouched  []time.Time       // by place: the same, with nothing that is not known here
-	pending  []time.Time       // by place: since when it holds a value of which nobody knows whether it was chosen; zero: none
-	behind   []int             // by place: answers in a row that it was behind
-	upto     []manifest.Ballot // by place: up to which it holds all items, as it told last
-	taught   []bool            // by place: pages are on their way to it from here
-	marks    []codebook.Mark   // by place: the last that it told
-	masters  map[string]codebook.Master
+	chosen   configuration.Ballot
+	stands   configuration.Set
+	pages    consensus.Pages        // of a later one
+	highest  configuration.Ballot   // of any ballot heard of
+	heard    []time.Time            // by place: when the member last spoke as one, at the latest
+	answered []time.Time            // by place: when it last answered, however it stood
+	vouched  []time.Time            // by place: the same, with nothing that is not known here
+	pending  []time.Time            // by place: since when it holds a value of which nobody knows whether it was chosen; zero: none
+	behind   []int                  // by place: answers in a row that it was behind
+	upto     []configuration.Ballot // by place: up to which it holds all items, as it told last
+	taught   []bool                 // by place: pages are on their way to it from here
+	marks    []messages.Mark        // by place: the last that it told
+	masters  map[string]messages.Master
 	sum      uint64                   // of masters
 	lost     map[string]time.Time     // of masters: since when nothing tells that they live
 	pulling  map[string]chan struct{} // closed to end it
@@ -104,18 +104,18 @@
 	edition  edition
 	begun    time.Time
 	leases   map[lease.Name]*lease.Lease
-	shut     []time.Time     // by place: since when the member is sealed; zero: it is not
-	alone    time.Duration   // a member may be sealed for so long before this one finishes the change without the duty
-	decree   manifest.Ballot // the highest heard of, of the next roll
-	since    time.Time       // that this roll is watched
-	epoch    uint64          // of this roll
-	sought   time.Time       // when another voter was looked for last
-	grown    time.Time       // when voters that are wanting were looked for last
+	shut     []time.Time          // by place: since when the member is sealed; zero: it is not
+	alone    time.Duration        // a member may be sealed for so long before this one finishes the change without the duty
+	decree   configuration.Ballot // the highest heard of, of the next roll
+	since    time.Time            // that this roll is watched
+	epoch    uint64               // of this roll
+	sought   time.Time            // when another voter was looked for last
+	grown    time.Time            // when voters that are wanting were looked for last
 }
 
 type puller struct {
-	c     signal.Call
-	m     codebook.PullCall
+	c     rpc.Call
+	m     messages.PullCall
 	came  time.Time
 	timer *time.Timer // of its end; nil: it was answered at once
 	waits bool        // for the end of what is Partial
@@ -125,15 +125,15 @@
 // Start begins to serve.
 func Start(o Options) *Harbour {
 	h := &Harbour{o: o, council: quorum.New(o.Net), ended: make(chan struct{}), round: make(chan struct{}, 1), turning: make(chan struct{}, 1)}
-	b := &books{h: h, berths: backends.New(), masters: map[string]codebook.Master{}, lost: map[string]time.Time{},
-		pulling: map[string]chan struct{}{}, asked: map[string]bool{}, pullers: map[*puller]struct{}{}, begun: time.Now(), leases: map[lease.Name]*lease.Lease{}, stands: manifest.Set{}.Charted()}
+	b := &books{h: h, berths: backends.New(), masters: map[string]messages.Master{}, lost: map[string]time.Time{},
+		pulling: map[string]chan struct{}{}, asked: map[string]bool{}, pullers: map[*puller]struct{}{}, begun: time.Now(), leases: map[lease.Name]*lease.Lease{}, stands: configuration.Set{}.Charted()}
 	b.enter(o.Self)
-	h.own = signal.Own(b, 1024)
-	h.port = &pilot.Port{Change: h.change, Configure: h.configure,
+	h.own = rpc.Own(b, 1024)
+	h.port = &controlapi.Port{Change: h.change, Configure: h.configure,
 		Refused: func(k errcode.Kind, text string) { h.Counts.Refused.Add(1); o.Log("refused", text) }}
-	h.http = pilot.Server(h.port)
+	h.http = controlapi.Server(h.port)
 	go h.http.Serve(o.Control)
-	h.server = signal.Serve(o.Calls, h.handle)
+	h.server = rpc.Serve(o.Calls, h.handle)
 	h.begin(h.enrol)
 	h.begin(h.meet)
 	return h
@@ -199,11 +199,11 @@
 
 // Status is for the log and the console.
 type Status struct {
-	Chosen  manifest.Ballot
+	Chosen  configuration.Ballot
 	Items   int
 	Berths  []backends.Berth
-	Masters []codebook.Master
-	Roll    codebook.Roll
+	Masters []messages.Master
+	Roll    messages.Roll
 	FreshMs uint32
 }
 
@@ -232,14 +232,14 @@
 	for h.council.Roll().Epoch == 0 {
 		addrs := []string{h.o.Purser}
 		for _, s := range h.o.Seeds() {
-			if a := codebook.Beside(s, h.o.First, codebook.PurserPort); a != h.o.Purser {
+			if a := messages.Beside(s, h.o.First, messages.PurserPort); a != h.o.Purser {
 				addrs = append(addrs, a)
 			}
 		}
 		for _, a := range addrs {
-			c := signal.NewClient(h.o.Net, a)
-			var w codebook.Watched
-			if err := c.Call(codebook.Watch, codebook.WatchCall{}, &w, callTime); err == nil && w.Roll.Epoch > 0 {
+			c := rpc.NewClient(h.o.Net, a)
+			var w messages.Watched
+			if err := c.Call(messages.Watch, messages.WatchCall{}, &w, callTime); err == nil && w.Roll.Epoch > 0 {
 				h.adopt(w.Roll)
 			}
 			c.Close()
@@ -251,7 +251,7 @@
 }
 
 // adopt takes a roll if it is newer than what is known, and watches those who count there. It is called by what runs.
-func (h *Harbour) adopt(roll codebook.Roll) {
+func (h *Harbour) adopt(roll messages.Roll) {
 	if roll.Epoch == 0 || !h.council.Take(roll) {
 		return
 	}
@@ -275,26 +275,26 @@
 const noRoll = "no roll"
 
 // adopted begins to note anew what is noted by place.
-func (b *books) adopted(roll codebook.Roll) {
+func (b *books) adopted(roll messages.Roll) {
 	n := len(roll.Voters)
 	b.heard, b.pending, b.behind, b.shut = make([]time.Time, n), make([]time.Time, n), make([]int, n), make([]time.Time, n)
-	b.upto, b.taught, b.vouched = make([]manifest.Ballot, n), make([]bool, n), make([]time.Time, n)
-	b.marks, b.answered = make([]codebook.Mark, n), make([]time.Time, n)
+	b.upto, b.taught, b.vouched = make([]configuration.Ballot, n), make([]bool, n), make([]time.Time, n)
+	b.marks, b.answered = make([]messages.Mark, n), make([]time.Time, n)
 	b.since, b.epoch = time.Now(), roll.Epoch
 	clear(b.leases)
 }
 
 // watch follows one member.
-func (h *Harbour) watch(place int, roll codebook.Roll) {
+func (h *Harbour) watch(place int, roll messages.Roll) {
 	anew := true // how it stands is to be known at once
 	for !h.over() {
 		c := h.council.Client(place)
 		if c == nil || h.council.Roll().Epoch != roll.Epoch {
 			return
 		}
-		var call codebook.WatchCall
+		var call messages.WatchCall
 		h.own.Ask(func(b *books) {
-			call = codebook.WatchCall{Have: b.pages.Have(b.chosen), HoldMs: uint32(watchHold.Milliseconds()), Epoch: roll.Epoch, Open: true}
+			call = messages.WatchCall{Have: b.pages.Have(b.chosen), HoldMs: uint32(watchHold.Milliseconds()), Epoch: roll.Epoch, Open: true}
 			if place < len(b.shut) && !b.shut[place].IsZero() { // it is asked again soon whether that goes on
 				call.Open, call.HoldMs = false, uint32(haltTime.Milliseconds())/3
 			}
@@ -305,9 +305,9 @@
 				call.HoldMs = uint32(coldHold.Milliseconds())
 			}
 		})
-		var w codebook.Watched
+		var w messages.Watched
 		asked := time.Now()
-		if err := c.Call(codebook.Watch, call, &w, watchHold+callTime); err != nil {
+		if err := c.Call(messages.Watch, call, &w, watchHold+callTime); err != nil {
 			anew = true
 			if !h.pause(100 * time.Millisecond) {
 				return
@@ -325,7 +325,7 @@
 			}
 		})
 		if w.Roll.Epoch < roll.Epoch && (roll.Epoch > 1 || w.State == noRoll) { // it slept through the change, or its seeds are all away
-			c.Call(codebook.Relieve, codebook.RelieveCall{Roll: roll}, nil, relieveTime)
+			c.Call(messages.Relieve, messages.RelieveCall{Roll: roll}, nil, relieveTime)
 		}
 		if w.State != "serving" && !h.pause(100*time.Millisecond) {
 			return
@@ -340,7 +340,7 @@
 const pendingTime = 400 * time.Millisecond
 
 // watched takes what a member told, not before spoke. It may have been read long after: this process may have slept meanwhile.
-func (b *books) watched(place int, w codebook.Watched, spoke time.Time) {
+func (b *books) watched(place int, w messages.Watched, spoke time.Time) {
 	if w.Known.Less(w.Chosen) { // a purser from before pages tells all at once
 		w.Known, w.Upto = w.Chosen, w.Chosen
 	}
@@ -360,7 +360,7 @@
 	}
 	later(&b.heard[place])
 	if place < len(w.Vouch.Incs) {
-		b.marks[place] = codebook.Mark{Epoch: w.Roll.Epoch, Inc: w.Vouch.Incs[place], N: w.Mark}
+		b.marks[place] = messages.Mark{Epoch: w.Roll.Epoch, Inc: w.Vouch.Incs[place], N: w.Mark}
 	}
 	b.halted(place, w.Shut, now)
 	b.upto[place] = w.Chosen
@@ -412,7 +412,7 @@
 	return true
 }
 
-func (b *books) raise(x manifest.Ballot) {
+func (b *books) raise(x configuration.Ballot) {
 	if b.highest.Less(x) {
 		b.highest = x
 	}
@@ -441,13 +441,13 @@
 		return false
 	}
 	asked := held.Asked()
-	call := codebook.LeaseCall{Duty: d, By: b.h.o.Life, Epoch: roll.Epoch}
+	call := messages.LeaseCall{Duty: d, By: b.h.o.Life, Epoch: roll.Epoch}
 	go func() {
 		given := 0
-		ask := signal.Encode(call)
-		b.h.council.Gather(codebook.Lease, func(int) []byte { return ask }, phaseTime, func(t quorum.Told) bool {
-			var l codebook.Leased
-			if t.Err == nil && signal.Decode(t.Body, &l) == nil && l.Given {
+		ask := rpc.Encode(call)
+		b.h.council.Gather(messages.Lease, func(int) []byte { return ask }, phaseTime, func(t quorum.Told) bool {
+			var l messages.Leased
+			if t.Err == nil && rpc.Decode(t.Body, &l) == nil && l.Given {
 				given++
 				b.h.own.Send(func(*books) { held.Granted(asked, t.Place) })
 			}
@@ -455,8 +455,8 @@
 		})
 		if given < consensus.Majority(len(roll.Voters)) { // parts of it would keep others from it
 			call.Give = true
-			give := signal.Encode(call)
-			b.h.council.Gather(codebook.Lease, func(int) []byte { return give }, phaseTime, func(quorum.Told) bool { return false })
+			give := rpc.Encode(call)
+			b.h.council.Gather(messages.Lease, func(int) []byte { return give }, phaseTime, func(quorum.Told) bool { return false })
 		}
 	}()
 	return false
@@ -474,8 +474,8 @@
 		clear(b.leases)
 	})
 	for _, d := range held {
-		give := signal.Encode(codebook.LeaseCall{Duty: d, By: h.o.Life, Give: true})
-		h.council.Gather(codebook.Lease, func(int) []byte { return give }, resignTime, func(quorum.Told) bool { return false })
+		give := rpc.Encode(messages.LeaseCall{Duty: d, By: h.o.Life, Give: true})
+		h.council.Gather(messages.Lease, func(int) []byte { return give }, resignTime, func(quorum.Told) bool { return false })
 	}
 }
 
@@ -492,8 +492,8 @@
 	h.begin(func() {
 		for turns := 0; from.Less(of) && turns < maxTurns && !h.over(); turns++ {
 			p := consensus.PageOf(value, of, from)
-			var a codebook.Accepted
-			if c.Call(codebook.Turn, codebook.TurnCall{Page: p, Epoch: epoch}, &a, phaseTime) != nil || !a.Accepted.Less(of) || a.Chosen == from {
+			var a messages.Accepted
+			if c.Call(messages.Turn, messages.TurnCall{Page: p, Epoch: epoch}, &a, phaseTime) != nil || !a.Accepted.Less(of) || a.Chosen == from {
 				break
 			}
 			from = a.Chosen
@@ -506,9 +506,9 @@
 const maxTurns = 10000
 
 // learn tells a member that what it accepted was chosen.
-func (h *Harbour) learn(place int, of manifest.Ballot) {
+func (h *Harbour) learn(place int, of configuration.Ballot) {
 	if c := h.council.Client(place); c != nil {
-		c.Go(codebook.Learn, signal.Encode(codebook.LearnCall{B: of}), func([]byte, error) {})
+		c.Go(messages.Learn, rpc.Encode(messages.LearnCall{B: of}), func([]byte, error) {})
 	}
 }
 
@@ -518,41 +518,41 @@
 // majorityMs is how many milliseconds ago a majority of the members did what is noted by place.
 func majorityMs(of []time.Time) uint32 {
 	if len(of) == 0 {
-		return codebook.Never
+		return messages.Never
 	}
 	at := slices.Clone(of)
 	slices.SortFunc(at, func(x, y time.Time) int { return y.Compare(x) })
 	t := at[consensus.Majority(len(at))-1]
 	if t.IsZero() {
-		return codebook.Never
+		return messages.Never
 	}
-	return uint32(min(time.Since(t).Milliseconds(), codebook.Never))
+	return uint32(min(time.Since(t).Milliseconds(), messages.Never))
 }
 
 // ---- To those who pull ----
 
-func (h *Harbour) handle(c signal.Call) {
+func (h *Harbour) handle(c rpc.Call) {
 	switch c.Kind {
-	case codebook.Pull:
-		var m codebook.PullCall
-		if err := signal.Decode(c.Body, &m); err != nil {
+	case messages.Pull:
+		var m messages.PullCall
+		if err := rpc.Decode(c.Body, &m); err != nil {
 			c.Reply(nil, err)
 			return
 		}
 		h.Counts.Pulls.Add(1)
 		h.own.Send(func(b *books) { b.pull(c, m) })
-	case codebook.Report:
+	case messages.Report:
 		h.report(c)
-	case codebook.Rolls:
+	case messages.Rolls:
 		h.rolls(c)
-	case codebook.Known:
-		var m codebook.KnownCall
-		if err := signal.Decode(c.Body, &m); err != nil {
+	case messages.Known:
+		var m messages.KnownCall
+		if err := rpc.Decode(c.Body, &m); err != nil {
 			c.Reply(nil, err)
 			return
 		}
 		h.own.Send(func(b *books) {
-			var known codebook.Mark
+			var known messages.Mark
 			if at := h.council.Roll().Place(m.Addr); at >= 0 && at < len(b.marks) {
 				known = b.marks[at]
 			}
@@ -563,7 +563,7 @@
 	}
 }
 
-func (b *books) pull(c signal.Call, m codebook.PullCall) {
+func (b *books) pull(c rpc.Call, m messages.PullCall) {
 	if m.Self != nil {
 		b.h.o.Head.Heard(m.Self.Addr)
 	}
@@ -594,10 +594,10 @@
 		p.m.Epoch < b.h.council.Roll().Epoch || p.m.Sum != b.sum || p.waits && b.full
 }
 
-func (b *books) news(m codebook.PullCall) codebook.News {
-	n := codebook.News{Life: b.h.o.Life, FreshMs: b.fresh(), Sum: b.sum, Partial: !b.full}
-	n.Tell(m, b.berths, b.chosen, b.stands, manifest.Ballot{})
-	n.Items = manifest.Plain(n.Items)
+func (b *books) news(m messages.PullCall) messages.News {
+	n := messages.News{Life: b.h.o.Life, FreshMs: b.fresh(), Sum: b.sum, Partial: !b.full}
+	n.Tell(m, b.berths, b.chosen, b.stands, configuration.Ballot{})
+	n.Items = configuration.Plain(n.Items)
 	if r := b.h.council.Roll(); r.Epoch > m.Epoch {
 		n.Roll = &r
 	}
@@ -636,8 +636,8 @@
 // lack is what an answer hangs on, beside the moment.
 type lack struct {
 	at     uint64
-	have   manifest.Ballot
-	cursor codebook.Cursor
+	have   configuration.Ballot
+	cursor messages.Cursor
 	epoch  uint64
 	sum    uint64
 	held   time.Duration
@@ -645,7 +645,7 @@
 }
 
 type printed struct {
-	body signal.Encoded
+	body rpc.Encoded
 	some bool // it has entries or items
 }
 
@@ -656,13 +656,13 @@
 )
 
 // print is the answer to a call that was held. Its times are bounds: it may be older than it is by an editionTime, and held for less.
-func (b *books) print(m codebook.PullCall, held time.Duration) printed {
+func (b *books) print(m messages.PullCall, held time.Duration) printed {
 	now, of := time.Now(), lack{at: b.berths.At(), have: b.chosen, epoch: b.h.council.Roll().Epoch, sum: b.sum, full: b.full}
 	if e := &b.edition; e.of != of || now.Sub(e.at) >= editionTime || e.bytes > editionBytes {
 		*e = edition{at: now, of: of, answers: map[lack]printed{}}
 	}
 	l := lack{at: m.At, have: m.Have, epoch: m.Epoch, sum: m.Sum, held: held.Truncate(editionTime)}
-	if m.Life != b.h.o.Life && m.At != codebook.Tells {
+	if m.Life != b.h.o.Life && m.At != messages.Tells {
 		l.at = 0
 	} else if m.Cursor != nil {
 		l.cursor = *m.Cursor
@@ -670,9 +670,9 @@
 	a, ok := b.edition.answers[l]
 	if !ok {
 		n := b.news(m)
-		n.FreshMs = min(n.FreshMs+uint32(editionTime.Milliseconds()), codebook.Never)
+		n.FreshMs = min(n.FreshMs+uint32(editionTime.Milliseconds()), messages.Never)
 		n.HeldMs = uint32(l.held.Milliseconds())
-		a = printed{signal.Encode(n), len(n.Berths)+len(n.Items) > 0}
+		a = printed{rpc.Encode(n), len(n.Berths)+len(n.Items) > 0}
 		b.edition.answers[l] = a
 		b.edition.bytes += len(a.body) + answerBytes
 	}
@@ -726,7 +726,7 @@
 const maxMasters = 64
 
 // meet takes note of a harbourmaster and begins to pull from it.
-func (b *books) meet(m codebook.Master) {
+func (b *books) meet(m messages.Master) {
 	if m.Addr == "" || m.Name == "" {
 		return
 	}
@@ -737,20 +737,20 @@
 }
 
 // hearsay takes a harbourmaster that another one told of.
-func (b *books) hearsay(m codebook.Master) {
-	if s := b.h.o.Head.State(m.Addr); s != roster.Dead && s != roster.Left {
+func (b *books) hearsay(m messages.Master) {
+	if s := b.h.o.Head.State(m.Addr); s != membership.Dead && s != membership.Left {
 		b.meet(m)
 	}
 }
 
-func (b *books) enter(m codebook.Master) {
+func (b *books) enter(m messages.Master) {
 	b.masters[m.Name] = m
 	b.listed()
 }
 
 // listed has those who pull told of another list of harbourmasters.
 func (b *books) listed() {
-	b.sum = codebook.Sum(slices.Collect(maps.Values(b.masters)))
+	b.sum = messages.Sum(slices.Collect(maps.Values(b.masters)))
 	b.wake()
 }
 
@@ -778,16 +778,16 @@
 	for look := 1; ; look++ {
 		var seeds []string
 		for _, s := range h.o.Seeds() {
-			seeds = append(seeds, codebook.Beside(s, h.o.First, codebook.HarbourPort))
+			seeds = append(seeds, messages.Beside(s, h.o.First, messages.HarbourPort))
 		}
 		soon := false
 		h.own.Ask(func(b *books) {
 			for _, a := range seeds {
 				b.follow(a)
 			}
-			for _, p := range h.o.Head.Peers(codebook.RoleHarbour) {
-				if p.State == roster.Alive {
-					b.meet(codebook.Master{Name: p.Node, Addr: p.Addr, Zone: p.Zone})
+			for _, p := range h.o.Head.Peers(messages.RoleHarbour) {
+				if p.State == membership.Alive {
+					b.meet(messages.Master{Name: p.Node, Addr: p.Addr, Zone: p.Zone})
 				}
 			}
 			b.fill(true)
@@ -816,14 +816,14 @@
 // knows nothing of who is gone.
 func (b *books) sweep(now time.Time, since time.Duration, seeds []string) {
 	head := b.h.o.Head
-	if b.berths.Lacks(head.Alive(codebook.RoleTug)) {
+	if b.berths.Lacks(head.Alive(messages.RoleTug)) {
 		b.anew++
 	}
 	if head.Alone() || b.fresh() > contactMs {
 		clear(b.lost)
 		return
 	}
-	if gone := b.berths.Sweep(since, masthead.GoneAfter, func(x backends.Berth) bool { return head.Lives(x.Addr) }); len(gone) > 0 {
+	if gone := b.berths.Sweep(since, transport.GoneAfter, func(x backends.Berth) bool { return head.Lives(x.Addr) }); len(gone) > 0 {
 		b.h.o.Log("gone", strings.Join(gone, " "))
 	}
 	listed := false
@@ -833,7 +833,7 @@
 			delete(b.lost, name)
 		case !ok:
 			b.lost[name] = now
-		case now.Sub(at) >= masthead.GoneAfter:
+		case now.Sub(at) >= transport.GoneAfter:
 			delete(b.lost, name)
 			delete(b.masters, name)
 			listed = true
@@ -882,9 +882,9 @@
 
 // follow pulls the berths of another harbourmaster, until end is closed.
 func (h *Harbour) follow(addr string, end chan struct{}) {
-	c := signal.NewClient(h.o.Net, addr)
+	c := rpc.NewClient(h.o.Net, addr)
 	defer c.Close()
-	call := codebook.PullCall{Master: &h.o.Self, HoldMs: uint32(pullHold.Milliseconds()), Have: manifest.Ballot{N: 1 << 62}}
+	call := messages.PullCall{Master: &h.o.Self, HoldMs: uint32(pullHold.Milliseconds()), Have: configuration.Ballot{N: 1 << 62}}
 	anew := 0
 	for !h.over() {
 		select {
@@ -898,13 +898,13 @@
 			}
 		})
 		call.Epoch = h.council.Roll().Epoch
-		var n codebook.News
-		if err := c.Call(codebook.Pull, call, &n, pullHold+callTime); err != nil {
+		var n messages.News
+		if err := c.Call(messages.Pull, call, &n, pullHold+callTime); err != nil {
 			if errcode.Of(err) == errcode.Away {
 				h.own.Ask(func(b *books) { b.heardOut(addr) })
 			}
 			wait := 250 * time.Millisecond
-			if s := h.o.Head.State(addr); s == roster.Dead || s == roster.Left {
+			if s := h.o.Head.State(addr); s == membership.Dead || s == membership.Left {
 				wait = time.Second
 			}
 			if !h.pause(wait) {
@@ -946,7 +946,7 @@
 // change takes one call.
 func (h *Harbour) change(ctx context.Context, body []byte) error {
 	h.Counts.Changes.Add(1)
-	call, err := manifest.DecodeCall(body)
+	call, err := configuration.DecodeCall(body)
 	if err != nil {
 		return errcode.New(errcode.Invalid, "%w", err)
 	}
@@ -975,7 +975,7 @@
 	if err := h.propose(ctx, consensus.Order{}); err != nil {
 		return nil, err
 	}
-	var s manifest.Set
+	var s configuration.Set
 	h.own.Ask(func(b *books) { s = b.stands })
 	return s.Encode(), nil
 }
@@ -1038,26 +1038,26 @@
 		return errcode.New(errcode.CoreOut, "no time is left")
 	}
 	var silent uint32
-	var b manifest.Ballot
+	var b configuration.Ballot
 	r := consensus.Round{Voters: n}
 	h.own.Ask(func(t *books) {
-		b = manifest.Ballot{N: t.highest.N + 1, By: uint32(h.o.Life)}
+		b = configuration.Ballot{N: t.highest.N + 1, By: uint32(h.o.Life)}
 		t.raise(b)
 		r.Have, r.Held = t.chosen, t.stands
 		silent = majorityMs(t.heard)
 	})
-	if silent > contactMs && silent != codebook.Never { // its caller is to go on at once: a round would hold it to the end
+	if silent > contactMs && silent != messages.Never { // its caller is to go on at once: a round would hold it to the end
 		return errCutOff
 	}
-	var base manifest.Set
-	var of manifest.Ballot
+	var base configuration.Set
+	var of configuration.Ballot
 	var stands, ok bool
 	at := make(map[int]consensus.Promise, n) // of each that promised, without items
-	prepare := signal.Encode(codebook.PrepareCall{B: b, Epoch: roll.Epoch, Have: r.Have})
+	prepare := rpc.Encode(messages.PrepareCall{B: b, Epoch: roll.Epoch, Have: r.Have})
 	ph := phase{voters: n}
-	err := h.council.Gather(codebook.Prepare, func(int) []byte { return prepare }, min(phaseTime, time.Until(end)), func(t quorum.Told) bool {
+	err := h.council.Gather(messages.Prepare, func(int) []byte { return prepare }, min(phaseTime, time.Until(end)), func(t quorum.Told) bool {
 		var p consensus.Promise
-		if t.Err != nil || signal.Decode(t.Body, &p) != nil {
+		if t.Err != nil || rpc.Decode(t.Body, &p) != nil {
 			return ph.failed(t.Err)
 		}
 		r.Add(p)
@@ -1089,7 +1089,7 @@
 	if stands {
 		h.own.Ask(func(t *books) { t.whole(of, base) })
 	}
-	o := order.Lay(base, b, func(next manifest.Set) error {
+	o := order.Lay(base, b, func(next configuration.Set) error {
 		// A base that is invalid already, of two calls at once that were valid each, holds up nobody else's call.
 		if err := next.Check(); err != nil && base.Check() == nil {
 			return err
@@ -1175,11 +1175,11 @@
 
 // settle has a value accepted by a majority, and takes it. Each member is told what it lacks, as far as is known here; one that
 // lacks more than it keeps beside its base is taught first, and counts for nothing. stands: the value of ballot of is chosen.
-func (h *Harbour) settle(b, of manifest.Ballot, stands bool, next manifest.Set, at map[int]consensus.Promise, roll codebook.Roll, end time.Time) error {
+func (h *Harbour) settle(b, of configuration.Ballot, stands bool, next configuration.Set, at map[int]consensus.Promise, roll messages.Roll, end time.Time) error {
 	n := len(roll.Voters)
-	holds := make([]manifest.Ballot, n)
+	holds := make([]configuration.Ballot, n)
 	h.own.Ask(func(t *books) { copy(holds, t.upto) })
-	bodies := map[manifest.Ballot][]byte{}
+	bodies := map[configuration.Ballot][]byte{}
 	var lag []int
 	for i := range holds {
 		if p, ok := at[i]; ok {
@@ -1193,7 +1193,7 @@
 		}
 		bodies[holds[i]] = nil
 		if !consensus.Beyond(next, holds[i], consensus.DeltaMax) {
-			bodies[holds[i]] = signal.Encode(codebook.AcceptCall{B: b, Base: holds[i], Changes: consensus.Since(next, holds[i]), Epoch: roll.Epoch})
+			bodies[holds[i]] = rpc.Encode(messages.AcceptCall{B: b, Base: holds[i], Changes: consensus.Since(next, holds[i]), Epoch: roll.Epoch})
 		}
 	}
 	for i := range holds {
@@ -1221,13 +1221,13 @@
 		return errcode.New(errcode.CoreOut, "%d of %d catch up", len(lag), n)
 	}
 	var vs []consensus.Vouch
-	var higher manifest.Ballot
+	var higher configuration.Ballot
 	taken, ph := false, phase{voters: n}
-	err := h.council.Gather(codebook.Accept, func(place int) []byte {
+	err := h.council.Gather(messages.Accept, func(place int) []byte {
 		return bodies[holds[place]]
 	}, min(phaseTime, time.Until(end)), func(t quorum.Told) bool {
-		var a codebook.Accepted
-		if t.Err != nil || signal.Decode(t.Body, &a) != nil {
+		var a messages.Accepted
+		if t.Err != nil || rpc.Decode(t.Body, &a) != nil {
 			return ph.failed(t.Err)
 		}
 		if !a.Taken {
@@ -1258,7 +1258,7 @@
 }
 
 // whole takes a chosen value that is known whole.
-func (b *books) whole(chosen manifest.Ballot, s manifest.Set) {
+func (b *books) whole(chosen configuration.Ballot, s configuration.Set) {
 	if b.chosen.Less(chosen) {
 		b.chosen, b.stands = chosen, s
 		b.wake()
--- a/internal/harbour/harbour_test.go
+++ b/internal/registry/harbour_test.go
@@ -1,4 +1,4 @@
-package harbour
+package registry
 
 import (
 	"fmt"
@@ -9,20 +9,20 @@
 	"time"
 
 	"saltmast/internal/backends"
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
 	"saltmast/internal/drydock/sea"
 	"saltmast/internal/errcode"
-	"saltmast/internal/manifest"
+	"saltmast/internal/messages"
 	"saltmast/internal/quorum"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
 )
 
 // ashore is a harbour without goroutines, sockets or members.
 func ashore(t testing.TB) (*Harbour, *books) {
 	h := &Harbour{o: Options{Life: 1, Log: func(event, text string) { t.Log(event, text) }}, council: quorum.New(nil),
 		ended: make(chan struct{}), round: make(chan struct{}, 1)}
-	return h, &books{h: h, berths: backends.New(), masters: map[string]codebook.Master{}, lost: map[string]time.Time{},
+	return h, &books{h: h, berths: backends.New(), masters: map[string]messages.Master{}, lost: map[string]time.Time{},
 		pulling: map[string]chan struct{}{}, asked: map[string]bool{}, pullers: map[*puller]struct{}{}}
 }
 
@@ -30,21 +30,21 @@
 // again and again.
 func TestNews(t *testing.T) {
 	h, b := ashore(t)
-	wants := func(m codebook.PullCall) bool { m.Life = 1; return b.hasNews(&puller{m: m}) }
-	if wants(codebook.PullCall{Epoch: 1, Sum: b.sum, Have: manifest.Ballot{N: 1}}) {
+	wants := func(m messages.PullCall) bool { m.Life = 1; return b.hasNews(&puller{m: m}) }
+	if wants(messages.PullCall{Epoch: 1, Sum: b.sum, Have: configuration.Ballot{N: 1}}) {
 		t.Error("news for one who knows more")
 	}
-	h.council.Take(codebook.Roll{Epoch: 2})
+	h.council.Take(messages.Roll{Epoch: 2})
 	b.berths.Join(backends.Berth{Node: "n", Version: 1})
-	b.whole(manifest.Ballot{N: 1}, manifest.Set{})
-	b.enter(codebook.Master{Name: "m"})
-	all := codebook.PullCall{At: 1, Epoch: 2, Sum: b.news(codebook.PullCall{}).Sum, Have: manifest.Ballot{N: 1}}
-	for name, change := range map[string]func(*codebook.PullCall){
-		"":              func(*codebook.PullCall) {},
-		"a berth":       func(m *codebook.PullCall) { m.At = 0 },
-		"the roll":      func(m *codebook.PullCall) { m.Epoch = 1 },
-		"a master":      func(m *codebook.PullCall) { m.Sum = 0 },
-		"configuration": func(m *codebook.PullCall) { m.Have = manifest.Ballot{} },
+	b.whole(configuration.Ballot{N: 1}, configuration.Set{})
+	b.enter(messages.Master{Name: "m"})
+	all := messages.PullCall{At: 1, Epoch: 2, Sum: b.news(messages.PullCall{}).Sum, Have: configuration.Ballot{N: 1}}
+	for name, change := range map[string]func(*messages.PullCall){
+		"":              func(*messages.PullCall) {},
+		"a berth":       func(m *messages.PullCall) { m.At = 0 },
+		"the roll":      func(m *messages.PullCall) { m.Epoch = 1 },
+		"a master":      func(m *messages.PullCall) { m.Sum = 0 },
+		"configuration": func(m *messages.PullCall) { m.Have = configuration.Ballot{} },
 	} {
 		m := all
 		if change(&m); wants(m) != (name != "") {
@@ -58,12 +58,12 @@
 func TestRoundsInTurn(t *testing.T) {
 	h, b := ashore(t)
 	b.heard, b.pending, b.behind, b.shut = make([]time.Time, 3), make([]time.Time, 3), make([]int, 3), make([]time.Time, 3)
-	b.marks, b.vouched, b.upto, b.taught, b.answered = make([]codebook.Mark, 3), make([]time.Time, 3), make([]manifest.Ballot, 3), make([]bool, 3), make([]time.Time, 3)
+	b.marks, b.vouched, b.upto, b.taught, b.answered = make([]messages.Mark, 3), make([]time.Time, 3), make([]configuration.Ballot, 3), make([]bool, 3), make([]time.Time, 3)
 	h.round <- struct{}{} // a round that takes long
 	long := time.Now().Add(-time.Minute)
 	for i := range 30 {
 		b.pending[i%3] = long
-		b.watched(i%3, codebook.Watched{State: "serving", Vouch: consensus.Vouch{By: i % 3}, Accepted: manifest.Ballot{N: 1}}, time.Now())
+		b.watched(i%3, messages.Watched{State: "serving", Vouch: consensus.Vouch{By: i % 3}, Accepted: configuration.Ballot{N: 1}}, time.Now())
 	}
 	if h.mend() {
 		t.Error("another that settles was begun")
@@ -89,42 +89,42 @@
 	overtaken int // by another's higher ballot, ahead of so many accepts
 }
 
-func (v *voter) handle(c signal.Call) {
+func (v *voter) handle(c rpc.Call) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	vouch := consensus.Vouch{By: v.by, Incs: []uint64{1, 1, 1}}
-	var p codebook.PrepareCall
-	var a codebook.AcceptCall
-	var l codebook.LearnCall
-	var turn codebook.TurnCall
+	var p messages.PrepareCall
+	var a messages.AcceptCall
+	var l messages.LearnCall
+	var turn messages.TurnCall
 	switch {
 	case v.mute:
-	case c.Kind == codebook.Prepare && signal.Decode(c.Body, &p) == nil:
+	case c.Kind == messages.Prepare && rpc.Decode(c.Body, &p) == nil:
 		if v.acc.Prepare(p.B) {
 			c.Reply(v.acc.Promise(vouch, p.Have), nil)
 		} else {
 			c.Reply(consensus.Promise{Vouch: vouch, Promised: v.acc.Promised, Accepted: v.acc.Accepted}, nil)
 		}
-	case c.Kind == codebook.Accept && signal.Decode(c.Body, &a) == nil:
+	case c.Kind == messages.Accept && rpc.Decode(c.Body, &a) == nil:
 		if v.overtaken > 0 {
 			v.overtaken--
-			v.acc.Prepare(manifest.Ballot{N: a.B.N + 10, By: 9})
+			v.acc.Prepare(configuration.Ballot{N: a.B.N + 10, By: 9})
 		}
 		taken := v.acc.May(a.B, a.Base)
 		if taken {
 			v.acc.Accept(a.B, v.acc.Delta(a.Changes))
 		}
 		v.most = max(v.most, len(c.Body))
-		c.Reply(codebook.Accepted{Vouch: vouch, Taken: taken, Promised: v.acc.Promised, Accepted: v.acc.Accepted}, nil)
-	case c.Kind == codebook.Learn && signal.Decode(c.Body, &l) == nil:
+		c.Reply(messages.Accepted{Vouch: vouch, Taken: taken, Promised: v.acc.Promised, Accepted: v.acc.Accepted}, nil)
+	case c.Kind == messages.Learn && rpc.Decode(c.Body, &l) == nil:
 		v.acc.Learn(l.B)
-	case c.Kind == codebook.Turn && signal.Decode(c.Body, &turn) == nil:
+	case c.Kind == messages.Turn && rpc.Decode(c.Body, &turn) == nil:
 		v.most = max(v.most, len(c.Body))
 		taken := v.acc.Turns(turn.Page)
 		if taken {
 			v.acc.Turn(turn.Page)
 		}
-		c.Reply(codebook.Accepted{Vouch: vouch, Taken: taken, Promised: v.acc.Promised, Accepted: v.acc.Accepted, Chosen: v.acc.Chosen}, nil)
+		c.Reply(messages.Accepted{Vouch: vouch, Taken: taken, Promised: v.acc.Promised, Accepted: v.acc.Accepted, Chosen: v.acc.Chosen}, nil)
 	}
 }
 
@@ -134,9 +134,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := sea.New(1)
 		p := s.Machine("10.0.0.1", "north").Start()
-		ballotOf := func(n uint64) manifest.Ballot { return manifest.Ballot{N: n, By: 9} }
-		call := func(n uint64, text string) (items []manifest.Item) {
-			c, err := manifest.DecodeCall([]byte(`{"upsert":{"resources":[` + text + `]}}`))
+		ballotOf := func(n uint64) configuration.Ballot { return configuration.Ballot{N: n, By: 9} }
+		call := func(n uint64, text string) (items []configuration.Item) {
+			c, err := configuration.DecodeCall([]byte(`{"upsert":{"resources":[` + text + `]}}`))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -150,7 +150,7 @@
 			return `{"resource-kind":"routes","metadata":{"name":"` + name + `","version":"r1"},"specification":` +
 				`{"host":"h","path-prefix":"/a/","route-kind":"idempotent","deadline-s":1,"target-s":1,"service":"s","max-attempts":1}}`
 		}
-		base := manifest.Set{}
+		base := configuration.Set{}
 		for _, i := range call(5, `{"resource-kind":"services","metadata":{"name":"s","version":"r1"},"specification":{}}`) {
 			base, _ = base.Join(i)
 		}
@@ -158,11 +158,11 @@
 		h, b := ashore(t)
 		h.council = quorum.New(p)
 		b.raise(ballotOf(7))
-		h.own = signal.Own(b, 16)
-		roll := codebook.Roll{Epoch: 1}
+		h.own = rpc.Own(b, 16)
+		roll := messages.Roll{Epoch: 1}
 		var voters []*voter
-		var servers []*signal.Server
-		for n, left := range [][]manifest.Item{ours, theirs, nil} {
+		var servers []*rpc.Server
+		for n, left := range [][]configuration.Item{ours, theirs, nil} {
 			addr := fmt.Sprintf("10.0.0.1:%d", n+1)
 			l, err := p.Listen(addr, 0)
 			if err != nil {
@@ -173,12 +173,12 @@
 			if left != nil {
 				v.acc.Accept(left[0].Ballot, slices.Collect(v.acc.Value.With(left...).All()))
 			}
-			voters, servers = append(voters, v), append(servers, signal.Serve(l, v.handle))
-			roll.Voters = append(roll.Voters, codebook.Voter{Addr: addr})
+			voters, servers = append(voters, v), append(servers, rpc.Serve(l, v.handle))
+			roll.Voters = append(roll.Voters, messages.Voter{Addr: addr})
 		}
 		h.council.Take(roll)
 		voters[0].mute = true
-		if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(ours, manifest.Set{}))); k != errcode.Invalid {
+		if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(ours, configuration.Set{}))); k != errcode.Invalid {
 			t.Errorf("beside theirs: %v", k)
 		}
 		voters[0].mute, voters[1].mute = false, true
--- a/internal/harbour/lag_test.go
+++ b/internal/registry/lag_test.go
@@ -1,4 +1,4 @@
-package harbour
+package registry
 
 import (
 	"fmt"
@@ -8,14 +8,14 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
 	"saltmast/internal/drydock/sea"
 	"saltmast/internal/errcode"
 	"saltmast/internal/lease"
-	"saltmast/internal/manifest"
+	"saltmast/internal/messages"
 	"saltmast/internal/quorum"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
 )
 
 // A member that lacks more than it can be told at once counts for nothing, until it has been taught in pages, which a
@@ -24,13 +24,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := sea.New(1)
 		p := s.Machine("10.0.0.1", "north").Start()
-		service := manifest.Item{Key: manifest.Key{Kind: manifest.Services, Name: "s"}, Version: 1, Ballot: manifest.Ballot{N: 1, By: 9}, Spec: []byte("{}")}
-		stands := manifest.SetOf(service)
-		last := manifest.Ballot{N: 3001, By: 9}
+		service := configuration.Item{Key: configuration.Key{Kind: configuration.Services, Name: "s"}, Version: 1, Ballot: configuration.Ballot{N: 1, By: 9}, Spec: []byte("{}")}
+		stands := configuration.SetOf(service)
+		last := configuration.Ballot{N: 3001, By: 9}
 		for n := range uint64(3000) {
 			spec := fmt.Sprintf(`{"host":"h","path-prefix":"/%d/%s/","route-kind":"idempotent","deadline-s":1,"target-s":1,"service":"s","max-attempts":1}`, n, strings.Repeat("x", 900))
-			stands = stands.With(manifest.Item{Key: manifest.Key{Kind: manifest.Routes, Name: fmt.Sprint("r", n)}, Version: 1,
-				Ballot: manifest.Ballot{N: n + 2, By: 9}, Spec: []byte(spec)})
+			stands = stands.With(configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint("r", n)}, Version: 1,
+				Ballot: configuration.Ballot{N: n + 2, By: 9}, Spec: []byte(spec)})
 		}
 		h, voters, end := crewed(t, p, func(v *voter) {
 			if v.by < 2 {
@@ -39,10 +39,10 @@
 			}
 		})
 		h.own.Ask(func(b *books) { b.raise(last) })
-		change := func(version manifest.Version) error {
+		change := func(version configuration.Version) error {
 			i := service
-			i.Version, i.Ballot = version, manifest.Ballot{}
-			return h.propose(t.Context(), consensus.Order{Items: []manifest.Item{i}})
+			i.Version, i.Ballot = version, configuration.Ballot{}
+			return h.propose(t.Context(), consensus.Order{Items: []configuration.Item{i}})
 		}
 		if err := change(2); errcode.Of(err) != errcode.CoreOut || !strings.Contains(err.Error(), "not read yet") {
 			t.Errorf("with nothing held: %v", err)
@@ -74,10 +74,10 @@
 func crewed(t *testing.T, p *sea.Process, begin func(*voter)) (h *Harbour, voters []*voter, end func()) {
 	h, b := ashore(t)
 	h.council = quorum.New(p)
-	b.upto, b.taught = make([]manifest.Ballot, 3), make([]bool, 3)
-	h.own = signal.Own(b, 16)
-	roll := codebook.Roll{Epoch: 1}
-	var servers []*signal.Server
+	b.upto, b.taught = make([]configuration.Ballot, 3), make([]bool, 3)
+	h.own = rpc.Own(b, 16)
+	roll := messages.Roll{Epoch: 1}
+	var servers []*rpc.Server
 	for n := range 3 {
 		addr := fmt.Sprintf("10.0.0.1:%d", n+1)
 		l, err := p.Listen(addr, 0)
@@ -86,8 +86,8 @@
 		}
 		v := &voter{acc: consensus.NewAcceptor(), by: n}
 		begin(v)
-		voters, servers = append(voters, v), append(servers, signal.Serve(l, v.handle))
-		roll.Voters = append(roll.Voters, codebook.Voter{Addr: addr})
+		voters, servers = append(voters, v), append(servers, rpc.Serve(l, v.handle))
+		roll.Voters = append(roll.Voters, messages.Voter{Addr: addr})
 	}
 	h.council.Take(roll)
 	return h, voters, func() {
@@ -107,17 +107,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := sea.New(1)
 		p := s.Machine("10.0.0.1", "north").Start()
-		service := manifest.Item{Key: manifest.Key{Kind: manifest.Services, Name: "s"}, Version: 1, Ballot: manifest.Ballot{N: 1, By: 9}, Spec: []byte("{}")}
-		large := func(name string, b manifest.Ballot) (items []manifest.Item) {
+		service := configuration.Item{Key: configuration.Key{Kind: configuration.Services, Name: "s"}, Version: 1, Ballot: configuration.Ballot{N: 1, By: 9}, Spec: []byte("{}")}
+		large := func(name string, b configuration.Ballot) (items []configuration.Item) {
 			for n := range 700 {
 				spec := fmt.Sprintf(`{"host":"h","path-prefix":"/%s/%d/%s/","route-kind":"idempotent","deadline-s":1,"target-s":1,"service":"s","max-attempts":1}`, name, n, strings.Repeat("x", 900))
-				items = append(items, manifest.Item{Key: manifest.Key{Kind: manifest.Routes, Name: fmt.Sprint(name, n)}, Version: 1, Ballot: b, Spec: []byte(spec)})
+				items = append(items, configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint(name, n)}, Version: 1, Ballot: b, Spec: []byte(spec)})
 			}
 			return items
 		}
-		one, two := service.Ballot, manifest.Ballot{N: 2, By: 9}
+		one, two := service.Ballot, configuration.Ballot{N: 2, By: 9}
 		h, voters, end := crewed(t, p, func(v *voter) {
-			v.acc.Accept(one, []manifest.Item{service})
+			v.acc.Accept(one, []configuration.Item{service})
 			v.acc.Learn(one)
 			if v.by == 0 {
 				v.acc.Accept(two, large("left", two))
@@ -125,11 +125,11 @@
 		})
 		h.own.Ask(func(b *books) {
 			b.raise(two)
-			b.whole(one, manifest.SetOf(service))
+			b.whole(one, configuration.SetOf(service))
 			b.upto[0], b.upto[1], b.upto[2] = one, one, one
 		})
 		voters[2].mute = true
-		if err := h.propose(t.Context(), consensus.Order{Items: large("call", manifest.Ballot{})}); err != nil {
+		if err := h.propose(t.Context(), consensus.Order{Items: large("call", configuration.Ballot{})}); err != nil {
 			t.Error(err)
 		}
 		for _, v := range voters[:2] {
@@ -146,15 +146,15 @@
 	_, b := ashore(t)
 	b.leases = map[lease.Name]*lease.Lease{}
 	b.heard, b.pending, b.behind, b.shut = make([]time.Time, 1), make([]time.Time, 1), make([]int, 1), make([]time.Time, 1)
-	b.marks, b.vouched, b.upto, b.taught, b.answered = make([]codebook.Mark, 1), make([]time.Time, 1), make([]manifest.Ballot, 1), make([]bool, 1), make([]time.Time, 1)
-	item := func(name string, n uint64) manifest.Item {
-		return manifest.Item{Key: manifest.Key{Kind: manifest.Routes, Name: name}, Version: 1, Ballot: manifest.Ballot{N: n}, Spec: make([]byte, consensus.PageMax/2)}
+	b.marks, b.vouched, b.upto, b.taught, b.answered = make([]messages.Mark, 1), make([]time.Time, 1), make([]configuration.Ballot, 1), make([]bool, 1), make([]time.Time, 1)
+	item := func(name string, n uint64) configuration.Item {
+		return configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: name}, Version: 1, Ballot: configuration.Ballot{N: n}, Spec: make([]byte, consensus.PageMax/2)}
 	}
-	five := manifest.SetOf(item("a", 1), item("b", 2), item("c", 3), item("d", 5))
+	five := configuration.SetOf(item("a", 1), item("b", 2), item("c", 3), item("d", 5))
 	six := five.With(item("a", 6))
-	tell := func(s manifest.Set, of uint64, catches bool) {
-		p := consensus.PageOf(s, manifest.Ballot{N: of}, b.pages.Have(b.chosen))
-		w := codebook.Watched{State: "serving", Accepted: p.Target, Chosen: p.Target, Known: p.Target, From: p.From, Upto: p.Upto, Items: p.Items}
+	tell := func(s configuration.Set, of uint64, catches bool) {
+		p := consensus.PageOf(s, configuration.Ballot{N: of}, b.pages.Have(b.chosen))
+		w := messages.Watched{State: "serving", Accepted: p.Target, Chosen: p.Target, Known: p.Target, From: p.From, Upto: p.Upto, Items: p.Items}
 		if catches {
 			w.Known.N++
 		}
@@ -178,8 +178,8 @@
 	if tell(six, 6, false); b.chosen.N != 6 || b.pages.Have(b.chosen).N != 6 {
 		t.Errorf("chosen %v", b.chosen)
 	}
-	seven := manifest.Ballot{N: 7} // from a purser that knows of no pages
-	b.watched(0, codebook.Watched{State: "serving", Accepted: seven, Chosen: seven, Items: []manifest.Item{item("b", 7)}}, time.Now())
+	seven := configuration.Ballot{N: 7} // from a purser that knows of no pages
+	b.watched(0, messages.Watched{State: "serving", Accepted: seven, Chosen: seven, Items: []configuration.Item{item("b", 7)}}, time.Now())
 	if x, _ := b.stands.Get(item("b", 7).Key); b.chosen != seven || x.Ballot != seven || b.stands.Len() != 4 {
 		t.Errorf("told all at once: chosen %v, %d items", b.chosen, b.stands.Len())
 	}
--- a/internal/harbour/number_test.go
+++ b/internal/registry/number_test.go
@@ -1,4 +1,4 @@
-package harbour
+package registry
 
 import (
 	"context"
@@ -8,25 +8,25 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
 	"saltmast/internal/drydock/sea"
 	"saltmast/internal/errcode"
-	"saltmast/internal/manifest"
+	"saltmast/internal/messages"
 	"saltmast/internal/quorum"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
 )
 
 // chamber is a harbour without proxies, and three members that have accepted what a test says, the last of its sets at each.
-func chamber(t *testing.T, left [3][]manifest.Set, do func(t *testing.T, h *Harbour, voters []*voter)) {
+func chamber(t *testing.T, left [3][]configuration.Set, do func(t *testing.T, h *Harbour, voters []*voter)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := sea.New(1).Machine("10.0.0.1", "north").Start()
 		h, b := ashore(t)
 		h.council = quorum.New(p)
-		h.own = signal.Own(b, 16)
-		roll := codebook.Roll{Epoch: 1}
+		h.own = rpc.Own(b, 16)
+		roll := messages.Roll{Epoch: 1}
 		var voters []*voter
-		var servers []*signal.Server
+		var servers []*rpc.Server
 		for n, sets := range left {
 			addr := fmt.Sprintf("10.0.0.1:%d", n+1)
 			l, err := p.Listen(addr, 0)
@@ -35,7 +35,7 @@
 			}
 			v := &voter{acc: consensus.NewAcceptor(), by: n}
 			for _, s := range sets {
-				var newest manifest.Ballot
+				var newest configuration.Ballot
 				for i := range s.All() {
 					if newest.Less(i.Ballot) {
 						newest = i.Ballot
@@ -44,11 +44,11 @@
 				v.acc.Accept(newest, slices.Collect(s.All()))
 				b.raise(newest)
 			}
-			voters, servers = append(voters, v), append(servers, signal.Serve(l, v.handle))
-			roll.Voters = append(roll.Voters, codebook.Voter{Addr: addr})
+			voters, servers = append(voters, v), append(servers, rpc.Serve(l, v.handle))
+			roll.Voters = append(roll.Voters, messages.Voter{Addr: addr})
 		}
 		h.council.Take(roll)
-		b.upto, b.taught = make([]manifest.Ballot, 3), make([]bool, 3)
+		b.upto, b.taught = make([]configuration.Ballot, 3), make([]bool, 3)
 		do(t, h, voters)
 		h.council.Close()
 		for _, s := range servers {
@@ -60,12 +60,12 @@
 }
 
 // laid is a set with the items of a call laid over it, under ballot n.
-func laid(t *testing.T, s manifest.Set, n uint64, text string) (manifest.Set, []manifest.Item) {
-	c, err := manifest.DecodeCall([]byte(`{"upsert":{"resources":[` + text + `]}}`))
+func laid(t *testing.T, s configuration.Set, n uint64, text string) (configuration.Set, []configuration.Item) {
+	c, err := configuration.DecodeCall([]byte(`{"upsert":{"resources":[` + text + `]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return consensus.Apply(s, c.Items, manifest.Ballot{N: n, By: 9}).Next, c.Items
+	return consensus.Apply(s, c.Items, configuration.Ballot{N: n, By: 9}).Next, c.Items
 }
 
 func serviceText(name string) string {
@@ -80,12 +80,12 @@
 // A call that is refused for what a majority has accepted does not come into force when a member is back that alone holds a later
 // value, with the call and what it hangs on: by a copy of it that another agent had left there.
 func TestRefusalHoldsAgainstWhatOneMemberHas(t *testing.T) {
-	base, _ := laid(t, manifest.Set{}, 5, serviceText("s"))
+	base, _ := laid(t, configuration.Set{}, 5, serviceText("s"))
 	more, _ := laid(t, base, 6, serviceText("late"))
 	all, order := laid(t, more, 7, routeText("r1", "late"))
-	chamber(t, [3][]manifest.Set{{base, all}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
+	chamber(t, [3][]configuration.Set{{base, all}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
 		voters[0].mute = true
-		if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(order, manifest.Set{}))); k != errcode.Invalid {
+		if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(order, configuration.Set{}))); k != errcode.Invalid {
 			t.Errorf("while nobody tells of its service: %v", k)
 		}
 		voters[0].mute, voters[1].mute = false, true
@@ -102,10 +102,10 @@
 
 // A copy that waits at an agent while the other is refused is never taken, whatever comes meanwhile; one that is sent anew is.
 func TestCopyBesideARefusal(t *testing.T) {
-	base, _ := laid(t, manifest.Set{}, 5, serviceText("s"))
+	base, _ := laid(t, configuration.Set{}, 5, serviceText("s"))
 	_, order := laid(t, base, 6, routeText("r1", "late"))
 	_, late := laid(t, base, 6, serviceText("late"))
-	chamber(t, [3][]manifest.Set{{base}, {base}, {base}}, func(t *testing.T, h *Harbour, _ []*voter) {
+	chamber(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, h *Harbour, _ []*voter) {
 		waits := consensus.NewOrder(order, base)
 		for _, step := range []struct {
 			what  string
@@ -127,9 +127,9 @@
 
 // A call whose sender has gone is proposed no more: it would come into force where nobody waits for it.
 func TestSenderHasGone(t *testing.T) {
-	base, _ := laid(t, manifest.Set{}, 5, serviceText("s"))
+	base, _ := laid(t, configuration.Set{}, 5, serviceText("s"))
 	_, order := laid(t, base, 6, routeText("r1", "s"))
-	chamber(t, [3][]manifest.Set{{base}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
+	chamber(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
 		ctx, gone := context.WithCancel(t.Context())
 		gone()
 		if k := errcode.Of(h.propose(ctx, consensus.NewOrder(order, base))); k.Answer().Status != 503 {
@@ -149,26 +149,26 @@
 // neither confirmed nor refused.
 func TestManyItemsWithAPast(t *testing.T) {
 	const n = 2500
-	call := func(version manifest.Version) (items []manifest.Item) {
+	call := func(version configuration.Version) (items []configuration.Item) {
 		for i := range n {
-			items = append(items, manifest.Item{Key: manifest.Key{Kind: manifest.Services, Name: fmt.Sprint(i)}, Version: version, Spec: []byte("{}")})
+			items = append(items, configuration.Item{Key: configuration.Key{Kind: configuration.Services, Name: fmt.Sprint(i)}, Version: version, Spec: []byte("{}")})
 		}
 		return items
 	}
 	past := call(1)[0]
-	for v := manifest.Version(2); v <= manifest.MaxPast+1; v++ {
+	for v := configuration.Version(2); v <= configuration.MaxPast+1; v++ {
 		past, _ = past.Remember(past.Taken())
 		past.Version = v
 	}
 	all := call(past.Version)
 	for i := range all {
-		all[i].Past, all[i].Ballot = past.Past, manifest.Ballot{N: 1, By: 9}
+		all[i].Past, all[i].Ballot = past.Past, configuration.Ballot{N: 1, By: 9}
 	}
-	base := manifest.SetOf(all...)
-	chamber(t, [3][]manifest.Set{{base}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
+	base := configuration.SetOf(all...)
+	chamber(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
 		last := past.Version + 1
 		for _, c := range []struct {
-			version manifest.Version
+			version configuration.Version
 			want    errcode.Kind
 		}{{last, errcode.OK}, {last - 1, errcode.OK}, {1, errcode.Unsure}, {last - 17, errcode.OK}, {last - 18, errcode.Unsure}} {
 			if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(call(c.version), base))); k != c.want {
@@ -185,11 +185,11 @@
 
 // A call whose refusal a round left with one member, and did not come through, hears of it from the next round.
 func TestRefusalThatWasLeft(t *testing.T) {
-	base, _ := laid(t, manifest.Set{}, 5, serviceText("s"))
+	base, _ := laid(t, configuration.Set{}, 5, serviceText("s"))
 	_, items := laid(t, base, 6, routeText("r1", "late"))
 	order := consensus.NewOrder(items, base)
-	left := order.Lay(base, manifest.Ballot{N: 6, By: 9}, manifest.Set.Check).Next
-	chamber(t, [3][]manifest.Set{{base, left}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
+	left := order.Lay(base, configuration.Ballot{N: 6, By: 9}, configuration.Set.Check).Next
+	chamber(t, [3][]configuration.Set{{base, left}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
 		voters[1].mute = true
 		if k := errcode.Of(h.propose(t.Context(), order)); k != errcode.Invalid {
 			t.Errorf("%v", k)
@@ -199,14 +199,14 @@
 
 // A round that a majority has turned down is over then, though one member says nothing: the next begins at once.
 func TestSilentMemberHoldsUpNoNextRound(t *testing.T) {
-	base, _ := laid(t, manifest.Set{}, 5, serviceText("s"))
+	base, _ := laid(t, configuration.Set{}, 5, serviceText("s"))
 	_, order := laid(t, base, 6, routeText("r1", "s"))
 	for what, begin := range map[string]func(v *voter){
-		"they have promised a higher ballot": func(v *voter) { v.acc.Prepare(manifest.Ballot{N: 50, By: 9}) },
+		"they have promised a higher ballot": func(v *voter) { v.acc.Prepare(configuration.Ballot{N: 50, By: 9}) },
 		"they promise one before the accept": func(v *voter) { v.overtaken = 1 },
 	} {
 		t.Run(what, func(t *testing.T) {
-			chamber(t, [3][]manifest.Set{{base}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
+			chamber(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
 				voters[2].mute = true
 				begin(voters[0])
 				begin(voters[1])
--- a/internal/harbour/program.go
+++ b/internal/registry/program.go
@@ -1,4 +1,4 @@
-package harbour
+package registry
 
 import (
 	"cmp"
@@ -6,18 +6,18 @@
 	"sync/atomic"
 	"time"
 
-	"saltmast/internal/articles"
-	"saltmast/internal/codebook"
-	"saltmast/internal/launch"
-	"saltmast/internal/masthead"
+	"saltmast/internal/membership/transport"
+	"saltmast/internal/messages"
+	"saltmast/internal/process"
 	"saltmast/internal/reconfig"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
+	"saltmast/internal/settings"
 	"saltmast/internal/sock"
 )
 
 // Program is the registry as a program.
-var Program = launch.Program{Name: "harbourmaster", About: "The registry of the mesh: knows nodes and backends, takes the operator's calls.",
-	Start: func(s *articles.Settings, log func(event, text string)) (launch.Running, error) {
+var Program = process.Program{Name: "harbourmaster", About: "The registry of the mesh: knows nodes and backends, takes the operator's calls.",
+	Start: func(s *settings.Settings, log func(event, text string)) (process.Running, error) {
 		return Launch(s, log, nil)
 	}}
 
@@ -28,29 +28,29 @@
 // Running is a harbourmaster that was started by settings.
 type Running struct {
 	H    *Harbour
-	head *masthead.Masthead
-	s    *atomic.Pointer[articles.Settings]
+	head *transport.Masthead
+	s    *atomic.Pointer[settings.Settings]
 }
 
 // Launch starts by settings. on: nil for the system's network.
-func Launch(s *articles.Settings, log func(event, text string), on sock.Net) (Running, error) {
-	r := Running{s: &atomic.Pointer[articles.Settings]{}}
+func Launch(s *settings.Settings, log func(event, text string), on sock.Net) (Running, error) {
+	r := Running{s: &atomic.Pointer[settings.Settings]{}}
 	r.s.Store(s)
-	if s.Listen["control-plane"] == "" || s.Port(codebook.GatePort) == "" {
-		return r, fmt.Errorf("%s: listen-addrs.control-plane and %d ephemeral-ports wanted", s.Path, codebook.GatePort+1)
+	if s.Listen["control-plane"] == "" || s.Port(messages.GatePort) == "" {
+		return r, fmt.Errorf("%s: listen-addrs.control-plane and %d ephemeral-ports wanted", s.Path, messages.GatePort+1)
 	}
 	control, err := sock.On(on).Listen(s.Listen["control-plane"], 0)
 	if err != nil {
 		return r, fmt.Errorf("control-plane: %w", err)
 	}
-	calls, err := signal.Listen(on, s.Port(codebook.HarbourPort))
+	calls, err := rpc.Listen(on, s.Port(messages.HarbourPort))
 	if err != nil {
 		return r, err
 	}
-	life := launch.Life()
-	r.head = masthead.Start(s, codebook.RoleHarbour, codebook.RosterPort, codebook.HarbourPort, life, on, log)
-	r.H = Start(Options{Head: r.head, Self: codebook.Master{Name: s.NodeName, Addr: s.Port(codebook.HarbourPort), Zone: s.Zone},
-		Purser: s.Port(codebook.PurserPort), First: s.Ports[0], Life: life, Control: control, Calls: calls, Net: on, Log: log,
+	life := process.Life()
+	r.head = transport.Start(s, messages.RoleHarbour, messages.RosterPort, messages.HarbourPort, life, on, log)
+	r.H = Start(Options{Head: r.head, Self: messages.Master{Name: s.NodeName, Addr: s.Port(messages.HarbourPort), Zone: s.Zone},
+		Purser: s.Port(messages.PurserPort), First: s.Ports[0], Life: life, Control: control, Calls: calls, Net: on, Log: log,
 		Lost: cmp.Or(s.VoterLost, max(s.Bounds.Catchup/2, leastLost)), Losses: max(s.Tolerance.Machines, s.Tolerance.Zones, s.Tolerance.Regions),
 		Bears: reconfig.Tolerance{Zones: s.Tolerance.Zones, Regions: s.Tolerance.Regions, RegionOf: s.Zones},
 		Seeds: func() []string { return r.s.Load().Seeds }})
@@ -58,7 +58,7 @@
 }
 
 // Reload takes other settings: seeds alone may change while it runs.
-func (r Running) Reload(s *articles.Settings) {
+func (r Running) Reload(s *settings.Settings) {
 	r.s.Store(s)
 	r.head.Reload(s)
 }
--- a/internal/harbour/report.go
+++ b/internal/registry/report.go
@@ -1,4 +1,4 @@
-package harbour
+package registry
 
 import (
 	"cmp"
@@ -7,26 +7,26 @@
 	"time"
 
 	"saltmast/internal/backends"
-	"saltmast/internal/codebook"
-	"saltmast/internal/launch"
 	"saltmast/internal/lease"
-	"saltmast/internal/signal"
+	"saltmast/internal/messages"
+	"saltmast/internal/process"
+	"saltmast/internal/rpc"
 )
 
 // report tells what is known here. The owner hands over copies; ordering, cutting and encoding are done beside it.
-func (h *Harbour) report(c signal.Call) {
-	var call codebook.ReportCall
+func (h *Harbour) report(c rpc.Call) {
+	var call messages.ReportCall
 	if len(c.Body) > 0 {
-		if err := signal.Decode(c.Body, &call); err != nil {
+		if err := rpc.Decode(c.Body, &call); err != nil {
 			c.Reply(nil, err)
 			return
 		}
 	}
 	h.own.Send(func(b *books) {
 		roll := h.council.Roll()
-		r := codebook.Reported{Program: codebook.TheHarbour, Version: launch.Version, Node: h.o.Self.Name, Zone: h.o.Self.Zone, Addr: h.o.Self.Addr,
+		r := messages.Reported{Program: messages.TheHarbour, Version: process.Version, Node: h.o.Self.Name, Zone: h.o.Self.Zone, Addr: h.o.Self.Addr,
 			Life: h.o.Life, UpMs: uint64(time.Since(b.begun).Milliseconds()), Chosen: b.chosen, Epoch: roll.Epoch, Voters: roll.Voters}
-		own := &codebook.HarbourReport{Masters: slices.Collect(maps.Values(b.masters)), FreshMs: b.fresh(),
+		own := &messages.HarbourReport{Masters: slices.Collect(maps.Values(b.masters)), FreshMs: b.fresh(),
 			Teaches: b.holds(lease.Teach)}
 		own.HeardMs, own.AnsweredMs = sinceMs(b.heard), sinceMs(b.answered)
 		var pullers []string
@@ -38,14 +38,14 @@
 				pullers = append(pullers, p.m.Master.Name)
 			}
 		}
-		items, all := codebook.ItemReports(b.stands), b.berths.All()
+		items, all := messages.ItemReports(b.stands), b.berths.All()
 		go func() {
-			slices.SortFunc(own.Masters, func(x, y codebook.Master) int { return cmp.Compare(x.Name, y.Name) })
+			slices.SortFunc(own.Masters, func(x, y messages.Master) int { return cmp.Compare(x.Name, y.Name) })
 			own.SetPullers(pullers)
 			r.Harbour = own
 			r.SetItems(items)
 			r.SetBerths(reports(all), call.Brief)
-			r.Counts, r.Traffic = Running{H: h}.Counts(), signal.Totals()
+			r.Counts, r.Traffic = Running{H: h}.Counts(), rpc.Totals()
 			c.Reply(r, nil)
 		}()
 	})
@@ -54,9 +54,9 @@
 // sinceMs are the milliseconds since each of the times; Never for a zero one.
 func sinceMs(times []time.Time) (out []uint32) {
 	for _, t := range times {
-		ms := uint32(codebook.Never)
+		ms := uint32(messages.Never)
 		if !t.IsZero() {
-			ms = uint32(min(time.Since(t).Milliseconds(), codebook.Never))
+			ms = uint32(min(time.Since(t).Milliseconds(), messages.Never))
 		}
 		out = append(out, ms)
 	}
@@ -68,10 +68,10 @@
 	return l != nil && l.Holds(time.Since(b.begun))
 }
 
-func reports(all []backends.Berth) []codebook.BerthReport {
-	out := make([]codebook.BerthReport, len(all))
+func reports(all []backends.Berth) []messages.BerthReport {
+	out := make([]messages.BerthReport, len(all))
 	for i, b := range all {
-		out[i] = codebook.Reports(b)
+		out[i] = messages.Reports(b)
 	}
 	return out
 }
--- a/internal/harbour/rolls.go
+++ b/internal/registry/rolls.go
@@ -1,4 +1,4 @@
-package harbour
+package registry
 
 import (
 	"cmp"
@@ -8,14 +8,14 @@
 	"slices"
 	"time"
 
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
 	"saltmast/internal/errcode"
 	"saltmast/internal/lease"
-	"saltmast/internal/manifest"
+	"saltmast/internal/messages"
 	"saltmast/internal/quorum"
 	"saltmast/internal/reconfig"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
 )
 
 // A change of the roll: on the operator's word, or by the harbourmaster with that duty where a voter is silent for half of catchup-s.
@@ -52,7 +52,7 @@
 }
 
 // turn runs a change of the roll beside the owner's goroutine, unless one runs already.
-func (b *books) turn(why string, voters func(codebook.Roll) ([]codebook.Voter, error)) {
+func (b *books) turn(why string, voters func(messages.Roll) ([]messages.Voter, error)) {
 	h := b.h
 	if h.over() {
 		return
@@ -64,7 +64,7 @@
 	}
 	begun := h.begin(func() {
 		defer func() { <-h.turning }()
-		var wish []codebook.Voter
+		var wish []messages.Voter
 		roll, err := h.council.Roll(), error(nil)
 		if voters != nil {
 			wish, err = voters(roll)
@@ -105,7 +105,7 @@
 		reconfig.Next(roll, nil, wanted, b.h.o.Bears, known) != nil {
 		if b.may(lease.Roll) {
 			b.grown = now
-			b.turn("voters for all losses", func(roll codebook.Roll) ([]codebook.Voter, error) {
+			b.turn("voters for all losses", func(roll messages.Roll) ([]messages.Voter, error) {
 				zoned(&roll, known)
 				return reconfig.Next(roll, nil, wanted, b.h.o.Bears, b.h.well(roll, known)), nil
 			})
@@ -131,12 +131,12 @@
 	}
 	b.sought = now
 	epoch := b.epoch
-	b.turn("a voter that is lost", func(roll codebook.Roll) ([]codebook.Voter, error) {
+	b.turn("a voter that is lost", func(roll messages.Roll) ([]messages.Voter, error) {
 		if roll.Epoch != epoch {
 			return nil, nil
 		}
 		zoned(&roll, known)
-		well := make(chan []codebook.Voter, 1)
+		well := make(chan []messages.Voter, 1)
 		go func() { well <- b.h.well(roll, known) }()
 		gone := b.h.silent(roll, gone, unwell, known, lost)
 		if candidates := <-well; len(gone) > 0 && time.Since(now) < 2*readyTime { // else this process slept: they may be back
@@ -148,32 +148,32 @@
 }
 
 // zoned fills in the zones of voters that were founded by their addresses alone.
-func zoned(roll *codebook.Roll, known []codebook.Voter) {
+func zoned(roll *messages.Roll, known []messages.Voter) {
 	roll.Voters = slices.Clone(roll.Voters)
 	for i, v := range roll.Voters {
-		if at := slices.IndexFunc(known, func(k codebook.Voter) bool { return k.Addr == v.Addr }); at >= 0 && v.Zone == "" {
+		if at := slices.IndexFunc(known, func(k messages.Voter) bool { return k.Addr == v.Addr }); at >= 0 && v.Zone == "" {
 			roll.Voters[i].Zone = known[at].Zone
 		}
 	}
 }
 
 // pursers are the places of all pursers beside known harbourmasters.
-func (b *books) pursers() (out []codebook.Voter) {
+func (b *books) pursers() (out []messages.Voter) {
 	for _, m := range b.masters {
-		out = append(out, codebook.Voter{Name: m.Name, Addr: codebook.Beside(m.Addr, b.h.o.First, codebook.PurserPort), Zone: m.Zone})
+		out = append(out, messages.Voter{Name: m.Name, Addr: messages.Beside(m.Addr, b.h.o.First, messages.PurserPort), Zone: m.Zone})
 	}
-	slices.SortFunc(out, func(x, y codebook.Voter) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(out, func(x, y messages.Voter) int { return cmp.Compare(x.Name, y.Name) })
 	return out
 }
 
 // silent are those of the places that answer nobody, or don't speak as members, if they are unwell: not to this one, when they are
 // asked once more, nor to any other harbourmaster. At least one that hears a majority has to agree.
-func (h *Harbour) silent(roll codebook.Roll, places []int, unwell map[int]bool, known []codebook.Voter, lost time.Duration) []int {
+func (h *Harbour) silent(roll messages.Roll, places []int, unwell map[int]bool, known []messages.Voter, lost time.Duration) []int {
 	answers := make(chan int, len(places)) // a place that answers; -1: none does
 	for _, i := range places {
 		go func() {
-			var r codebook.Readied
-			if at := roll.Voters[i].Addr; h.call(at, codebook.Ready, codebook.ReadyCall{Dry: true}, &r, readyTime) == nil && (r.State == "serving" || !unwell[i]) {
+			var r messages.Readied
+			if at := roll.Voters[i].Addr; h.call(at, messages.Ready, messages.ReadyCall{Dry: true}, &r, readyTime) == nil && (r.State == "serving" || !unwell[i]) {
 				answers <- i
 				return
 			}
@@ -181,17 +181,17 @@
 		}()
 	}
 	type told struct {
-		r   codebook.Reported
+		r   messages.Reported
 		err error
 	}
 	others := make(chan told, len(known))
 	asked := 0
 	for _, v := range known {
-		if m := codebook.Beside(v.Addr, h.o.First, codebook.HarbourPort); m != h.o.Self.Addr {
+		if m := messages.Beside(v.Addr, h.o.First, messages.HarbourPort); m != h.o.Self.Addr {
 			asked++
 			go func() {
 				var t told
-				t.err = h.call(m, codebook.Report, codebook.ReportCall{Brief: true}, &t.r, readyTime)
+				t.err = h.call(m, messages.Report, messages.ReportCall{Brief: true}, &t.r, readyTime)
 				others <- t
 			}()
 		}
@@ -233,12 +233,12 @@
 }
 
 // well are those that stand apart and may become voters with no word of the operator's: whose loss is bounded.
-func (h *Harbour) well(roll codebook.Roll, known []codebook.Voter) (well []codebook.Voter) {
+func (h *Harbour) well(roll messages.Roll, known []messages.Voter) (well []messages.Voter) {
 	ch := make(chan int, len(known))
 	for i, v := range known {
 		go func() {
-			var r codebook.Readied
-			if roll.Place(v.Addr) >= 0 || h.call(v.Addr, codebook.Ready, codebook.ReadyCall{Dry: true}, &r, readyTime) != nil ||
+			var r messages.Readied
+			if roll.Place(v.Addr) >= 0 || h.call(v.Addr, messages.Ready, messages.ReadyCall{Dry: true}, &r, readyTime) != nil ||
 				r.State != "apart" || !r.Quorum {
 				i = -1
 			}
@@ -260,27 +260,27 @@
 
 // call makes one call to an address.
 func (h *Harbour) call(addr string, kind uint8, v, answer any, wait time.Duration) error {
-	c := signal.NewClient(h.o.Net, addr)
+	c := rpc.NewClient(h.o.Net, addr)
 	defer c.Close()
 	return c.Call(kind, v, answer, wait)
 }
 
 // prepare asks the wished voters how they stand, and makes a roll of them. Those that join must be well, and a majority.
-func (h *Harbour) prepare(roll codebook.Roll, voters []codebook.Voter, dry bool) (next codebook.Roll, err error) {
-	next = codebook.Roll{Epoch: roll.Epoch + 1, Voters: slices.Clone(voters), Was: slices.Clone(roll.Voters)}
+func (h *Harbour) prepare(roll messages.Roll, voters []messages.Voter, dry bool) (next messages.Roll, err error) {
+	next = messages.Roll{Epoch: roll.Epoch + 1, Voters: slices.Clone(voters), Was: slices.Clone(roll.Voters)}
 	for i := range next.Was {
 		next.Was[i].Disk = 0
 	}
 	type told struct {
 		i   int
-		r   codebook.Readied
+		r   messages.Readied
 		err error
 	}
 	ch := make(chan told, len(voters))
 	for i, v := range voters {
 		go func() {
 			t := told{i: i}
-			t.err = h.call(v.Addr, codebook.Ready, codebook.ReadyCall{Dry: dry}, &t.r, readyTime)
+			t.err = h.call(v.Addr, messages.Ready, messages.ReadyCall{Dry: dry}, &t.r, readyTime)
 			ch <- t
 		}()
 	}
@@ -311,8 +311,8 @@
 
 // relieve runs a change of the roll to its end, and tells how many of its voters hold the books by then. voters: nil to finish one
 // that was left in the middle.
-func (h *Harbour) relieve(roll codebook.Roll, voters []codebook.Voter) (next codebook.Roll, holds int, err error) {
-	var mine codebook.Roll
+func (h *Harbour) relieve(roll messages.Roll, voters []messages.Voter) (next messages.Roll, holds int, err error) {
+	var mine messages.Roll
 	if len(roll.Voters) == 0 {
 		return roll, 0, errcode.New(errcode.CoreOut, "nobody known that counts")
 	}
@@ -343,25 +343,25 @@
 }
 
 // decree has the old voters choose a successor: mine, or what one of them accepted before.
-func (h *Harbour) decree(roll, mine codebook.Roll) (next codebook.Roll, err error) {
+func (h *Harbour) decree(roll, mine messages.Roll) (next messages.Roll, err error) {
 	n := len(roll.Voters)
-	var b manifest.Ballot
+	var b configuration.Ballot
 	h.own.Ask(func(t *books) {
-		t.decree = manifest.Ballot{N: t.decree.N + 1, By: uint32(h.o.Life)}
+		t.decree = configuration.Ballot{N: t.decree.N + 1, By: uint32(h.o.Life)}
 		b = t.decree
 	})
 	r := reconfig.Round{Voters: n}
-	gather := func(call codebook.SucceedCall, take func(reconfig.Answer) bool) error {
+	gather := func(call messages.SucceedCall, take func(reconfig.Answer) bool) error {
 		if h.council.Roll().Epoch != roll.Epoch {
 			return errcode.New(errcode.Gone, "epoch %d", roll.Epoch)
 		}
-		ask := signal.Encode(call)
-		return h.council.Gather(codebook.Succeed, func(int) []byte { return ask }, phaseTime, func(t quorum.Told) bool {
+		ask := rpc.Encode(call)
+		return h.council.Gather(messages.Succeed, func(int) []byte { return ask }, phaseTime, func(t quorum.Told) bool {
 			var a reconfig.Answer
-			return t.Err == nil && signal.Decode(t.Body, &a) == nil && take(a)
+			return t.Err == nil && rpc.Decode(t.Body, &a) == nil && take(a)
 		})
 	}
-	err = gather(codebook.SucceedCall{Epoch: roll.Epoch, B: b}, func(a reconfig.Answer) bool {
+	err = gather(messages.SucceedCall{Epoch: roll.Epoch, B: b}, func(a reconfig.Answer) bool {
 		r.Promise(a)
 		_, bound, ok := r.Base()
 		return ok && bound // else all are heard: one may have accepted something
@@ -385,7 +385,7 @@
 		next = mine
 	}
 	chosen := false
-	err = gather(codebook.SucceedCall{Epoch: roll.Epoch, B: b, Next: &next}, func(a reconfig.Answer) bool {
+	err = gather(messages.SucceedCall{Epoch: roll.Epoch, B: b, Next: &next}, func(a reconfig.Answer) bool {
 		chosen = r.Accept(a)
 		return chosen
 	})
@@ -400,12 +400,12 @@
 
 // hand tells a chosen roll to all that it concerns, and takes it once a majority of its voters speaks in the new epoch, or
 // there is none within the time. It gives how many did: with fewer than a majority, nobody that leaves may go yet.
-func (h *Harbour) hand(next codebook.Roll) (holds int) {
+func (h *Harbour) hand(next messages.Roll) (holds int) {
 	begun := time.Now()
 	ch := make(chan bool, len(next.Voters))
-	tell := func(v codebook.Voter) {
-		var r codebook.Relieved
-		err := h.call(v.Addr, codebook.Relieve, codebook.RelieveCall{Roll: next}, &r, relieveTime)
+	tell := func(v messages.Voter) {
+		var r messages.Relieved
+		err := h.call(v.Addr, messages.Relieve, messages.RelieveCall{Roll: next}, &r, relieveTime)
 		ch <- err == nil && r.Epoch >= next.Epoch && r.State == "serving"
 	}
 	for _, v := range next.Voters {
@@ -422,17 +422,17 @@
 	h.adopt(next) // a voter that is left out is told by those who watch it
 	for _, v := range next.Was {
 		if next.Place(v.Addr) < 0 {
-			go h.call(v.Addr, codebook.Relieve, codebook.RelieveCall{Roll: next}, nil, relieveTime)
+			go h.call(v.Addr, messages.Relieve, messages.RelieveCall{Roll: next}, nil, relieveTime)
 		}
 	}
 	return holds
 }
 
 // dismiss tells the purser beside this one that it does not count, until it knows: it may have slept through the change.
-func (h *Harbour) dismiss(roll codebook.Roll) {
+func (h *Harbour) dismiss(roll messages.Roll) {
 	for h.council.Roll().Epoch == roll.Epoch {
-		var r codebook.Relieved
-		if h.call(h.o.Purser, codebook.Relieve, codebook.RelieveCall{Roll: roll}, &r, relieveTime) == nil && r.Epoch >= roll.Epoch {
+		var r messages.Relieved
+		if h.call(h.o.Purser, messages.Relieve, messages.RelieveCall{Roll: roll}, &r, relieveTime) == nil && r.Epoch >= roll.Epoch {
 			return
 		}
 		if !h.pause(500 * time.Millisecond) {
@@ -444,9 +444,9 @@
 // ---- The operator ----
 
 // rolls takes the operator's word.
-func (h *Harbour) rolls(c signal.Call) {
-	var call codebook.RollsCall
-	if err := signal.Decode(c.Body, &call); err != nil {
+func (h *Harbour) rolls(c rpc.Call) {
+	var call messages.RollsCall
+	if err := rpc.Decode(c.Body, &call); err != nil {
 		c.Reply(nil, err)
 		return
 	}
@@ -458,7 +458,7 @@
 		h.begin(func() {
 			begun := time.Now()
 			roll := h.council.Roll()
-			t := codebook.RollsTold{Was: roll, Roll: roll}
+			t := messages.RollsTold{Was: roll, Roll: roll}
 			voters, err := wished(roll, known, call)
 			if silent > contactMs { // nothing is refused by what may be old here
 				err = errcode.New(errcode.CoreOut, "no majority was heard for %d ms", silent)
@@ -486,8 +486,8 @@
 }
 
 // wished is the list of voters that a call asks for.
-func wished(roll codebook.Roll, known []codebook.Voter, call codebook.RollsCall) ([]codebook.Voter, error) {
-	find := func(name string) (codebook.Voter, error) {
+func wished(roll messages.Roll, known []messages.Voter, call messages.RollsCall) ([]messages.Voter, error) {
+	find := func(name string) (messages.Voter, error) {
 		host, _, err := net.SplitHostPort(name)
 		if err != nil {
 			host = name
@@ -497,9 +497,9 @@
 				return v, nil
 			}
 		}
-		return codebook.Voter{}, errcode.New(errcode.Invalid, "%q is no node with a purser that is known here", name)
+		return messages.Voter{}, errcode.New(errcode.Invalid, "%q is no node with a purser that is known here", name)
 	}
-	var voters []codebook.Voter
+	var voters []messages.Voter
 	for _, n := range call.Voters {
 		v, err := find(n)
 		if err != nil {
@@ -515,7 +515,7 @@
 		if err != nil {
 			return nil, err
 		}
-		at := slices.IndexFunc(voters, func(v codebook.Voter) bool { return v.Addr == old.Addr })
+		at := slices.IndexFunc(voters, func(v messages.Voter) bool { return v.Addr == old.Addr })
 		if at < 0 {
 			return nil, errcode.New(errcode.Invalid, "%s does not count", x[0])
 		}
@@ -524,14 +524,14 @@
 		}
 	}
 	for i, v := range voters {
-		if slices.ContainsFunc(voters[:i], func(o codebook.Voter) bool { return o.Addr == v.Addr }) {
+		if slices.ContainsFunc(voters[:i], func(o messages.Voter) bool { return o.Addr == v.Addr }) {
 			return nil, errcode.New(errcode.Invalid, "%s comes twice", v.Addr)
 		}
 	}
 	switch {
 	case len(voters)%2 == 0:
 		return nil, errcode.New(errcode.Invalid, "%d voters: an odd number is wanted", len(voters))
-	case (codebook.Roll{Epoch: roll.Epoch, Voters: voters}).Same(roll):
+	case (messages.Roll{Epoch: roll.Epoch, Voters: voters}).Same(roll):
 		return nil, errcode.New(errcode.Invalid, "that is the roll in force")
 	}
 	return voters, nil
--- a/internal/harbour/wake_test.go
+++ b/internal/registry/wake_test.go
@@ -1,4 +1,4 @@
-package harbour
+package registry
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"time"
 
 	"saltmast/internal/backends"
-	"saltmast/internal/codebook"
-	"saltmast/internal/manifest"
-	"saltmast/internal/signal"
+	"saltmast/internal/configuration"
+	"saltmast/internal/messages"
+	"saltmast/internal/rpc"
 )
 
 // waiting is a harbour with so many proxies that wait for news, and a table of as many backends. answered counts answers.
@@ -19,8 +19,8 @@
 		b.berths.Join(backends.Berth{Node: fmt.Sprint("n", i), Addr: "10.0.0.1:7", Version: 1})
 	}
 	for range n {
-		c := signal.Local(codebook.Pull, nil, func([]byte, error) { answered.Add(1) })
-		b.pull(c, codebook.PullCall{Life: 1, At: b.berths.At(), Sum: b.sum, Have: manifest.Ballot{N: 1}, HoldMs: 5000})
+		c := rpc.Local(messages.Pull, nil, func([]byte, error) { answered.Add(1) })
+		b.pull(c, messages.PullCall{Life: 1, At: b.berths.At(), Sum: b.sum, Have: configuration.Ballot{N: 1}, HoldMs: 5000})
 	}
 	return h, b
 }
@@ -30,7 +30,7 @@
 	const proxies = 1000
 	var answered atomic.Int64
 	h, b := waiting(t, proxies, &answered)
-	h.own = signal.Own(b, 16)
+	h.own = rpc.Own(b, 16)
 	turn := make(chan int64, 1)
 	queued := make(chan struct{})
 	h.own.Send(func(b *books) {
@@ -64,7 +64,7 @@
 				b.StopTimer()
 				var answered atomic.Int64
 				h, x := waiting(b, n, &answered)
-				h.own = signal.Own(x, 1024)
+				h.own = rpc.Own(x, 1024)
 				b.StartTimer()
 				h.own.Send(func(x *books) {
 					x.berths.Join(backends.Berth{Node: "n1", Addr: "10.0.0.1:7", Version: 2})
@@ -98,7 +98,7 @@
 		var answered atomic.Int64
 		_, b := waiting(t, 1, &answered)
 		b.begun = time.Now()
-		partial := func() bool { return b.news(codebook.PullCall{}).Partial }
+		partial := func() bool { return b.news(messages.PullCall{}).Partial }
 		if b.fill(false); !partial() {
 			t.Errorf("%s: it vouches for its table before it looked for others", name)
 		}
--- a/internal/signal/owner.go
+++ b/internal/rpc/owner.go
@@ -1,4 +1,4 @@
-package signal
+package rpc
 
 // Owner is the one goroutine that owns a table and works through a queue of commands on it, in order.
 type Owner[T any] struct {
--- a/internal/signal/signal.go
+++ b/internal/rpc/signal.go
@@ -1,9 +1,9 @@
-// Package signal carries calls between the mesh's own programs: CBOR messages in frames over TCP, many under way on one
+// Package rpc carries calls between the mesh's own programs: CBOR messages in frames over TCP, many under way on one
 // connection, each answered once or not at all. It decides nothing and repeats nothing. Start reading at Client and Serve.
 //
 // A frame: 4 bytes length of what follows, 4 bytes number of the call, 1 byte kind, 1 byte error code (0 in a call), then the
 // message. Frames of over MaxFrame end the connection, as does a peer that reads nothing while over maxQueued wait for it.
-package signal
+package rpc
 
 import (
 	"bufio"
--- a/internal/signal/walk_test.go
+++ b/internal/rpc/walk_test.go
@@ -1,4 +1,4 @@
-package signal
+package rpc
 
 import (
 	"bufio"
--- a/internal/survey/survey.go
+++ b/internal/schema/survey.go
@@ -1,8 +1,8 @@
-// Package survey holds data against a CUE schema and tells in one line what is wrong with it.
+// Package schema holds data against a CUE schema and tells in one line what is wrong with it.
 //
 // Nothing of CUE outlives a call: a program that reads settings once and a configuration now and then keeps no schema in
 // memory. A field of a schema may carry @want("words") for what is expected there.
-package survey
+package schema
 
 import (
 	"fmt"
--- a/internal/articles/articles.go
+++ b/internal/settings/articles.go
@@ -1,8 +1,8 @@
-// Package articles reads the settings file that a process of the mesh is given, checks it, and notices when it changes.
+// Package settings reads the settings file that a process of the mesh is given, checks it, and notices when it changes.
 //
 // The file is YAML and is held against a schema in CUE. Fields that the schema doesn't know are ignored. The schema is
 // compiled for each reading and dropped afterwards: a process reads its settings at its start and after a change only.
-package articles
+package settings
 
 import (
 	"crypto/sha256"
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"saltmast/internal/survey"
+	"saltmast/internal/schema"
 )
 
 //go:embed articles.cue
@@ -157,7 +157,7 @@
 // Parse reads settings from the text of a file. Errors are as in Load, without the file.
 func Parse(raw []byte) (*Settings, error) {
 	var f file
-	if err := survey.YAML(settingsSchema, raw, &f); err != nil {
+	if err := schema.YAML(settingsSchema, raw, &f); err != nil {
 		return nil, err
 	}
 	s := &Settings{
@@ -174,7 +174,7 @@
 		s.Heartbeat = seconds(*f.Heartbeat)
 	}
 	if s.Ports[1] < s.Ports[0] {
-		return nil, &survey.Fault{Path: []string{"ephemeral-ports"}, Want: "the last port not below the first", Got: fmt.Sprint(s.Ports[1], " after ", s.Ports[0])}
+		return nil, &schema.Fault{Path: []string{"ephemeral-ports"}, Want: "the last port not below the first", Got: fmt.Sprint(s.Ports[1], " after ", s.Ports[0])}
 	}
 	var err error
 	s.Bounds, err = bounds(f.Bounds)
@@ -211,7 +211,7 @@
 		}
 		x, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(x >= 0 && x <= most) {
-			return b, &survey.Fault{Path: []string{"bounds", name}, Want: "a number from 0 to 1000000", Got: strconv.Quote(value)}
+			return b, &schema.Fault{Path: []string{"bounds", name}, Want: "a number from 0 to 1000000", Got: strconv.Quote(value)}
 		}
 		if d != nil {
 			*d = seconds(x)
--- a/internal/articles/articles_test.go
+++ b/internal/settings/articles_test.go
@@ -1,4 +1,4 @@
-package articles
+package settings
 
 import (
 	"os"
--- a/internal/shakedown/asleep_test.go
+++ b/internal/shakedown/asleep_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/codebook"
-	"saltmast/internal/signal"
+	"saltmast/internal/messages"
+	"saltmast/internal/rpc"
 )
 
 // TestAsleep stops a harbourmaster as a machine that freezes does, and has it go on: an order that came meanwhile, whose sender has
@@ -33,12 +33,12 @@
 			return err == nil && status == want
 		})
 	}
-	harbour := func(x *Machine) string { return x.Addr(free + codebook.HarbourPort) }
-	pull := func(c *signal.Client) (n codebook.News, err error) {
-		err = c.Call(codebook.Pull, codebook.PullCall{}, &n, Patience)
+	harbour := func(x *Machine) string { return x.Addr(free + messages.HarbourPort) }
+	pull := func(c *rpc.Client) (n messages.News, err error) {
+		err = c.Call(messages.Pull, messages.PullCall{}, &n, Patience)
 		return n, err
 	}
-	c := signal.NewClient(nil, harbour(asleep))
+	c := rpc.NewClient(nil, harbour(asleep))
 	defer c.Close()
 	if _, err := pull(c); err != nil { // the connection is there
 		t.Fatal(err)
@@ -72,14 +72,14 @@
 	operate(Change([]Item{Service("tide", 2)}, nil), 200)
 	acked := time.Now()
 	giveUp(Change([]Item{Service("tide", 2)}, nil))
-	o := signal.NewClient(nil, harbour(awake[0]))
+	o := rpc.NewClient(nil, harbour(awake[0]))
 	defer o.Close()
 	newest, err := pull(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	woke, mark := time.Now(), asleep.Harbour.Mark()
-	told := make(chan codebook.News, 1)
+	told := make(chan messages.News, 1)
 	go func() {
 		n, err := pull(c)
 		if err != nil {
--- a/internal/shakedown/roll_test.go
+++ b/internal/shakedown/roll_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/codebook"
-	"saltmast/internal/signal"
+	"saltmast/internal/messages"
+	"saltmast/internal/rpc"
 )
 
 // TestRoll has a fourth core machine take the place of a voter that is gone with its disk, on the operator's word; then another
@@ -19,12 +19,12 @@
 	d.Purser.AwaitSaid(t, 0, "state", "apart")
 	m.Cores[2].Kill()
 	m.Cores[2].LoseDisk()
-	c := signal.NewClient(nil, m.Cores[0].Addr(free+codebook.HarbourPort))
+	c := rpc.NewClient(nil, m.Cores[0].Addr(free+messages.HarbourPort))
 	defer c.Close()
-	var told codebook.RollsTold
+	var told messages.RollsTold
 	Await(t, "another roll", func() bool { // the new machine has to be heard of first
-		told = codebook.RollsTold{}
-		err := c.Call(codebook.Rolls, codebook.RollsCall{Replace: [][2]string{{m.Cores[2].IP, d.Name}}}, &told, 8*time.Second)
+		told = messages.RollsTold{}
+		err := c.Call(messages.Rolls, messages.RollsCall{Replace: [][2]string{{m.Cores[2].IP, d.Name}}}, &told, 8*time.Second)
 		return err == nil && told.Why == ""
 	})
 	t.Logf("epoch %d after %d ms", told.Roll.Epoch, told.TookMs)
--- a/internal/store/amid_test.go
+++ b/internal/store/amid_test.go
@@ -4,21 +4,21 @@
 	"fmt"
 	"testing"
 
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
-	"saltmast/internal/manifest"
+	"saltmast/internal/messages"
 	"saltmast/internal/reconfig"
 	"saltmast/internal/storage"
 )
 
 // much is books that come to disk in several parts.
-func much() (items []manifest.Item, claims []codebook.ClaimCall) {
+func much() (items []configuration.Item, claims []messages.ClaimCall) {
 	for i := range 2500 {
-		claims = append(claims, codebook.ClaimCall{Key: fmt.Sprint("key ", i), ID: id(uint64(i + 1))})
+		claims = append(claims, messages.ClaimCall{Key: fmt.Sprint("key ", i), ID: id(uint64(i + 1))})
 	}
 	for i := range 300 {
-		k := manifest.Key{Kind: manifest.Routes, Name: fmt.Sprint("r-", i)}
-		items = append(items, manifest.Item{Key: k, Version: 2, Spec: []byte("{}"), Ballot: manifest.Ballot{N: 9}})
+		k := configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint("r-", i)}
+		items = append(items, configuration.Item{Key: k, Version: 2, Spec: []byte("{}"), Ballot: configuration.Ballot{N: 9}})
 	}
 	return items, claims
 }
@@ -56,14 +56,14 @@
 // next repair makes up for all.
 func TestRepairThatDiesAtEachSync(t *testing.T) {
 	items, claims := much()
-	m := mustered{m: codebook.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: manifest.Ballot{N: 9},
-		Chosen: manifest.Ballot{N: 9}}, claims: claims, base: manifest.SetOf(items...)}
+	m := mustered{m: messages.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: configuration.Ballot{N: 9},
+		Chosen: configuration.Ballot{N: 9}}, claims: claims, base: configuration.SetOf(items...)}
 	for _, fails := range []bool{false, true} {
 		n, done := 0, false
 		for ; !done; n++ {
 			d := newDesk(t, Options{})
 			d.open()
-			d.roll = codebook.Roll{Epoch: 1, Voters: voters}
+			d.roll = messages.Roll{Epoch: 1, Voters: voters}
 			d.place()
 			d.paper.rows[tableMeta] = map[string][]byte{"roll": d.putRoll().Value, "incs": d.putIncs().Value}
 			d.set(Repairing)
@@ -95,9 +95,9 @@
 // own books whole for those that need them.
 func TestTakingOverThatDiesAtEachSync(t *testing.T) {
 	items, claims := much()
-	next := codebook.Roll{Epoch: 2, Voters: voters, Was: voters}
-	h := handed{base: manifest.SetOf(items...), claims: claims, h: codebook.Handed{Estate: reconfig.Estate{Vouch: consensus.Vouch{By: 1, Incs: []uint64{1, 1, 1}},
-		Promised: manifest.Ballot{N: 9}, Accepted: manifest.Ballot{N: 9}, Chosen: manifest.Ballot{N: 9}}}}
+	next := messages.Roll{Epoch: 2, Voters: voters, Was: voters}
+	h := handed{base: configuration.SetOf(items...), claims: claims, h: messages.Handed{Estate: reconfig.Estate{Vouch: consensus.Vouch{By: 1, Incs: []uint64{1, 1, 1}},
+		Promised: configuration.Ballot{N: 9}, Accepted: configuration.Ballot{N: 9}, Chosen: configuration.Ballot{N: 9}}}}
 	older := items[0]
 	older.Version, older.Ballot.N = 1, 3
 	for _, kept := range []bool{false, true} {
@@ -117,7 +117,7 @@
 					d.settle()
 					d.ledger.Claim(0, "own", id(99))
 				} else {
-					d.roll = codebook.Roll{Epoch: 1, Voters: []codebook.Voter{{Addr: "x:1"}, {Addr: "b:1"}, {Addr: "c:1"}}}
+					d.roll = messages.Roll{Epoch: 1, Voters: []messages.Voter{{Addr: "x:1"}, {Addr: "b:1"}, {Addr: "c:1"}}}
 					d.place()
 					d.paper.rows[tableMeta] = map[string][]byte{"roll": d.putRoll().Value, "incs": d.putIncs().Value}
 					d.set(Apart)
--- a/internal/store/purser.go
+++ b/internal/store/purser.go
@@ -14,14 +14,14 @@
 	"sync/atomic"
 	"time"
 
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
 	"saltmast/internal/errcode"
 	"saltmast/internal/idempotency"
 	"saltmast/internal/lease"
-	"saltmast/internal/manifest"
+	"saltmast/internal/messages"
 	"saltmast/internal/reconfig"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
 	"saltmast/internal/sock"
 	"saltmast/internal/storage"
 )
@@ -52,7 +52,7 @@
 	Dir       string // of its disk
 	Zone      string
 	Bootstrap bool             // the very first start: Found counts from now on
-	Found     []codebook.Voter // who counts at the very first start
+	Found     []messages.Voter // who counts at the very first start
 	Seeds     func() []string  // where other pursers may be
 	Quorum    bool             // its machine is one whose loss is bounded
 	Window    time.Duration    // keys are kept for so long at least
@@ -71,15 +71,15 @@
 // Purser is one member's store.
 type Purser struct {
 	o      Options
-	own    *signal.Owner[books]
-	server *signal.Server
+	own    *rpc.Owner[books]
+	server *rpc.Server
 	Counts Counts
 	ended  chan struct{}
 	disks  sync.WaitGroup // openings of the disk, and closings ahead of one
 	begin  func(storage.Options) (disk, storage.Start, error)
 	aside  func(func() func(*books))           // does what waits beside the owner's goroutine, and queues the command that it gives
 	later  func(func(*books))                  // queues a command from where nobody may wait
-	known  func(codebook.Roll) []codebook.Mark // asks harbourmasters what this member told last
+	known  func(messages.Roll) []messages.Mark // asks harbourmasters what this member told last
 	marked atomic.Uint64                       // the last mark that is on disk
 	adrift atomic.Int64                        // writes of claims that failed: these may be held in memory alone
 	ailing atomic.Int64                        // since when, by books.now and plus one, each write failed that ended; 0: the last did not
@@ -102,19 +102,19 @@
 	acc       *consensus.Acceptor
 	ledger    *idempotency.Ledger
 	duties    *lease.Ledger
-	roll      codebook.Roll
+	roll      messages.Roll
 	me        int      // place in the roll; -1: none
 	incs      []uint64 // by place
 	seal      reconfig.Seal
-	sealed    bool            // the seal is shut, or the books are past, and that is on disk
-	former    manifest.Ballot // the value accepted in a former epoch; zero: none
-	number    uint64          // of the disk, by which a roll names it; 0: it was never asked for
-	past      *past           // the books are of a former epoch
-	moored    int64           // of adrift, that a taking over has made up for
-	taking    bool            // books are being taken over
-	takers    []func(error)   // who hear of that
-	accepting bool            // the register is on its way to disk
-	bundles   int             // of the delta, on disk
+	sealed    bool                 // the seal is shut, or the books are past, and that is on disk
+	former    configuration.Ballot // the value accepted in a former epoch; zero: none
+	number    uint64               // of the disk, by which a roll names it; 0: it was never asked for
+	past      *past                // the books are of a former epoch
+	moored    int64                // of adrift, that a taking over has made up for
+	taking    bool                 // books are being taken over
+	takers    []func(error)        // who hear of that
+	accepting bool                 // the register is on its way to disk
+	bundles   int                  // of the delta, on disk
 	queued    []func(*books)
 	watchers  []*watcher
 	mustering bool
@@ -122,15 +122,15 @@
 	founding  bool          // the founding is on its way to disk
 	mark      uint64        // the last that was given to the disk
 	markAt    time.Duration // and when
-	old       codebook.Mark // that was told from a later disk than the one that was read; zero: none
+	old       messages.Mark // that was told from a later disk than the one that was read; zero: none
 	used      bool          // a disk was in use before, or found damaged: an empty one is no beginning any more
 	closed    bool          // the purser ends
 	trouble   string        // why the disk could not be opened or took no founding, as the log has it
 }
 
 type watcher struct {
-	c     signal.Call
-	w     codebook.WatchCall
+	c     rpc.Call
+	w     messages.WatchCall
 	came  time.Duration
 	timer *time.Timer // of its end
 	done  bool
@@ -138,7 +138,7 @@
 
 // Start begins to serve at o.Addr.
 func Start(o Options) (*Purser, error) {
-	l, err := signal.Listen(o.Net, o.Addr)
+	l, err := rpc.Listen(o.Net, o.Addr)
 	if err != nil {
 		return nil, err
 	}
@@ -159,8 +159,8 @@
 	}
 	b := &books{p: p, begun: time.Now(), state: NoDisk, me: -1, duties: lease.NewLedger(0)}
 	b.clear()
-	p.own = signal.Own(b, 1024)
-	p.server = signal.Serve(l, p.handle)
+	p.own = rpc.Own(b, 1024)
+	p.server = rpc.Serve(l, p.handle)
 	p.own.Send((*books).open)
 	go p.tick()
 	return p
@@ -202,8 +202,8 @@
 type Status struct {
 	State  State
 	Keys   int
-	Chosen manifest.Ballot
-	Roll   codebook.Roll
+	Chosen configuration.Ballot
+	Roll   messages.Roll
 	Shut   bool // its epoch has ended here
 	Stall  time.Duration
 }
@@ -244,8 +244,8 @@
 // forget forgets all that a disk told.
 func (b *books) forget() {
 	b.clear()
-	b.roll, b.incs, b.me = codebook.Roll{}, nil, -1
-	b.seal, b.sealed, b.former, b.number, b.past = reconfig.Seal{}, false, manifest.Ballot{}, 0, nil
+	b.roll, b.incs, b.me = messages.Roll{}, nil, -1
+	b.seal, b.sealed, b.former, b.number, b.past = reconfig.Seal{}, false, configuration.Ballot{}, 0, nil
 }
 
 func (b *books) set(s State) {
@@ -309,7 +309,7 @@
 	switch {
 	case b.roll.Epoch > 0:
 		b.place()
-		if read.old != (codebook.Mark{}) {
+		if read.old != (messages.Mark{}) {
 			b.p.o.Log("disk", fmt.Sprintf("older than what was told from it: %+v", read.old))
 			b.incs[b.me] = 0
 			b.write([]storage.Put{b.putIncs()}, func(error) {}) // else it is found out again
@@ -333,7 +333,7 @@
 
 // found begins the very first epoch.
 func (b *books) found() {
-	b.roll = codebook.Roll{Epoch: 1, Voters: b.p.o.Found}
+	b.roll = messages.Roll{Epoch: 1, Voters: b.p.o.Found}
 	b.incs = make([]uint64, len(b.roll.Voters))
 	b.place()
 	if b.me >= 0 {
@@ -375,8 +375,8 @@
 
 // ---- On disk ----
 
-func putBallot(name string, v manifest.Ballot) storage.Put {
-	return storage.Put{Table: tableMeta, Key: []byte(name), Value: signal.Encode(v)}
+func putBallot(name string, v configuration.Ballot) storage.Put {
+	return storage.Put{Table: tableMeta, Key: []byte(name), Value: rpc.Encode(v)}
 }
 
 // putLayout tells that the items are a base, with what was accepted beside them. Before, they were what was accepted.
@@ -393,30 +393,30 @@
 }
 
 func (b *books) putRoll() storage.Put {
-	return storage.Put{Table: tableMeta, Key: []byte("roll"), Value: signal.Encode(b.roll)}
+	return storage.Put{Table: tableMeta, Key: []byte("roll"), Value: rpc.Encode(b.roll)}
 }
 
 func (b *books) putIncs() storage.Put {
-	return storage.Put{Table: tableMeta, Key: []byte("incs"), Value: signal.Encode(b.incs)}
+	return storage.Put{Table: tableMeta, Key: []byte("incs"), Value: rpc.Encode(b.incs)}
 }
 
-func itemKey(k manifest.Key) []byte { return append([]byte{byte(k.Kind)}, k.Name...) }
+func itemKey(k configuration.Key) []byte { return append([]byte{byte(k.Kind)}, k.Name...) }
 
-func putItem(i manifest.Item) storage.Put {
-	return storage.Put{Table: tableItems, Key: itemKey(i.Key), Value: signal.Encode(i)}
+func putItem(i configuration.Item) storage.Put {
+	return storage.Put{Table: tableItems, Key: itemKey(i.Key), Value: rpc.Encode(i)}
 }
 
 // bundleBytes is about what one row of the delta has.
 const bundleBytes = 64 << 10
 
 // putDelta puts a delta in place of the one that is on disk, which may be none.
-func (b *books) putDelta(delta []manifest.Item) (puts []storage.Put, bundles int) {
+func (b *books) putDelta(delta []configuration.Item) (puts []storage.Put, bundles int) {
 	for len(delta) > 0 {
 		n := 0
 		for size := 0; n < len(delta) && size < bundleBytes; n++ {
 			size += consensus.Size(delta[n])
 		}
-		puts = append(puts, storage.Put{Table: tableDelta, Key: binary.BigEndian.AppendUint16(nil, uint16(bundles)), Value: signal.Encode(delta[:n])})
+		puts = append(puts, storage.Put{Table: tableDelta, Key: binary.BigEndian.AppendUint16(nil, uint16(bundles)), Value: rpc.Encode(delta[:n])})
 		delta, bundles = delta[n:], bundles+1
 	}
 	for i := bundles; i < b.bundles; i++ {
@@ -443,43 +443,43 @@
 	err := b.disk.Load(tableMeta, func(k, v []byte) error {
 		switch string(k) {
 		case "roll":
-			return signal.Decode(v, &b.roll)
+			return rpc.Decode(v, &b.roll)
 		case "incs":
-			return signal.Decode(v, &b.incs)
+			return rpc.Decode(v, &b.incs)
 		case "promised":
-			return signal.Decode(v, &b.acc.Promised)
+			return rpc.Decode(v, &b.acc.Promised)
 		case "accepted":
-			return signal.Decode(v, &b.acc.Accepted)
+			return rpc.Decode(v, &b.acc.Accepted)
 		case "chosen":
-			return signal.Decode(v, &b.acc.Chosen)
+			return rpc.Decode(v, &b.acc.Chosen)
 		case "layout":
 			layout = true
 		case "target":
-			return signal.Decode(v, &b.acc.Target)
+			return rpc.Decode(v, &b.acc.Target)
 		case "mark":
-			return signal.Decode(v, &b.mark)
+			return rpc.Decode(v, &b.mark)
 		case "seal":
-			return signal.Decode(v, &b.seal)
+			return rpc.Decode(v, &b.seal)
 		case "former":
-			return signal.Decode(v, &b.former)
+			return rpc.Decode(v, &b.former)
 		case "number":
-			return signal.Decode(v, &b.number)
+			return rpc.Decode(v, &b.number)
 		case "past":
-			return signal.Decode(v, &b.past)
+			return rpc.Decode(v, &b.past)
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	for _, x := range []manifest.Ballot{b.acc.Accepted, b.acc.Target} {
+	for _, x := range []configuration.Ballot{b.acc.Accepted, b.acc.Target} {
 		if b.acc.Promised.Less(x) { // the write of the promise had failed, that of its value had not
 			b.acc.Promised = x
 		}
 	}
 	if err := b.disk.Load(tableItems, func(k, v []byte) error {
-		var i manifest.Item
-		err := signal.Decode(v, &i)
+		var i configuration.Item
+		err := rpc.Decode(v, &i)
 		if err == nil {
 			b.acc.Stands = b.acc.Stands.With(i)
 		}
@@ -487,10 +487,10 @@
 	}); err != nil {
 		return err
 	}
-	var delta []manifest.Item
+	var delta []configuration.Item
 	if err := b.disk.Load(tableDelta, func(k, v []byte) error {
-		var bundle []manifest.Item
-		err := signal.Decode(v, &bundle)
+		var bundle []configuration.Item
+		err := rpc.Decode(v, &bundle)
 		delta, b.bundles = append(delta, bundle...), b.bundles+1
 		return err
 	}); err != nil {
@@ -525,7 +525,7 @@
 	if now := b.now(); b.me >= 0 && now-b.markAt >= markEvery {
 		b.mark, b.markAt = b.mark+1, now
 		mark = b.mark
-		puts = append(slices.Clip(puts), storage.Put{Table: tableMeta, Key: []byte("mark"), Value: signal.Encode(mark)})
+		puts = append(slices.Clip(puts), storage.Put{Table: tableMeta, Key: []byte("mark"), Value: rpc.Encode(mark)})
 	}
 	b.disk.Write(puts, func(err error) {
 		if err == nil && mark > 0 {
@@ -553,7 +553,7 @@
 	if b.me < 0 || b.incs[b.me] == 0 {
 		return
 	}
-	mine := codebook.Mark{Epoch: b.roll.Epoch, Inc: b.incs[b.me], N: b.mark}
+	mine := messages.Mark{Epoch: b.roll.Epoch, Inc: b.incs[b.me], N: b.mark}
 	for _, m := range b.p.known(b.roll) {
 		if mine.Behind(m) && b.old.Behind(m) {
 			b.old = m
@@ -562,15 +562,15 @@
 }
 
 // askKnown asks the harbourmasters beside all members.
-func (p *Purser) askKnown(roll codebook.Roll) []codebook.Mark {
+func (p *Purser) askKnown(roll messages.Roll) []messages.Mark {
 	if p.o.First == 0 {
 		return nil
 	}
 	var addrs []string
 	for _, v := range roll.Voters {
-		addrs = append(addrs, codebook.Beside(v.Addr, p.o.First, codebook.HarbourPort))
+		addrs = append(addrs, messages.Beside(v.Addr, p.o.First, messages.HarbourPort))
 	}
-	out, _ := ask[codebook.Mark](p, addrs, codebook.Known, codebook.KnownCall{Addr: p.o.Addr}, knownTime)
+	out, _ := ask[messages.Mark](p, addrs, messages.Known, messages.KnownCall{Addr: p.o.Addr}, knownTime)
 	return out
 }
 
@@ -601,7 +601,7 @@
 // ---- Calls ----
 
 // handle hands a call over to the owner.
-func (p *Purser) handle(c signal.Call) {
+func (p *Purser) handle(c rpc.Call) {
 	p.own.Send(func(b *books) {
 		if err := b.take(c); err != nil {
 			p.Counts.Refused.Add(1)
@@ -611,44 +611,44 @@
 }
 
 // take works on a call. It replies, or will, or says what is wrong.
-func (b *books) take(c signal.Call) error {
+func (b *books) take(c rpc.Call) error {
 	switch c.Kind {
-	case codebook.Prepare:
+	case messages.Prepare:
 		return with(c, b.prepare)
-	case codebook.Accept:
+	case messages.Accept:
 		return with(c, b.accept)
-	case codebook.Learn:
+	case messages.Learn:
 		return with(c, b.learn)
-	case codebook.Turn:
+	case messages.Turn:
 		return with(c, b.turn)
-	case codebook.Watch:
+	case messages.Watch:
 		return with(c, b.watch)
-	case codebook.Claim:
+	case messages.Claim:
 		return with(c, b.claim)
-	case codebook.Release:
+	case messages.Release:
 		return with(c, b.release)
-	case codebook.Muster:
+	case messages.Muster:
 		return with(c, b.muster)
-	case codebook.Lease:
+	case messages.Lease:
 		return with(c, b.lease)
-	case codebook.Ready:
+	case messages.Ready:
 		return with(c, b.ready)
-	case codebook.Succeed:
+	case messages.Succeed:
 		return with(c, b.succeed)
-	case codebook.Relieve:
+	case messages.Relieve:
 		return with(c, b.relieve)
-	case codebook.Handover:
+	case messages.Handover:
 		return with(c, b.handover)
-	case codebook.Report:
+	case messages.Report:
 		b.report(c)
 		return nil
 	}
 	return errcode.New(errcode.NoCall, "kind %d", c.Kind)
 }
 
-func with[T any](c signal.Call, f func(signal.Call, T) error) error {
+func with[T any](c rpc.Call, f func(rpc.Call, T) error) error {
 	var v T
-	if err := signal.Decode(c.Body, &v); err != nil {
+	if err := rpc.Decode(c.Body, &v); err != nil {
 		return err
 	}
 	return f(c, v)
@@ -683,7 +683,7 @@
 // stalledAfter is how long one commit may take before calls are refused at once.
 const stalledAfter = 300 * time.Millisecond
 
-func (b *books) prepare(c signal.Call, m codebook.PrepareCall) error {
+func (b *books) prepare(c rpc.Call, m messages.PrepareCall) error {
 	b.p.Counts.Prepares.Add(1)
 	if err := b.counts(m.Epoch); err != nil {
 		return err
@@ -713,14 +713,14 @@
 	return nil
 }
 
-func (b *books) again(c signal.Call, err error) {
+func (b *books) again(c rpc.Call, err error) {
 	if err != nil {
 		c.Reply(nil, err)
 	}
 }
 
 // reply answers once the disk has, from whatever goroutine.
-func reply(c signal.Call, v any, err error) {
+func reply(c rpc.Call, v any, err error) {
 	if err != nil {
 		c.Reply(nil, errcode.New(errcode.DiskOut, "%w", err))
 		return
@@ -728,7 +728,7 @@
 	c.Reply(v, nil)
 }
 
-func (b *books) accept(c signal.Call, m codebook.AcceptCall) error {
+func (b *books) accept(c rpc.Call, m messages.AcceptCall) error {
 	b.p.Counts.Accepts.Add(1)
 	if err := b.counts(m.Epoch); err != nil {
 		return err
@@ -758,8 +758,8 @@
 }
 
 // accepted answers who brought a part of the register.
-func (b *books) accepted(taken bool) codebook.Accepted {
-	return codebook.Accepted{Vouch: b.vouch(), Taken: taken, Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: b.acc.Chosen}
+func (b *books) accepted(taken bool) messages.Accepted {
+	return messages.Accepted{Vouch: b.vouch(), Taken: taken, Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: b.acc.Chosen}
 }
 
 // alter writes a change of the register, and takes it once it is on disk. What comes meanwhile waits.
@@ -779,7 +779,7 @@
 }
 
 // fold makes the value that was accepted the base, as it was chosen.
-func (b *books) fold(of manifest.Ballot, done func(*books, error)) {
+func (b *books) fold(of configuration.Ballot, done func(*books, error)) {
 	puts, _ := b.putDelta(nil)
 	for i := range b.acc.Value.Since(b.acc.Chosen) {
 		puts = append(puts, putItem(i))
@@ -796,7 +796,7 @@
 	})
 }
 
-func (b *books) learn(c signal.Call, m codebook.LearnCall) error {
+func (b *books) learn(c rpc.Call, m messages.LearnCall) error {
 	if b.accepting {
 		b.queued = append(b.queued, func(b *books) { b.again(c, b.learn(c, m)) })
 		return nil
@@ -809,7 +809,7 @@
 }
 
 // turn takes a page of a chosen value that this member missed.
-func (b *books) turn(c signal.Call, m codebook.TurnCall) error {
+func (b *books) turn(c rpc.Call, m messages.TurnCall) error {
 	if err := b.counts(m.Epoch); err != nil {
 		return err
 	}
@@ -848,8 +848,8 @@
 	}
 }
 
-func (b *books) watched(have manifest.Ballot) codebook.Watched {
-	w := codebook.Watched{Vouch: b.vouch(), Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: b.acc.Chosen,
+func (b *books) watched(have configuration.Ballot) messages.Watched {
+	w := messages.Watched{Vouch: b.vouch(), Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: b.acc.Chosen,
 		Known: b.acc.Known(), Roll: b.roll, State: string(b.state), Keys: b.ledger.Len(), Shut: b.seal.Shut(), Mark: b.p.marked.Load()}
 	if have.Less(b.acc.Chosen) && !b.acc.CatchesUp() {
 		p := consensus.PageOf(b.acc.Stands, b.acc.Chosen, have)
@@ -860,7 +860,7 @@
 
 // watch answers at once where there is news, and else when there is some or the time is up. A member that may not speak as
 // one says so by its state.
-func (b *books) watch(c signal.Call, m codebook.WatchCall) error {
+func (b *books) watch(c rpc.Call, m messages.WatchCall) error {
 	b.p.Counts.Watches.Add(1)
 	w := &watcher{c: c, w: m, came: b.now()}
 	if m.HoldMs == 0 || b.news(w) {
@@ -898,7 +898,7 @@
 	}
 }
 
-func (b *books) claim(c signal.Call, m codebook.ClaimCall) error {
+func (b *books) claim(c rpc.Call, m messages.ClaimCall) error {
 	b.p.Counts.Claims.Add(1)
 	if err := b.counts(m.Epoch); err != nil {
 		return err
@@ -928,7 +928,7 @@
 // maxKey bounds an operation key.
 const maxKey = 512
 
-func (b *books) release(c signal.Call, m codebook.ReleaseCall) error {
+func (b *books) release(c rpc.Call, m messages.ReleaseCall) error {
 	if b.ledger.Release(m.Key, m.ID) {
 		b.p.Counts.Released.Add(1)
 		b.write([]storage.Put{{Table: tableClaims, Key: []byte(m.Key)}}, func(error) {}) // what stays blocks a key at the most
@@ -938,10 +938,10 @@
 }
 
 // lease grants a duty, or takes it back.
-func (b *books) lease(c signal.Call, m codebook.LeaseCall) error {
+func (b *books) lease(c rpc.Call, m messages.LeaseCall) error {
 	if m.Give {
 		b.duties.Give(m.Duty, m.By)
-		c.Reply(codebook.Leased{}, nil)
+		c.Reply(messages.Leased{}, nil)
 		return nil
 	}
 	speaks := b.counts
@@ -951,7 +951,7 @@
 	if err := speaks(m.Epoch); err != nil {
 		return err
 	}
-	c.Reply(codebook.Leased{Given: b.duties.Grant(b.now(), m.Duty, m.By)}, nil)
+	c.Reply(messages.Leased{Given: b.duties.Grant(b.now(), m.Duty, m.By)}, nil)
 	return nil
 }
 
--- a/internal/store/purser_test.go
+++ b/internal/store/purser_test.go
@@ -8,12 +8,12 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
 	"saltmast/internal/errcode"
 	"saltmast/internal/idempotency"
-	"saltmast/internal/manifest"
-	"saltmast/internal/signal"
+	"saltmast/internal/messages"
+	"saltmast/internal/rpc"
 	"saltmast/internal/storage"
 )
 
@@ -88,10 +88,10 @@
 	paper *paper
 	as    storage.Start // it is found
 	later []func(*books)
-	told  []codebook.Mark // what harbourmasters know
+	told  []messages.Mark // what harbourmasters know
 }
 
-var voters = []codebook.Voter{{Addr: "a:1"}, {Addr: "b:1"}, {Addr: "c:1"}}
+var voters = []messages.Voter{{Addr: "a:1"}, {Addr: "b:1"}, {Addr: "c:1"}}
 
 func newDesk(t *testing.T, o Options) *desk {
 	o.Addr, o.Window, o.Log = "a:1", time.Minute, func(event, text string) { t.Log(event, text) }
@@ -100,8 +100,8 @@
 	p := &Purser{o: o, later: func(f func(*books)) { d.later = append(d.later, f) }}
 	p.begin = func(storage.Options) (disk, storage.Start, error) { return d.paper, d.as, nil }
 	p.aside = func(f func() func(*books)) { f()(d.books) }
-	p.known = func(codebook.Roll) []codebook.Mark { return d.told }
-	p.own = signal.Own(&books{}, 64) // hears of what a repair found, which no test here waits for
+	p.known = func(messages.Roll) []messages.Mark { return d.told }
+	p.own = rpc.Own(&books{}, 64) // hears of what a repair found, which no test here waits for
 	t.Cleanup(p.own.End)
 	d.books = &books{p: p, begun: time.Now(), state: NoDisk, me: -1}
 	d.clear()
@@ -145,7 +145,7 @@
 
 func (d *desk) call(kind uint8, v any) *answered {
 	r := &answered{}
-	c := signal.Local(kind, v, func(body []byte, err error) { r.body, r.err = body, err; r.n++ })
+	c := rpc.Local(kind, v, func(body []byte, err error) { r.body, r.err = body, err; r.n++ })
 	if err := d.take(c); err != nil {
 		c.Reply(nil, err)
 	}
@@ -157,7 +157,7 @@
 	if r.n != 1 || r.err != nil {
 		t.Fatalf("%d answers, %v", r.n, r.err)
 	}
-	if err := signal.Decode(r.body, &g); err != nil {
+	if err := rpc.Decode(r.body, &g); err != nil {
 		t.Fatal(err)
 	}
 	return g
@@ -191,7 +191,7 @@
 	if again.state != NoRoll {
 		t.Errorf("%s on an empty disk, epoch %d, incarnations %v", again.state, again.roll.Epoch, again.incs)
 	}
-	if r := again.call(codebook.Claim, codebook.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(r.err) != errcode.CoreOut {
+	if r := again.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(r.err) != errcode.CoreOut {
 		t.Errorf("a claim there: %v", r.err)
 	}
 }
@@ -214,11 +214,11 @@
 func TestRepairThatTakesLong(t *testing.T) {
 	d := newDesk(t, Options{})
 	d.open()
-	d.roll = codebook.Roll{Epoch: 1, Voters: voters}
+	d.roll = messages.Roll{Epoch: 1, Voters: voters}
 	d.place()
 	d.set(Repairing)
-	told := func(by int, inc uint64, claims ...codebook.ClaimCall) mustered {
-		return mustered{m: codebook.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{inc, 1, 1}}}, claims: claims}
+	told := func(by int, inc uint64, claims ...messages.ClaimCall) mustered {
+		return mustered{m: messages.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{inc, 1, 1}}}, claims: claims}
 	}
 	d.mustering = true // as since it began
 	d.restore(2, []mustered{told(1, 2), told(2, 2)}, d.left(t))
@@ -235,20 +235,20 @@
 func TestRepairOfMuch(t *testing.T) {
 	d := newDesk(t, Options{})
 	d.paper.rows[tableClaims] = map[string][]byte{"stale": putClaim("stale", id(1)).Value}
-	left := manifest.Item{Key: manifest.Key{Kind: manifest.Routes, Name: "stale"}, Version: 3, Spec: []byte("{}")}
+	left := configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: "stale"}, Version: 3, Spec: []byte("{}")}
 	d.paper.rows[tableItems] = map[string][]byte{string(itemKey(left.Key)): putItem(left).Value}
 	d.open()
-	d.roll = codebook.Roll{Epoch: 1, Voters: voters}
+	d.roll = messages.Roll{Epoch: 1, Voters: voters}
 	d.place()
 	d.set(Repairing)
-	one := manifest.Ballot{N: 1}
-	m := mustered{m: codebook.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: one, Chosen: one, Base: one, Upto: one}}
+	one := configuration.Ballot{N: 1}
+	m := mustered{m: messages.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: one, Chosen: one, Base: one, Upto: one}}
 	const keys, items = 60000, 1500
 	for i := range keys {
-		m.claims = append(m.claims, codebook.ClaimCall{Key: fmt.Sprintf("key-of-some-length-%040d", i), ID: id(uint64(i + 1))})
+		m.claims = append(m.claims, messages.ClaimCall{Key: fmt.Sprintf("key-of-some-length-%040d", i), ID: id(uint64(i + 1))})
 	}
 	for i := range items {
-		m.base = m.base.With(manifest.Item{Key: manifest.Key{Kind: manifest.Routes, Name: fmt.Sprint(i)}, Version: 1, Ballot: one, Spec: make([]byte, 1000)})
+		m.base = m.base.With(configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint(i)}, Version: 1, Ballot: one, Spec: make([]byte, 1000)})
 	}
 	d.restore(2, []mustered{m}, d.left(t))
 	d.settle()
@@ -261,7 +261,7 @@
 func TestClaimAgainAfterFailedWrite(t *testing.T) {
 	d := founded(t)
 	claim := func(n uint64) *answered {
-		return d.call(codebook.Claim, codebook.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
+		return d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
 	}
 	first, again := claim(1), claim(1)
 	d.paper.sync(storage.ErrDisk)
@@ -281,7 +281,7 @@
 func TestClaimAfterFailedWrite(t *testing.T) {
 	d := founded(t)
 	claim := func(n uint64) *answered {
-		return d.call(codebook.Claim, codebook.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
+		return d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
 	}
 	first, denied := claim(1), claim(2)
 	if denied.grant(t).Given {
@@ -292,8 +292,8 @@
 	if claim(4).grant(t).Given {
 		t.Error("granted although the first may come again")
 	}
-	d.call(codebook.Release, codebook.ReleaseCall{Key: "k", ID: id(2)}) // holds nothing
-	d.call(codebook.Release, codebook.ReleaseCall{Key: "k", ID: id(1)})
+	d.call(messages.Release, messages.ReleaseCall{Key: "k", ID: id(2)}) // holds nothing
+	d.call(messages.Release, messages.ReleaseCall{Key: "k", ID: id(1)})
 	third := claim(3)
 	if third.n != 0 {
 		t.Error("granted before it is on disk")
@@ -309,26 +309,26 @@
 
 // Calls that come while a value is on its way to disk are worked on behind it, whether it got there or not.
 func TestCallsBehindAnAccept(t *testing.T) {
-	b1, b2 := manifest.Ballot{N: 1}, manifest.Ballot{N: 2}
-	item := manifest.Item{Key: manifest.Key{Kind: manifest.Routes, Name: "r"}, Version: 1, Ballot: b1, Spec: []byte("{}")}
+	b1, b2 := configuration.Ballot{N: 1}, configuration.Ballot{N: 2}
+	item := configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: "r"}, Version: 1, Ballot: b1, Spec: []byte("{}")}
 	for _, fails := range []bool{false, true} {
 		d := founded(t)
-		acc := d.call(codebook.Accept, codebook.AcceptCall{B: b1, Changes: []manifest.Item{item}, Epoch: 1})
-		learn := d.call(codebook.Learn, codebook.LearnCall{B: b1})
-		prep := d.call(codebook.Prepare, codebook.PrepareCall{B: b2, Epoch: 1})
-		must := d.call(codebook.Muster, codebook.MusterCall{Addr: "b:1", Inc: 2})
+		acc := d.call(messages.Accept, messages.AcceptCall{B: b1, Changes: []configuration.Item{item}, Epoch: 1})
+		learn := d.call(messages.Learn, messages.LearnCall{B: b1})
+		prep := d.call(messages.Prepare, messages.PrepareCall{B: b2, Epoch: 1})
+		must := d.call(messages.Muster, messages.MusterCall{Addr: "b:1", Inc: 2})
 		if acc.n+learn.n+prep.n+must.n != 0 {
 			t.Fatal("answered before the disk")
 		}
 		want := b1
 		if fails {
-			want = manifest.Ballot{}
+			want = configuration.Ballot{}
 			d.paper.sync(storage.ErrDisk)
 		}
 		d.settle()
 		var p consensus.Promise
-		var m codebook.Mustered
-		if err := errors.Join(prep.err, learn.err, must.err, signal.Decode(prep.body, &p), signal.Decode(must.body, &m)); err != nil {
+		var m messages.Mustered
+		if err := errors.Join(prep.err, learn.err, must.err, rpc.Decode(prep.body, &p), rpc.Decode(must.body, &m)); err != nil {
 			t.Fatal(err)
 		}
 		if (acc.err != nil) != fails || !p.Given || p.Accepted != want || m.Accepted != want || m.Promised != b2 || m.Vouch.Incs[1] != 2 || d.acc.Chosen != want {
@@ -345,11 +345,11 @@
 func TestRepairBetweenTwoClaims(t *testing.T) {
 	d := newDesk(t, Options{})
 	d.open()
-	d.roll = codebook.Roll{Epoch: 1, Voters: voters}
+	d.roll = messages.Roll{Epoch: 1, Voters: voters}
 	d.place()
 	d.set(Repairing)
 	told := func(by int, n uint64) mustered {
-		return mustered{m: codebook.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{2, 1, 1}}}, claims: []codebook.ClaimCall{{Key: "k", ID: id(n)}}}
+		return mustered{m: messages.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{2, 1, 1}}}, claims: []messages.ClaimCall{{Key: "k", ID: id(n)}}}
 	}
 	d.restore(2, []mustered{told(1, 1), told(2, 2)}, d.left(t))
 	d.save([]storage.Put{d.putRoll()}, func(*books, error) {})
@@ -358,15 +358,15 @@
 	again.paper, again.as = d.paper, storage.Whole
 	again.open()
 	for _, x := range []*desk{d, again} {
-		x.call(codebook.Release, codebook.ReleaseCall{Key: "k"})
+		x.call(messages.Release, messages.ReleaseCall{Key: "k"})
 		for n := uint64(1); n <= 3; n++ {
-			r := x.call(codebook.Claim, codebook.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
+			r := x.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
 			x.settle()
 			if g := r.grant(t); g.Given || !g.Holder.IsZero() {
 				t.Errorf("%d: %+v", n, g)
 			}
 		}
-		if m := x.tell(codebook.MusterCall{}); len(m.Claims) != 1 || !m.Claims[0].ID.IsZero() {
+		if m := x.tell(messages.MusterCall{}); len(m.Claims) != 1 || !m.Claims[0].ID.IsZero() {
 			t.Errorf("tells %+v", m.Claims)
 		}
 	}
@@ -376,24 +376,24 @@
 // else be told of it again and again behind each reading.
 func TestChosenBehindAPromise(t *testing.T) {
 	d := founded(t)
-	item := func(v manifest.Version, b uint64) manifest.Item {
-		return manifest.Item{Key: manifest.Key{Kind: manifest.Limits}, Version: v, Ballot: manifest.Ballot{N: b}, Spec: []byte("{}")}
+	item := func(v configuration.Version, b uint64) configuration.Item {
+		return configuration.Item{Key: configuration.Key{Kind: configuration.Limits}, Version: v, Ballot: configuration.Ballot{N: b}, Spec: []byte("{}")}
 	}
-	accept := func(b uint64, chosen bool) (a codebook.Accepted) {
-		x := manifest.Ballot{N: b}
-		changes := []manifest.Item{item(manifest.Version(b), b)}
-		kind, v := codebook.Accept, any(codebook.AcceptCall{B: x, Changes: changes, Epoch: 1})
+	accept := func(b uint64, chosen bool) (a messages.Accepted) {
+		x := configuration.Ballot{N: b}
+		changes := []configuration.Item{item(configuration.Version(b), b)}
+		kind, v := messages.Accept, any(messages.AcceptCall{B: x, Changes: changes, Epoch: 1})
 		if chosen {
-			kind, v = codebook.Turn, codebook.TurnCall{Page: consensus.Page{Upto: x, Target: x, Items: changes}, Epoch: 1}
+			kind, v = messages.Turn, messages.TurnCall{Page: consensus.Page{Upto: x, Target: x, Items: changes}, Epoch: 1}
 		}
 		r := d.call(kind, v)
 		d.settle()
-		if r.n != 1 || r.err != nil || signal.Decode(r.body, &a) != nil {
+		if r.n != 1 || r.err != nil || rpc.Decode(r.body, &a) != nil {
 			t.Fatalf("%d answers, %v", r.n, r.err)
 		}
 		return a
 	}
-	d.call(codebook.Prepare, codebook.PrepareCall{B: manifest.Ballot{N: 9}, Epoch: 1})
+	d.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 9}, Epoch: 1})
 	d.settle()
 	if accept(7, false).Taken {
 		t.Fatal("a value below the promise was taken")
@@ -413,15 +413,15 @@
 // be chosen.
 func TestPromiseThatOnlyItsValueTells(t *testing.T) {
 	d := founded(t)
-	d.call(codebook.Prepare, codebook.PrepareCall{B: manifest.Ballot{N: 2}, Epoch: 1})
+	d.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 2}, Epoch: 1})
 	d.paper.sync(storage.ErrFull)
-	d.call(codebook.Accept, codebook.AcceptCall{B: manifest.Ballot{N: 2}, Epoch: 1})
+	d.call(messages.Accept, messages.AcceptCall{B: configuration.Ballot{N: 2}, Epoch: 1})
 	d.settle()
 	d.open() // as after a restart
-	r := d.call(codebook.Accept, codebook.AcceptCall{B: manifest.Ballot{N: 1}, Epoch: 1})
+	r := d.call(messages.Accept, messages.AcceptCall{B: configuration.Ballot{N: 1}, Epoch: 1})
 	d.settle()
-	var a codebook.Accepted
-	if r.err != nil || signal.Decode(r.body, &a) != nil || a.Taken || a.Accepted.N != 2 {
+	var a messages.Accepted
+	if r.err != nil || rpc.Decode(r.body, &a) != nil || a.Taken || a.Accepted.N != 2 {
 		t.Errorf("a lower ballot: %+v, %v", a, r.err)
 	}
 }
@@ -433,12 +433,12 @@
 	d.p.aside = func(f func() func(*books)) { work = append(work, f) }
 	d.open()
 	d.tick()
-	r := d.call(codebook.Watch, codebook.WatchCall{})
-	var w codebook.Watched
-	if r.n != 1 || r.err != nil || signal.Decode(r.body, &w) != nil || w.State != string(NoDisk) {
+	r := d.call(messages.Watch, messages.WatchCall{})
+	var w messages.Watched
+	if r.n != 1 || r.err != nil || rpc.Decode(r.body, &w) != nil || w.State != string(NoDisk) {
 		t.Errorf("%d answers, %v, %+v", r.n, r.err, w)
 	}
-	if c := d.call(codebook.Claim, codebook.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(c.err) != errcode.CoreOut {
+	if c := d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(c.err) != errcode.CoreOut {
 		t.Errorf("a claim meanwhile: %v", c.err)
 	}
 	if len(work) != 1 {
@@ -454,7 +454,7 @@
 // Each sync fails once in its turn. Who waited for it hears so, no other call fails, and what was told stands after a loss of
 // power at the end.
 func TestEachSyncFailsOnce(t *testing.T) {
-	ballots := []manifest.Ballot{{N: 1}, {N: 2}}
+	ballots := []configuration.Ballot{{N: 1}, {N: 2}}
 	for turn := 1; ; turn++ {
 		d := newDesk(t, Options{Bootstrap: true, Found: voters})
 		syncs, failed := 0, 0
@@ -477,7 +477,7 @@
 				t.Fatalf("sync %d: %d answers", turn, r.n)
 			}
 			if r.err == nil {
-				return answer == nil || signal.Decode(r.body, answer) == nil
+				return answer == nil || rpc.Decode(r.body, answer) == nil
 			}
 			if failed++; errcode.Of(r.err) != errcode.DiskOut {
 				t.Errorf("sync %d: %v", turn, r.err)
@@ -496,33 +496,33 @@
 		granted := map[string]idempotency.ID{}
 		claim := func(key string, n uint64) {
 			var g idempotency.Grant
-			if call(codebook.Claim, codebook.ClaimCall{Key: key, ID: id(n), Epoch: 1}, &g) && g.Given {
+			if call(messages.Claim, messages.ClaimCall{Key: key, ID: id(n), Epoch: 1}, &g) && g.Given {
 				granted[key] = id(n)
 			}
 		}
-		var promised, accepted manifest.Ballot
+		var promised, accepted configuration.Ballot
 		var inc uint64
-		change := func(b manifest.Ballot) {
+		change := func(b configuration.Ballot) {
 			var p consensus.Promise
-			if call(codebook.Prepare, codebook.PrepareCall{B: b, Epoch: 1}, &p) && p.Given {
+			if call(messages.Prepare, messages.PrepareCall{B: b, Epoch: 1}, &p) && p.Given {
 				promised = b
 			}
-			var a codebook.Accepted
-			i := manifest.Item{Key: manifest.Key{Kind: manifest.Limits}, Version: manifest.Version(b.N), Ballot: b, Spec: []byte("{}")}
-			if call(codebook.Accept, codebook.AcceptCall{B: b, Changes: []manifest.Item{i}, Epoch: 1}, &a) && a.Taken {
+			var a messages.Accepted
+			i := configuration.Item{Key: configuration.Key{Kind: configuration.Limits}, Version: configuration.Version(b.N), Ballot: b, Spec: []byte("{}")}
+			if call(messages.Accept, messages.AcceptCall{B: b, Changes: []configuration.Item{i}, Epoch: 1}, &a) && a.Taken {
 				accepted = b
 			}
-			call(codebook.Learn, codebook.LearnCall{B: b}, nil)
+			call(messages.Learn, messages.LearnCall{B: b}, nil)
 		}
 		claim("a", 1)
 		change(ballots[0])
 		claim("b", 2)
-		if call(codebook.Release, codebook.ReleaseCall{Key: "a", ID: id(1)}, nil) {
+		if call(messages.Release, messages.ReleaseCall{Key: "a", ID: id(1)}, nil) {
 			delete(granted, "a")
 		}
 		claim("a", 3)
-		var m codebook.Mustered
-		if call(codebook.Muster, codebook.MusterCall{Addr: "b:1", Inc: 2}, &m) {
+		var m messages.Mustered
+		if call(messages.Muster, messages.MusterCall{Addr: "b:1", Inc: 2}, &m) {
 			inc = 2
 		}
 		change(ballots[1])
@@ -535,7 +535,7 @@
 				turn, failed, again.state, again.acc.Promised, promised, again.acc.Accepted, accepted, again.incs)
 		}
 		for key, holder := range granted {
-			r := again.call(codebook.Claim, codebook.ClaimCall{Key: key, ID: id(9), Epoch: 1})
+			r := again.call(messages.Claim, messages.ClaimCall{Key: key, ID: id(9), Epoch: 1})
 			again.settle()
 			if g := r.grant(t); g.Given || g.Holder != holder {
 				t.Errorf("sync %d: %q was granted to %v: %+v", turn, key, holder, g)
@@ -556,9 +556,9 @@
 	for _, stall := range []time.Duration{stalledAfter + 1, 0} {
 		d.paper.stall = stall
 		for kind, v := range map[uint8]any{
-			codebook.Claim:   codebook.ClaimCall{Key: "k", ID: id(1), Epoch: 1},
-			codebook.Prepare: codebook.PrepareCall{B: manifest.Ballot{N: 1}, Epoch: 1},
-			codebook.Accept:  codebook.AcceptCall{B: manifest.Ballot{N: 1}, Epoch: 1},
+			messages.Claim:   messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1},
+			messages.Prepare: messages.PrepareCall{B: configuration.Ballot{N: 1}, Epoch: 1},
+			messages.Accept:  messages.AcceptCall{B: configuration.Ballot{N: 1}, Epoch: 1},
 		} {
 			r := d.call(kind, v)
 			if stall > 0 && (r.n != 1 || errcode.Of(r.err) != errcode.DiskOut || len(d.paper.waits) > 0) {
@@ -577,7 +577,7 @@
 	for _, damaged := range []bool{true, false} {
 		d := founded(t)
 		claim := func(n uint64, err error) (a *answered) {
-			a = d.call(codebook.Claim, codebook.ClaimCall{Key: fmt.Sprint("k", n), ID: id(n), Epoch: 1})
+			a = d.call(messages.Claim, messages.ClaimCall{Key: fmt.Sprint("k", n), ID: id(n), Epoch: 1})
 			if len(d.paper.waits) > 0 {
 				d.paper.sync(err)
 			}
@@ -631,7 +631,7 @@
 	d := founded(t)
 	claim := func(n uint64) *answered {
 		d.begun = d.begun.Add(-markEvery)
-		a := d.call(codebook.Claim, codebook.ClaimCall{Key: fmt.Sprint("k", n), ID: id(n), Epoch: 1})
+		a := d.call(messages.Claim, messages.ClaimCall{Key: fmt.Sprint("k", n), ID: id(n), Epoch: 1})
 		d.settle()
 		return a
 	}
@@ -643,21 +643,21 @@
 			}
 		}
 	}
-	told := codebook.Mark{Epoch: 1, Inc: 1, N: d.watched(manifest.Ballot{}).Mark}
+	told := messages.Mark{Epoch: 1, Inc: 1, N: d.watched(configuration.Ballot{}).Mark}
 	if told.N != 3 {
 		t.Fatalf("mark %d after three writes that are some time apart", told.N)
 	}
 	for _, c := range []struct {
 		name string
 		disk *paper
-		told []codebook.Mark
+		told []messages.Mark
 		want State
 	}{
-		{"its own disk", d.paper, []codebook.Mark{{}, told}, Serving},
-		{"a copy, and nobody who knows better", copied, []codebook.Mark{{}}, Serving},
-		{"a copy", copied, []codebook.Mark{{}, told}, Repairing},
-		{"a disk of before a repair", d.paper, []codebook.Mark{{Epoch: 1, Inc: 2}}, Repairing},
-		{"a disk of before a change of the roll", d.paper, []codebook.Mark{{Epoch: 2, Inc: 1}}, Repairing},
+		{"its own disk", d.paper, []messages.Mark{{}, told}, Serving},
+		{"a copy, and nobody who knows better", copied, []messages.Mark{{}}, Serving},
+		{"a copy", copied, []messages.Mark{{}, told}, Repairing},
+		{"a disk of before a repair", d.paper, []messages.Mark{{Epoch: 1, Inc: 2}}, Repairing},
+		{"a disk of before a change of the roll", d.paper, []messages.Mark{{Epoch: 2, Inc: 1}}, Repairing},
 	} {
 		n := newDesk(t, Options{Bootstrap: true, Found: voters})
 		n.paper, n.told = newPaper(), c.told
@@ -666,7 +666,7 @@
 		}
 		n.open()
 		n.settle()
-		a := n.call(codebook.Claim, codebook.ClaimCall{Key: "k9", ID: id(9), Epoch: 1})
+		a := n.call(messages.Claim, messages.ClaimCall{Key: "k9", ID: id(9), Epoch: 1})
 		n.settle()
 		if n.state != c.want || (a.err == nil) != (c.want == Serving) {
 			t.Errorf("%s: %s, a claim: %v", c.name, n.state, a.err)
--- a/internal/store/relief.go
+++ b/internal/store/relief.go
@@ -8,13 +8,13 @@
 	"slices"
 	"time"
 
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
 	"saltmast/internal/errcode"
 	"saltmast/internal/lease"
-	"saltmast/internal/manifest"
+	"saltmast/internal/messages"
 	"saltmast/internal/reconfig"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
 	"saltmast/internal/storage"
 )
 
@@ -30,14 +30,14 @@
 }
 
 func (b *books) putSeal() storage.Put {
-	return storage.Put{Table: tableMeta, Key: []byte("seal"), Value: signal.Encode(b.seal)}
+	return storage.Put{Table: tableMeta, Key: []byte("seal"), Value: rpc.Encode(b.seal)}
 }
 
 // putChange is all on disk that a change of the roll leaves there.
 func (b *books) putChange() []storage.Put {
 	puts := []storage.Put{b.putSeal(), putBallot("former", b.former), {Table: tableMeta, Key: []byte("past")}}
 	if b.past != nil {
-		puts[2].Value = signal.Encode(b.past)
+		puts[2].Value = rpc.Encode(b.past)
 	}
 	return puts
 }
@@ -46,8 +46,8 @@
 func (b *books) inherited() bool { return !b.former.IsZero() && b.former == b.acc.Accepted }
 
 // ready tells how it stands, before a change of the roll.
-func (b *books) ready(c signal.Call, m codebook.ReadyCall) error {
-	r := codebook.Readied{State: string(b.state), Epoch: b.roll.Epoch, Quorum: b.p.o.Quorum}
+func (b *books) ready(c rpc.Call, m messages.ReadyCall) error {
+	r := messages.Readied{State: string(b.state), Epoch: b.roll.Epoch, Quorum: b.p.o.Quorum}
 	if b.state != Serving && b.state != Apart || b.disk.Stalled() > stalledAfter {
 		c.Reply(r, nil)
 		return nil
@@ -60,12 +60,12 @@
 		b.number = rand.Uint64() | 1
 	}
 	r.Disk = b.number
-	b.write([]storage.Put{{Table: tableMeta, Key: []byte("number"), Value: signal.Encode(b.number)}}, func(err error) { reply(c, r, err) })
+	b.write([]storage.Put{{Table: tableMeta, Key: []byte("number"), Value: rpc.Encode(b.number)}}, func(err error) { reply(c, r, err) })
 	return nil
 }
 
 // succeed promises, or accepts a successor of the roll, by which this voter is sealed.
-func (b *books) succeed(c signal.Call, m codebook.SucceedCall) error {
+func (b *books) succeed(c rpc.Call, m messages.SucceedCall) error {
 	if err := b.member(m.Epoch); err != nil {
 		return err
 	}
@@ -102,19 +102,19 @@
 }
 
 // relieve hears of a roll that is chosen.
-func (b *books) relieve(c signal.Call, m codebook.RelieveCall) error {
+func (b *books) relieve(c rpc.Call, m messages.RelieveCall) error {
 	if m.Roll.Epoch == 0 || len(m.Roll.Voters) == 0 {
 		return errcode.New(errcode.Malformed, "")
 	}
 	b.hear(m.Roll, func(err error) {
-		reply(c, codebook.Relieved{State: string(b.state), Epoch: b.roll.Epoch}, err)
+		reply(c, messages.Relieved{State: string(b.state), Epoch: b.roll.Epoch}, err)
 	})
 	return nil
 }
 
 // hear takes a roll that is chosen, if it is newer: it takes an office over there, or makes up for a lost disk, or goes.
 // done is called on the owner's goroutine.
-func (b *books) hear(r codebook.Roll, done func(error)) {
+func (b *books) hear(r messages.Roll, done func(error)) {
 	switch {
 	case r.Epoch <= b.roll.Epoch:
 		done(nil)
@@ -145,7 +145,7 @@
 }
 
 // move goes to a newer epoch without books for it.
-func (b *books) move(r codebook.Roll, done func(error)) {
+func (b *books) move(r messages.Roll, done func(error)) {
 	if b.state == Serving {
 		b.past = &past{b.roll.Epoch, b.me, slices.Clone(b.incs)}
 	}
@@ -170,7 +170,7 @@
 }
 
 // handover tells the books of the epoch before the one named to a voter that takes over.
-func (b *books) handover(c signal.Call, m codebook.HandoverCall) error {
+func (b *books) handover(c rpc.Call, m messages.HandoverCall) error {
 	r := b.register(m.Have)
 	e := reconfig.Estate{Vouch: b.vouch(), Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: r.chosen}
 	switch {
@@ -184,7 +184,7 @@
 	default:
 		return errcode.New(errcode.Gone, "epoch %d, here %d", m.Epoch, b.roll.Epoch)
 	}
-	h := codebook.Handed{Estate: e, Former: b.inherited(), Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta}
+	h := messages.Handed{Estate: e, Former: b.inherited(), Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta}
 	if h.Upto == h.Base {
 		h.Claims, h.More = b.page(m.From)
 	}
@@ -198,7 +198,7 @@
 )
 
 // takeOver takes the books over that the old voters of a chosen roll hand out, puts them on disk, and speaks in the new epoch.
-func (b *books) takeOver(r codebook.Roll) {
+func (b *books) takeOver(r messages.Roll) {
 	kept := b.state == Serving
 	if kept && !b.sealed { // it slept through the vote: others may need its books
 		b.seal.Closed = true
@@ -235,13 +235,13 @@
 
 // handed is what one voter handed over.
 type handed struct {
-	h      codebook.Handed // the last part
-	base   manifest.Set    // the value of h.Base
-	claims []codebook.ClaimCall
+	h      messages.Handed   // the last part
+	base   configuration.Set // the value of h.Base
+	claims []messages.ClaimCall
 }
 
 // inherit asks for books, until there are enough of them.
-func (p *Purser) inherit(r codebook.Roll) (got []handed, err error) {
+func (p *Purser) inherit(r messages.Roll) (got []handed, err error) {
 	var addrs []string
 	for _, v := range append(slices.Clone(r.Was), r.Voters...) {
 		if !slices.Contains(addrs, v.Addr) {
@@ -249,16 +249,16 @@
 		}
 	}
 	type told struct {
-		h    codebook.Handed
+		h    messages.Handed
 		addr string
 		err  error
 	}
 	ch := make(chan told, len(addrs))
-	ask := func(addr, from string, have manifest.Ballot) (t told) {
-		c := signal.NewClient(p.o.Net, addr)
+	ask := func(addr, from string, have configuration.Ballot) (t told) {
+		c := rpc.NewClient(p.o.Net, addr)
 		defer c.Close()
 		t.addr = addr
-		t.err = c.Call(codebook.Handover, codebook.HandoverCall{Epoch: r.Epoch, From: from, Have: have}, &t.h, handTime)
+		t.err = c.Call(messages.Handover, messages.HandoverCall{Epoch: r.Epoch, From: from, Have: have}, &t.h, handTime)
 		return t
 	}
 	stop := make(chan struct{})
@@ -267,7 +267,7 @@
 	for _, a := range addrs {
 		go func() {
 			for {
-				t := ask(a, "", manifest.Ballot{})
+				t := ask(a, "", configuration.Ballot{})
 				if t.err == nil || errcode.Of(t.err) != errcode.Gone || time.Now().After(end) {
 					ch <- t
 					return
@@ -298,7 +298,7 @@
 	}
 	for _, i := range take {
 		h := all[i].h
-		o := handed{h, manifest.SetOf(h.Items...), h.Claims}
+		o := handed{h, configuration.SetOf(h.Items...), h.Claims}
 		for h.More || h.Upto != h.Base {
 			from := ""
 			if h.More {
@@ -323,7 +323,7 @@
 // inherit puts what was handed over on disk. A voter of both rolls keeps what others may need of its own books until the last
 // write: claims are only added, and the register changes in one write with the roll, unless it lacks much. Then it is one that
 // catches up until then, which is no loss to others: what it lacks is chosen, and lives with a majority without it.
-func (b *books) inherit(r codebook.Roll, got []handed, kept bool, left []storage.Put) {
+func (b *books) inherit(r messages.Roll, got []handed, kept bool, left []storage.Put) {
 	estates, take := make([]reconfig.Estate, len(got)), make([]int, len(got))
 	acc := consensus.NewAcceptor()
 	for i, o := range got {
@@ -372,7 +372,7 @@
 	}
 	former := acc.Accepted
 	if e := estates[at]; e.Holds && !got[at].h.Former {
-		former = manifest.Ballot{}
+		former = configuration.Ballot{}
 	}
 	last := func(b *books, puts []storage.Put) {
 		next := &books{p: b.p, roll: r, former: former}
@@ -461,7 +461,7 @@
 
 // empty makes this member one that holds nothing yet of a chosen value, higher than what it accepted. n: bundles of the delta
 // that will come to disk.
-func (b *books) empty(target manifest.Ballot, n int, done func(*books, error)) {
+func (b *books) empty(target configuration.Ballot, n int, done func(*books, error)) {
 	acc := consensus.NewAcceptor()
 	acc.Promised, acc.Target = b.acc.Promised, target
 	if acc.Promised.Less(target) {
@@ -476,7 +476,7 @@
 }
 
 // taken ends a taking over, and tells those that wait for it.
-func (b *books) taken(r codebook.Roll, err error) {
+func (b *books) taken(r messages.Roll, err error) {
 	b.taking = false
 	if err == nil {
 		b.set(Serving)
--- a/internal/store/relief_test.go
+++ b/internal/store/relief_test.go
@@ -3,13 +3,13 @@
 import (
 	"testing"
 
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
 	"saltmast/internal/errcode"
 	"saltmast/internal/idempotency"
 	"saltmast/internal/lease"
-	"saltmast/internal/manifest"
+	"saltmast/internal/messages"
 	"saltmast/internal/reconfig"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
 	"saltmast/internal/storage"
 )
 
@@ -22,19 +22,19 @@
 	d.open()
 	d.settle()
 	claim := func(d *desk, key string) errcode.Kind {
-		r := d.call(codebook.Claim, codebook.ClaimCall{Key: key, ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1})
+		r := d.call(messages.Claim, messages.ClaimCall{Key: key, ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1})
 		d.settle()
 		return errcode.Of(r.err)
 	}
 	if k := claim(d, "before"); k != errcode.OK {
 		t.Fatal(k)
 	}
-	next := codebook.Roll{Epoch: 2, Voters: voters, Was: voters}
-	accept := d.call(codebook.Succeed, codebook.SucceedCall{Epoch: 1, B: manifest.Ballot{N: 1, By: 1}, Next: &next})
-	hand := func(d *desk) (h codebook.Handed, k errcode.Kind) {
-		r := d.call(codebook.Handover, codebook.HandoverCall{Epoch: 2})
+	next := messages.Roll{Epoch: 2, Voters: voters, Was: voters}
+	accept := d.call(messages.Succeed, messages.SucceedCall{Epoch: 1, B: configuration.Ballot{N: 1, By: 1}, Next: &next})
+	hand := func(d *desk) (h messages.Handed, k errcode.Kind) {
+		r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2})
 		if r.err == nil {
-			if err := signal.Decode(r.body, &h); err != nil {
+			if err := rpc.Decode(r.body, &h); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -43,12 +43,12 @@
 	if _, k := hand(d); accept.n != 0 || k != errcode.Gone {
 		t.Errorf("%d answers, handed over %v, before the seal is on disk", accept.n, k)
 	}
-	if r := d.call(codebook.Claim, codebook.ClaimCall{Key: "amid", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
+	if r := d.call(messages.Claim, messages.ClaimCall{Key: "amid", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
 		t.Errorf("a claim while the seal is on its way: %v", r.err)
 	}
 	d.settle()
 	var a reconfig.Answer
-	if accept.n != 1 || signal.Decode(accept.body, &a) != nil || !a.Given {
+	if accept.n != 1 || rpc.Decode(accept.body, &a) != nil || !a.Given {
 		t.Fatalf("%d answers, %+v", accept.n, a)
 	}
 	again := newDesk(t, Options{})
@@ -60,11 +60,11 @@
 		if k := claim(d, "after"); k != errcode.Gone {
 			t.Errorf("%s: a claim: %v", name, k)
 		}
-		if r := d.call(codebook.Prepare, codebook.PrepareCall{B: manifest.Ballot{N: 9}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
+		if r := d.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 9}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
 			t.Errorf("%s: a promise: %v", name, r.err)
 		}
 		for of, want := range map[lease.Name]errcode.Kind{lease.Teach: errcode.Gone, lease.Roll: errcode.OK} {
-			if r := d.call(codebook.Lease, codebook.LeaseCall{Duty: of, By: 7, Epoch: 1}); errcode.Of(r.err) != want {
+			if r := d.call(messages.Lease, messages.LeaseCall{Duty: of, By: 7, Epoch: 1}); errcode.Of(r.err) != want {
 				t.Errorf("%s: the duty %s: %v", name, of, r.err)
 			}
 		}
@@ -79,26 +79,26 @@
 func TestRelieved(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		next []codebook.Voter
+		next []messages.Voter
 		want State
 	}{
-		{"replaced", []codebook.Voter{{Addr: "d:1"}, {Addr: "b:1"}, {Addr: "c:1"}}, Apart},
-		{"on another disk", []codebook.Voter{{Addr: "a:1", Disk: 5}, {Addr: "b:1"}, {Addr: "d:1"}}, Repairing},
+		{"replaced", []messages.Voter{{Addr: "d:1"}, {Addr: "b:1"}, {Addr: "c:1"}}, Apart},
+		{"on another disk", []messages.Voter{{Addr: "a:1", Disk: 5}, {Addr: "b:1"}, {Addr: "d:1"}}, Repairing},
 	} {
 		d := newDesk(t, Options{Bootstrap: true, Found: voters})
 		d.as, d.duties = storage.Empty, lease.NewLedger(0)
 		d.open()
 		d.settle()
 		d.mustering = true // no test here waits for a repair
-		d.call(codebook.Relieve, codebook.RelieveCall{Roll: codebook.Roll{Epoch: 2, Voters: c.next, Was: voters}})
-		if r := d.call(codebook.Handover, codebook.HandoverCall{Epoch: 2}); errcode.Of(r.err) != errcode.Gone {
+		d.call(messages.Relieve, messages.RelieveCall{Roll: messages.Roll{Epoch: 2, Voters: c.next, Was: voters}})
+		if r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2}); errcode.Of(r.err) != errcode.Gone {
 			t.Errorf("%s: handed over before it is on disk: %v", c.name, r.err)
 		}
 		d.settle()
-		if r := d.call(codebook.Handover, codebook.HandoverCall{Epoch: 2}); d.state != c.want || r.err != nil {
+		if r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2}); d.state != c.want || r.err != nil {
 			t.Errorf("%s: %s, handed over: %v", c.name, d.state, r.err)
 		}
-		if r := d.call(codebook.Claim, codebook.ClaimCall{Key: "k", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
+		if r := d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
 			t.Errorf("%s: a claim of the old epoch: %v", c.name, r.err)
 		}
 	}
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -6,13 +6,13 @@
 	"slices"
 	"time"
 
-	"saltmast/internal/codebook"
+	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
 	"saltmast/internal/errcode"
 	"saltmast/internal/idempotency"
-	"saltmast/internal/manifest"
+	"saltmast/internal/messages"
 	"saltmast/internal/reconfig"
-	"saltmast/internal/signal"
+	"saltmast/internal/rpc"
 	"saltmast/internal/storage"
 )
 
@@ -23,9 +23,9 @@
 
 // mustered is what one other told.
 type mustered struct {
-	m      codebook.Mustered // the last part
-	claims []codebook.ClaimCall
-	base   manifest.Set // the value of m.Base
+	m      messages.Mustered // the last part
+	claims []messages.ClaimCall
+	base   configuration.Set // the value of m.Base
 }
 
 const (
@@ -34,14 +34,14 @@
 )
 
 // muster tells a member that lost its disk what is held here.
-func (b *books) muster(c signal.Call, m codebook.MusterCall) error {
+func (b *books) muster(c rpc.Call, m messages.MusterCall) error {
 	b.p.Counts.Muster.Add(1)
 	if b.roll.Epoch == 0 {
 		return errcode.New(errcode.CoreOut, "%s", b.state)
 	}
 	at := b.roll.Place(m.Addr)
 	if m.Inc == 0 || at < 0 || b.me < 0 {
-		c.Reply(codebook.Mustered{Vouch: b.vouch(), Roll: b.roll}, nil)
+		c.Reply(messages.Mustered{Vouch: b.vouch(), Roll: b.roll}, nil)
 		return nil
 	}
 	if b.state != Serving {
@@ -72,9 +72,9 @@
 }
 
 // tell is all that is held, the claims in parts by the order of their keys.
-func (b *books) tell(m codebook.MusterCall) codebook.Mustered {
+func (b *books) tell(m messages.MusterCall) messages.Mustered {
 	r := b.register(m.Have)
-	t := codebook.Mustered{Vouch: b.vouch(), Roll: b.roll, Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: r.chosen,
+	t := messages.Mustered{Vouch: b.vouch(), Roll: b.roll, Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: r.chosen,
 		Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta, Former: b.inherited()}
 	if b.seal.Shut() || !b.seal.Promised.IsZero() {
 		s := b.seal
@@ -88,18 +88,18 @@
 
 // register is a part of the register, as it is told to a member that takes it over.
 type register struct {
-	chosen manifest.Ballot // of the base; zero: it was accepted alone
-	base   manifest.Ballot
-	upto   manifest.Ballot
-	items  []manifest.Item // of the base, of ballots up to that
-	delta  []manifest.Item // of the accepted value, after the base, with the last part
+	chosen configuration.Ballot // of the base; zero: it was accepted alone
+	base   configuration.Ballot
+	upto   configuration.Ballot
+	items  []configuration.Item // of the base, of ballots up to that
+	delta  []configuration.Item // of the accepted value, after the base, with the last part
 }
 
 // register is the part with the items of ballots after have. A member that catches up holds no chosen value.
-func (b *books) register(have manifest.Ballot) (r register) {
+func (b *books) register(have configuration.Ballot) (r register) {
 	from := b.acc.Stands
 	if r.chosen, r.base = b.acc.Chosen, b.acc.Chosen; b.acc.CatchesUp() {
-		r.chosen, r.base, from = manifest.Ballot{}, b.acc.Accepted, b.acc.Value
+		r.chosen, r.base, from = configuration.Ballot{}, b.acc.Accepted, b.acc.Value
 	}
 	p := consensus.PageOf(from, r.base, have)
 	if r.items, r.upto = p.Items, p.Upto; r.upto == r.base {
@@ -110,18 +110,18 @@
 
 // pursues reports whether a part of a register goes on where the one before it has ended: of what was accepted alone, the parts
 // have to be of one value.
-func pursues(chosen, accepted, wasChosen, wasAccepted manifest.Ballot) bool {
+func pursues(chosen, accepted, wasChosen, wasAccepted configuration.Ballot) bool {
 	return !wasChosen.IsZero() && !chosen.IsZero() || chosen == wasChosen && accepted == wasAccepted
 }
 
 // page is a part of the claims, of keys after from.
-func (b *books) page(from string) (claims []codebook.ClaimCall, more bool) {
+func (b *books) page(from string) (claims []messages.ClaimCall, more bool) {
 	b.ledger.All(func(key string, id idempotency.ID) {
 		if key > from {
-			claims = append(claims, codebook.ClaimCall{Key: key, ID: id})
+			claims = append(claims, messages.ClaimCall{Key: key, ID: id})
 		}
 	})
-	slices.SortFunc(claims, func(x, y codebook.ClaimCall) int {
+	slices.SortFunc(claims, func(x, y messages.ClaimCall) int {
 		if x.Key < y.Key {
 			return -1
 		}
@@ -183,7 +183,7 @@
 	ch := make(chan told, len(addrs))
 	for _, a := range addrs {
 		go func() {
-			c := signal.NewClient(p.o.Net, a)
+			c := rpc.NewClient(p.o.Net, a)
 			defer c.Close()
 			t := told{addr: a}
 			t.err = c.Call(kind, call, &t.v, wait)
@@ -200,8 +200,8 @@
 
 // enrol learns from others who counts.
 func (p *Purser) enrol(addrs []string) func(*books) {
-	told, _ := ask[codebook.Mustered](p, addrs, codebook.Muster, codebook.MusterCall{Addr: p.o.Addr}, musterTime)
-	var roll codebook.Roll
+	told, _ := ask[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.o.Addr}, musterTime)
+	var roll messages.Roll
 	for _, t := range told {
 		if t.Roll.Epoch > roll.Epoch {
 			roll = t.Roll
@@ -232,10 +232,10 @@
 }
 
 // recover makes up for a lost disk.
-func (p *Purser) recover(addrs []string, roll codebook.Roll, me int, d disk) func(*books) {
+func (p *Purser) recover(addrs []string, roll messages.Roll, me int, d disk) func(*books) {
 	n := len(roll.Voters)
 	need := n - consensus.Majority(n) + 1 // with fewer others heard, a majority that held this member may have none among them
-	known, _ := ask[codebook.Mustered](p, addrs, codebook.Muster, codebook.MusterCall{Addr: p.o.Addr}, musterTime)
+	known, _ := ask[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.o.Addr}, musterTime)
 	for _, k := range known {
 		if k.Roll.Epoch > roll.Epoch {
 			return func(b *books) {
@@ -255,17 +255,17 @@
 	}
 	inc++
 	var got []mustered
-	first, from := ask[codebook.Mustered](p, addrs, codebook.Muster, codebook.MusterCall{Addr: p.o.Addr, Inc: inc}, musterTime)
+	first, from := ask[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.o.Addr, Inc: inc}, musterTime)
 	for i, m := range first {
-		one := mustered{m: m, claims: m.Claims, base: manifest.SetOf(m.Items...)}
-		c := signal.NewClient(p.o.Net, from[i])
+		one := mustered{m: m, claims: m.Claims, base: configuration.SetOf(m.Items...)}
+		c := rpc.NewClient(p.o.Net, from[i])
 		for m.More || m.Upto != m.Base {
-			call := codebook.MusterCall{Addr: p.o.Addr, Inc: inc, Have: m.Upto}
+			call := messages.MusterCall{Addr: p.o.Addr, Inc: inc, Have: m.Upto}
 			if m.More {
 				call.From = m.Claims[len(m.Claims)-1].Key
 			}
-			m = codebook.Mustered{}
-			if err := c.Call(codebook.Muster, call, &m, musterTime); err != nil {
+			m = messages.Mustered{}
+			if err := c.Call(messages.Muster, call, &m, musterTime); err != nil {
 				c.Close()
 				return nil
 			}
@@ -298,11 +298,11 @@
 		return
 	}
 	b.clear()
-	b.seal, b.sealed, b.past, b.former = reconfig.Seal{}, false, nil, manifest.Ballot{}
+	b.seal, b.sealed, b.past, b.former = reconfig.Seal{}, false, nil, configuration.Ballot{}
 	incs := make([]uint64, len(b.roll.Voters))
 	incs[b.me] = inc
 	voted := false // somebody accepted the value in this epoch
-	var value manifest.Set
+	var value configuration.Set
 	for _, g := range got {
 		for i, k := range g.m.Vouch.Incs {
 			if i < len(incs) && i != b.me {
--- a/internal/store/report.go
+++ b/internal/store/report.go
@@ -4,30 +4,30 @@
 	"slices"
 	"time"
 
-	"saltmast/internal/codebook"
-	"saltmast/internal/launch"
 	"saltmast/internal/lease"
-	"saltmast/internal/signal"
+	"saltmast/internal/messages"
+	"saltmast/internal/process"
+	"saltmast/internal/rpc"
 )
 
 // report tells what is known here. The owner hands over copies; ordering, cutting and encoding are done beside it.
-func (b *books) report(c signal.Call) {
+func (b *books) report(c rpc.Call) {
 	p, roll, me := b.p, b.roll, b.me
-	r := codebook.Reported{Program: codebook.ThePurser, Version: launch.Version, Zone: p.o.Zone, Addr: p.o.Addr, UpMs: uint64(b.now().Milliseconds()),
+	r := messages.Reported{Program: messages.ThePurser, Version: process.Version, Zone: p.o.Zone, Addr: p.o.Addr, UpMs: uint64(b.now().Milliseconds()),
 		Chosen: b.acc.Chosen, Epoch: roll.Epoch, Voters: roll.Voters}
-	own := &codebook.PurserReport{State: b.standing(), Place: me, Incs: slices.Clone(b.incs), Promised: b.acc.Promised,
+	own := &messages.PurserReport{State: b.standing(), Place: me, Incs: slices.Clone(b.incs), Promised: b.acc.Promised,
 		Accepted: b.acc.Accepted, Keys: b.ledger.Len()}
 	if b.disk != nil {
 		own.StallMs = uint32(min(b.disk.Stalled(), time.Hour).Milliseconds())
 	}
 	b.duties.Each(b.now(), func(d lease.Name, by uint64, left time.Duration) {
-		own.Duties = append(own.Duties, codebook.DutyReport{Duty: string(d), By: by, LeftMs: uint32(left.Milliseconds())})
+		own.Duties = append(own.Duties, messages.DutyReport{Duty: string(d), By: by, LeftMs: uint32(left.Milliseconds())})
 	})
 	r.Purser = own
-	items := codebook.ItemReports(b.acc.Stands)
+	items := messages.ItemReports(b.acc.Stands)
 	go func() {
 		r.SetItems(items)
-		r.Counts, r.Traffic = Running{P: p}.Counts(), signal.Totals()
+		r.Counts, r.Traffic = Running{P: p}.Counts(), rpc.Totals()
 		c.Reply(r, nil)
 	}()
 }
