--- a/cmd/latchkit/days.go
+++ b/cmd/latchkit/days.go
@@ -11,7 +11,7 @@
 	"github.com/google/renameio/v2"
 	"github.com/spf13/cobra"
 
-	"saltmast/internal/almanac"
+	"saltmast/internal/faultschedule"
 )
 
 const mostDays = 10_000
@@ -57,7 +57,7 @@
 	fl.Uint64Var(&f.seed, "seed", 1, "the seed of the draw")
 	fl.IntVar(&f.count, "count", 10, "how many days")
 	fl.StringVar(&f.out, "out", "", "the `folder` to write to; it is made if need be")
-	fl.StringSliceVar(&f.kinds, "kinds", nil, "deal these kinds alone: "+strings.Join(almanac.Kinds(), ", "))
+	fl.StringSliceVar(&f.kinds, "kinds", nil, "deal these kinds alone: "+strings.Join(faultschedule.Kinds(), ", "))
 	fl.BoolVar(&f.own, "own", false, "deal the kinds that the site's own troubles name alone")
 	fl.BoolVar(&f.json, "json", false, "print a JSON line for each day")
 	c.MarkFlagsMutuallyExclusive("kinds", "own")
@@ -75,7 +75,7 @@
 	if err != nil {
 		return usage(err)
 	}
-	site, err := almanac.ReadSite(path, text)
+	site, err := faultschedule.ReadSite(path, text)
 	if err != nil {
 		return usage(err)
 	}
@@ -90,7 +90,7 @@
 	case len(f.kinds) > 0:
 		kinds = f.kinds
 	}
-	days, err := almanac.Draw(site, f.seed, f.count, kinds)
+	days, err := faultschedule.Draw(site, f.seed, f.count, kinds)
 	if err != nil {
 		return usage(fmt.Errorf("--kinds: %w", err))
 	}
--- a/cmd/latchkit/drydock.go
+++ b/cmd/latchkit/drydock.go
@@ -16,7 +16,7 @@
 
 	"github.com/spf13/cobra"
 
-	"saltmast/internal/drydock"
+	"saltmast/internal/simulation"
 )
 
 const (
@@ -56,12 +56,12 @@
 		RunE: func(cmd *cobra.Command, _ []string) error { return f.run(cmd) },
 	}
 	var kinds []string
-	for _, d := range drydock.Days {
+	for _, d := range simulation.Days {
 		kinds = append(kinds, d.Name)
 	}
 	fl := c.Flags()
 	fl.Uint64Var(&f.seed, "seed", 1, "the first seed")
-	fl.IntVar(&f.days, "days", len(drydock.Days), "how many days; of all kinds in turn, each kind by its seed, the next and so on")
+	fl.IntVar(&f.days, "days", len(simulation.Days), "how many days; of all kinds in turn, each kind by its seed, the next and so on")
 	fl.StringVar(&f.kind, "kind", "", "one kind of day: "+strings.Join(kinds, ", "))
 	fl.StringVar(&f.variant, "variant", "", "play the variant in this JSON `file`, as --json prints the smallest, again and again; from --seed on if given")
 	fl.IntVar(&f.jobs, "jobs", runtime.GOMAXPROCS(0), "days at once")
@@ -71,7 +71,7 @@
 	fl.StringSliceVar(&f.known, "pass-over", nil, "known breaches, as KIND:RULE, that are told and passed over")
 	fl.IntVar(&f.plays, "plays", 4, "plays of each smaller day: two plays of a seed are not equal")
 	fl.IntVar(&f.trials, "trials", 250, "plays of smaller days at the most; 0: look for none")
-	fl.StringVar(&f.flaw, "flaw", "", "spoil the world: "+strings.Join(slices.Sorted(maps.Keys(drydock.Spoilt)), ", "))
+	fl.StringVar(&f.flaw, "flaw", "", "spoil the world: "+strings.Join(slices.Sorted(maps.Keys(simulation.Spoilt)), ", "))
 	if err := fl.MarkHidden("flaw"); err != nil {
 		panic(err)
 	}
@@ -85,14 +85,14 @@
 			return usage(fmt.Errorf("--%s: %d: 1 to %d wanted", name, n, maxDays))
 		}
 	}
-	flaw, known := drydock.Spoilt[f.flaw]
+	flaw, known := simulation.Spoilt[f.flaw]
 	if f.flaw != "" && !known {
 		return usage(fmt.Errorf("--flaw: no flaw is named %q", f.flaw))
 	}
 	passed := map[string]bool{}
 	for _, k := range f.known {
 		kind, rule, _ := strings.Cut(k, ":")
-		if _, err := drydock.DayNamed(kind); err != nil || rule == "" {
+		if _, err := simulation.DayNamed(kind); err != nil || rule == "" {
 			return usage(fmt.Errorf("--pass-over: %q: KIND:RULE wanted, of a kind that there is", k))
 		}
 		passed[k] = true
@@ -102,16 +102,16 @@
 		return usage(err)
 	}
 	var ended error
-	err = drydock.Within(func(t *testing.T) {
-		ended = f.hunt(cmd, drydock.Hunter{T: t, Jobs: f.jobs, Flaw: flaw, Most: dayMost, Known: passed}, days)
+	err = simulation.Within(func(t *testing.T) {
+		ended = f.hunt(cmd, simulation.Hunter{T: t, Jobs: f.jobs, Flaw: flaw, Most: dayMost, Known: passed}, days)
 	})
 	return other(cmp.Or(err, ended))
 }
 
 // drawn are the days to play. on: a variant is played by its seed and those behind it.
-func (f *drydockFlags) drawn(on bool) ([]drydock.Variant, error) {
+func (f *drydockFlags) drawn(on bool) ([]simulation.Variant, error) {
 	if f.variant == "" {
-		days, err := drydock.Drawn(f.seed, f.days, f.kind, f.floor)
+		days, err := simulation.Drawn(f.seed, f.days, f.kind, f.floor)
 		if err != nil {
 			err = fmt.Errorf("--kind: %w", err)
 		}
@@ -121,11 +121,11 @@
 	if err != nil {
 		return nil, err
 	}
-	v, err := drydock.ReadVariant(text)
+	v, err := simulation.ReadVariant(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", f.variant, err)
 	}
-	days := slices.Repeat([]drydock.Variant{v}, f.days)
+	days := slices.Repeat([]simulation.Variant{v}, f.days)
 	for i := range days {
 		if on {
 			days[i].Seed = f.seed + uint64(i)
@@ -135,10 +135,10 @@
 }
 
 // hunt plays the days. errBroke: a rule broke. Days that were not played are no days that kept the rules.
-func (f *drydockFlags) hunt(cmd *cobra.Command, h drydock.Hunter, days []drydock.Variant) error {
+func (f *drydockFlags) hunt(cmd *cobra.Command, h simulation.Hunter, days []simulation.Variant) error {
 	ctx, out, notes := cmd.Context(), cmd.OutOrStdout(), cmd.ErrOrStderr()
 	begun, n, passedOver := time.Now(), 0, 0
-	bad := h.All(ctx, days, func(o drydock.Outcome) {
+	bad := h.All(ctx, days, func(o simulation.Outcome) {
 		n++
 		if f.json {
 			drydockLine(out, o)
@@ -176,15 +176,15 @@
 	if f.trials <= 0 || bad.Hung {
 		return errBroke
 	}
-	s := drydock.Shrink{Hunter: h, Rule: bad.Broken[0].Rule, Plays: f.plays, Most: f.trials, Say: func(line string) { fmt.Fprintln(notes, line) }}
+	s := simulation.Shrink{Hunter: h, Rule: bad.Broken[0].Rule, Plays: f.plays, Most: f.trials, Say: func(line string) { fmt.Fprintln(notes, line) }}
 	small, broke, of := s.Find(ctx, *bad)
 	if f.json {
 		drydockLine(out, struct {
-			Smallest drydock.Variant `json:"smallest"`
-			Rule     string          `json:"rule"`
-			Broke    int             `json:"broke"`
-			Of       int             `json:"of"`
-			Steps    []drydock.Step  `json:"steps"`
+			Smallest simulation.Variant `json:"smallest"`
+			Rule     string             `json:"rule"`
+			Broke    int                `json:"broke"`
+			Of       int                `json:"of"`
+			Steps    []simulation.Step  `json:"steps"`
 		}{small.Variant, s.Rule, broke, of, small.Steps})
 		return errBroke
 	}
--- a/cmd/latchkit/drydock_test.go
+++ b/cmd/latchkit/drydock_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"saltmast/internal/drydock"
+	"saltmast/internal/simulation"
 )
 
 // Days that were not played are not told as days that kept the rules.
@@ -18,11 +18,11 @@
 	c.SetContext(ctx)
 	c.SetOut(&out)
 	c.SetErr(io.Discard)
-	days, err := drydock.Drawn(1, 3, "", false)
+	days, err := simulation.Drawn(1, 3, "", false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = (&drydockFlags{}).hunt(c, drydock.Hunter{T: t, Jobs: 2}, days)
+	err = (&drydockFlags{}).hunt(c, simulation.Hunter{T: t, Jobs: 2}, days)
 	if err == nil || !strings.Contains(err.Error(), "0 of 3 days") || out.Len() > 0 {
 		t.Errorf("stopped before the first day: %v, and it prints %q", err, out.String())
 	}
--- a/internal/agent/idle_bench_test.go
+++ b/internal/agent/idle_bench_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"saltmast/internal/config"
-	"saltmast/internal/rig"
+	"saltmast/internal/testsupport"
 	"saltmast/internal/thrift"
 )
 
@@ -16,12 +16,12 @@
 // memory, the test's own end of it included. Its time says nothing.
 func BenchmarkIdleThriftConnections(b *testing.B) {
 	const n = 1000
-	p := rig.NewThriftPeer(b, func(c net.Conn, m *thrift.Message) bool { c.Write(rig.Answered(m, "x", nil)); return true })
+	p := testsupport.NewThriftPeer(b, func(c net.Conn, m *thrift.Message) bool { c.Write(testsupport.Answered(m, "x", nil)); return true })
 	go func() { // what came is of no interest
 		for range p.Got {
 		}
 	}()
-	c, err := config.Parse(rig.Config("127.0.0.1:1", rig.Entry("t0", p.Addr(), "SERVING")))
+	c, err := config.Parse(testsupport.Config("127.0.0.1:1", testsupport.Entry("t0", p.Addr(), "SERVING")))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 	if c.Operator, err = config.ParseOperator("x.toml", []byte(operatorFile), c.Names.Classes, c.Settings.Classes); err != nil {
 		b.Fatal(err)
 	}
-	a, err := New(c, rig.LogTo(&rig.Capture{}))
+	a, err := New(c, testsupport.LogTo(&testsupport.Capture{}))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 		defer conns[i].Close()
 		conns[i].SetDeadline(time.Now().Add(long))
 		conns[i].Write(call)
-		if _, err := rig.ReadThrift(conns[i]); err != nil {
+		if _, err := testsupport.ReadThrift(conns[i]); err != nil {
 			b.Fatal(i, err)
 		}
 	}
--- a/internal/agent/journal_test.go
+++ b/internal/agent/journal_test.go
@@ -16,9 +16,9 @@
 	"saltmast"
 	"saltmast/internal/config"
 	thriftfront "saltmast/internal/front/thrift"
-	"saltmast/internal/rig"
 	"saltmast/internal/settles"
 	settleslog "saltmast/internal/settles/log"
+	"saltmast/internal/testsupport"
 	"saltmast/internal/thrift"
 )
 
@@ -65,7 +65,7 @@
 		seen <- told(t, dir, r.Header.Get("X-Call-Id"))
 		return echo(c, r, body)
 	})
-	q := rig.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool {
+	q := testsupport.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool {
 		v, _ := thrift.Find(m, 1)
 		seen <- told(t, dir, string(v.Bytes()))
 		return thriftEcho(c, m)
@@ -183,10 +183,10 @@
 			t.Parallel()
 			dir := t.TempDir()
 			p := newPeer(t, echo)
-			q := rig.NewThriftPeer(t, thriftEcho)
+			q := testsupport.NewThriftPeer(t, thriftEcho)
 			c := journalConfig(t, dir, "policy = \""+policy+"\"\n", []string{p.Addr()}, []string{q.Addr()})
 			c.Settings.RetryAfter, c.Settings.MaxRetryAfter = true, time.Second
-			disk := rig.NewDisk(dir)
+			disk := testsupport.NewDisk(dir)
 			a, logged := startHooked(t, c, hooks{folder: func(string) settleslog.FS { return disk }}, func(*Agent) {})
 			disk.Fail(syscall.ENOSPC)
 			n := 0
@@ -243,7 +243,7 @@
 }
 
 // settleOnHungDisk has syncs hang, and a settle wait for one. Its status comes through the channel.
-func settleOnHungDisk(t *testing.T, a *Agent, disk *rig.Disk, dir, budget string) (done <-chan int, release func()) {
+func settleOnHungDisk(t *testing.T, a *Agent, disk *testsupport.Disk, dir, budget string) (done <-chan int, release func()) {
 	t.Helper()
 	until(t, "the segment that is made ahead", func() bool { // whose own syncs are not meant
 		_, err := os.Stat(filepath.Join(dir, "0000000000000002.seg"))
@@ -265,7 +265,7 @@
 	t.Parallel()
 	dir := t.TempDir()
 	p := newPeer(t, echo)
-	disk := rig.NewDisk(dir)
+	disk := testsupport.NewDisk(dir)
 	a, _ := startHooked(t, journalConfig(t, dir, "", []string{p.Addr()}, nil), hooks{folder: func(string) settleslog.FS { return disk }}, func(*Agent) {})
 	done, release := settleOnHungDisk(t, a, disk, dir, "600")
 	defer release()
@@ -294,7 +294,7 @@
 	t.Parallel()
 	dir := t.TempDir()
 	s0, s1 := newPeer(t, echo), newPeer(t, echo)
-	disk := rig.NewDisk(dir)
+	disk := testsupport.NewDisk(dir)
 	c := journalConfig(t, dir, "", []string{s0.Addr()}, nil)
 	d := newLists(t)
 	c.Discovery = d.Addr
@@ -343,4 +343,4 @@
 	}
 }
 
-var answerWith = rig.AnswerWith
+var answerWith = testsupport.AnswerWith
--- a/internal/agent/pushed_test.go
+++ b/internal/agent/pushed_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"saltmast/internal/config"
-	"saltmast/internal/rig"
+	"saltmast/internal/testsupport"
 )
 
 // Guards against an agent that takes no notice of a list that is pushed to it: it would send to whoever has the
@@ -14,7 +14,7 @@
 	t.Parallel()
 	gone, next := newPeer(t, echo), newPeer(t, echo)
 	lists := newLists(t)
-	raw := strings.Replace(string(rig.Config(lists.Addr, entry("s0", gone.Addr(), "SERVING"))), `"subscribe"`, `"automatic"`, 1)
+	raw := strings.Replace(string(testsupport.Config(lists.Addr, entry("s0", gone.Addr(), "SERVING"))), `"subscribe"`, `"automatic"`, 1)
 	c, err := config.Parse([]byte(raw))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/retune_test.go
+++ b/internal/agent/retune_test.go
@@ -8,13 +8,13 @@
 	"testing"
 
 	"saltmast/internal/config"
-	"saltmast/internal/rig"
+	"saltmast/internal/testsupport"
 )
 
 // retuned is the configuration of an agent with some text changed.
 func retuned(t *testing.T, c *config.Config, discovery string, servers []string, change ...string) *config.Config {
 	t.Helper()
-	n, err := config.Parse([]byte(strings.NewReplacer(change...).Replace(string(rig.Config(discovery, servers...)))))
+	n, err := config.Parse([]byte(strings.NewReplacer(change...).Replace(string(testsupport.Config(discovery, servers...)))))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -9,37 +9,37 @@
 
 	"saltmast/internal/config"
 	"saltmast/internal/core"
-	"saltmast/internal/rig"
+	"saltmast/internal/testsupport"
 )
 
 // Short names for what the rig has.
-const long = rig.Long
+const long = testsupport.Long
 
 type (
-	capture = rig.Capture
-	peer    = rig.Peer
-	script  = rig.Script
+	capture = testsupport.Capture
+	peer    = testsupport.Peer
+	script  = testsupport.Script
 )
 
 var (
-	logTo     = rig.LogTo
-	newPeer   = rig.NewPeer
-	newLists  = rig.NewLists
-	echo      = rig.Echo
-	hang      = rig.Hang
-	entry     = rig.Entry
-	until     = rig.Until
-	isTimeout = rig.IsTimeout
+	logTo     = testsupport.LogTo
+	newPeer   = testsupport.NewPeer
+	newLists  = testsupport.NewLists
+	echo      = testsupport.Echo
+	hang      = testsupport.Hang
+	entry     = testsupport.Entry
+	until     = testsupport.Until
+	isTimeout = testsupport.IsTimeout
 )
 
 func receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
-	return rig.Receive(t, c)
+	return testsupport.Receive(t, c)
 }
 
 func configOf(t *testing.T, discovery string, servers ...string) *config.Config {
 	t.Helper()
-	c, err := config.Parse(rig.Config(discovery, servers...))
+	c, err := config.Parse(testsupport.Config(discovery, servers...))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/service_test.go
+++ b/internal/agent/service_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"saltmast/internal/config"
-	"saltmast/internal/rig"
+	"saltmast/internal/testsupport"
 )
 
 // operated is a configuration with a second address and a scratch folder.
@@ -401,7 +401,7 @@
 // Both listeners are shared: a newcomer with a front for Thrift starts beside one that has it too, and serves once that is gone.
 func TestThriftUpgrade(t *testing.T) {
 	t.Parallel()
-	c := thriftConfig(t, rig.NewThriftPeer(t, thriftEcho).Addr())
+	c := thriftConfig(t, testsupport.NewThriftPeer(t, thriftEcho).Addr())
 	c.Calls, c.Scratch = "127.0.0.1:0", t.TempDir()
 	old := launch(t, c)
 	servedThrift(t, rawThrift(t, old.Agent), "before")
--- a/internal/agent/thrift_conns_test.go
+++ b/internal/agent/thrift_conns_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"saltmast/internal/config"
-	"saltmast/internal/rig"
+	"saltmast/internal/testsupport"
 	"saltmast/internal/thrift"
 )
 
@@ -28,7 +28,7 @@
 
 func thriftEcho(c net.Conn, m *thrift.Message) bool {
 	v, _ := thrift.Find(m, 1)
-	c.Write(rig.Answered(m, "did "+string(v.Bytes()), nil))
+	c.Write(testsupport.Answered(m, "did "+string(v.Bytes()), nil))
 	return true
 }
 
@@ -36,7 +36,7 @@
 func servedThrift(t *testing.T, c net.Conn, id string) {
 	t.Helper()
 	c.Write(callFrame(thrift.Binary, 1, "saleSettle", id))
-	m, err := rig.ReadThrift(c)
+	m, err := testsupport.ReadThrift(c)
 	if err != nil || m.Type != thrift.Reply {
 		t.Fatalf("%s: %+v, %v", id, m, err)
 	}
@@ -47,7 +47,7 @@
 	for _, asks := range []bool{false, true} {
 		t.Run(fmt.Sprint("asks ", asks), func(t *testing.T) {
 			t.Parallel()
-			c := thriftConfig(t, rig.NewThriftPeer(t, thriftEcho).Addr())
+			c := thriftConfig(t, testsupport.NewThriftPeer(t, thriftEcho).Addr())
 			c.Sockets = 16 // 4 for Thrift callers
 			a, _ := startWith(t, c, func(a *Agent) { a.thrift.RestFor, a.thrift.MuteFor = time.Millisecond, time.Millisecond })
 			for i := range 12 {
@@ -64,7 +64,7 @@
 func TestThriftRoomIsNotMadeOfRequests(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
-	p := rig.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool { <-gate; return thriftEcho(c, m) })
+	p := testsupport.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool { <-gate; return thriftEcho(c, m) })
 	c := thriftConfig(t, p.Addr())
 	c.Sockets = 4 // 1 for Thrift callers
 	a, _ := startWith(t, c, func(a *Agent) { a.thrift.RestFor, a.thrift.MuteFor = time.Minute, time.Minute })
@@ -78,7 +78,7 @@
 	}
 	close(gate)
 	for _, c := range []net.Conn{first, second} {
-		if m, err := rig.ReadThrift(c); err != nil || m.Type != thrift.Reply {
+		if m, err := testsupport.ReadThrift(c); err != nil || m.Type != thrift.Reply {
 			t.Errorf("%+v, %v", m, err)
 		}
 		c.Close() // makes room for the next
@@ -87,7 +87,7 @@
 
 func TestThriftCrowdedConnectionsCloseWithTheAnswer(t *testing.T) {
 	t.Parallel()
-	c := thriftConfig(t, rig.NewThriftPeer(t, thriftEcho).Addr())
+	c := thriftConfig(t, testsupport.NewThriftPeer(t, thriftEcho).Addr())
 	c.Sockets = 16 // 4 for Thrift callers
 	a, _ := startWith(t, c, func(a *Agent) { a.thrift.RestFor = time.Hour })
 	for i := range 6 {
@@ -98,7 +98,7 @@
 // A kept connection that its server has closed is noticed before anything is written to it.
 func TestThriftKeptConnectionThatEnded(t *testing.T) {
 	t.Parallel()
-	p := rig.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool { thriftEcho(c, m); return false })
+	p := testsupport.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool { thriftEcho(c, m); return false })
 	a, _ := startWith(t, thriftConfig(t, p.Addr()), func(*Agent) {})
 	c := rawThrift(t, a)
 	for i := range 5 {
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	dead.Close()
-	p := rig.NewThriftPeer(t, thriftEcho)
+	p := testsupport.NewThriftPeer(t, thriftEcho)
 	a, _ := startWith(t, thriftConfig(t, dead.Addr().String(), p.Addr()), func(*Agent) {})
 	c := rawThrift(t, a)
 	for i := range 8 {
@@ -125,7 +125,7 @@
 // A caller that leaves takes its call along: nothing more goes out for it.
 func TestThriftCallerLeaves(t *testing.T) {
 	t.Parallel()
-	p := rig.NewThriftPeer(t, func(net.Conn, *thrift.Message) bool { return true }) // never answers
+	p := testsupport.NewThriftPeer(t, func(net.Conn, *thrift.Message) bool { return true }) // never answers
 	a, _ := startWith(t, thriftConfig(t, p.Addr()), func(*Agent) {})
 	c := rawThrift(t, a)
 	c.Write(callFrame(thrift.Binary, 1, "limitHold", "one"))
--- a/internal/agent/thrift_rules_test.go
+++ b/internal/agent/thrift_rules_test.go
@@ -9,7 +9,7 @@
 
 	"saltmast"
 	thriftfront "saltmast/internal/front/thrift"
-	"saltmast/internal/rig"
+	"saltmast/internal/testsupport"
 	"saltmast/internal/thrift"
 )
 
@@ -26,7 +26,7 @@
 	t.Helper()
 	c := rawThrift(t, a)
 	c.Write(frame)
-	m, err := rig.ReadThrift(c)
+	m, err := testsupport.ReadThrift(c)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 // What a call lacks, or says wrongly, is an error to its caller and never sent.
 func TestThriftBadCalls(t *testing.T) {
 	eachThrift(t, func(t *testing.T, p thrift.Protocol) {
-		peer := rig.NewThriftPeer(t, thriftEcho)
+		peer := testsupport.NewThriftPeer(t, thriftEcho)
 		a, _ := startWith(t, thriftConfig(t, peer.Addr()), func(*Agent) {})
 		call := func(name string, fill func(*thrift.Writer)) []byte {
 			w := thrift.NewWriter(p)
@@ -86,7 +86,7 @@
 // A silent server: an unsafe call that may have run fails in its time, after one attempt, and is never refused.
 func TestThriftSilentServerFails(t *testing.T) {
 	eachThrift(t, func(t *testing.T, p thrift.Protocol) {
-		peer := rig.NewThriftPeer(t, func(c net.Conn, _ *thrift.Message) bool { io.Copy(io.Discard, c); return false })
+		peer := testsupport.NewThriftPeer(t, func(c net.Conn, _ *thrift.Message) bool { io.Copy(io.Discard, c); return false })
 		a, _ := startWith(t, thriftConfig(t, peer.Addr()), func(*Agent) {})
 		w := thrift.NewWriter(p)
 		w.Text(1, []byte("a1"))
@@ -125,7 +125,7 @@
 // The rule on refusals holds whatever the module says, and its advice reaches the caller.
 func TestThriftRefusals(t *testing.T) {
 	eachThrift(t, func(t *testing.T, p thrift.Protocol) {
-		peer := rig.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool { return false }) // may have run
+		peer := testsupport.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool { return false }) // may have run
 		c := thriftConfig(t, peer.Addr())
 		a, _ := start(t, c, script(func(_ time.Duration, e saltmast.Event) []saltmast.Action {
 			switch e := e.(type) {
--- a/internal/agent/thrift_test.go
+++ b/internal/agent/thrift_test.go
@@ -17,7 +17,7 @@
 
 	"saltmast/internal/config"
 	thriftfront "saltmast/internal/front/thrift"
-	"saltmast/internal/rig"
+	"saltmast/internal/testsupport"
 	"saltmast/internal/thrift"
 )
 
@@ -325,7 +325,7 @@
 // A frame that is cut off halfway goes nowhere, and its connection ends.
 func TestThriftCallCutOff(t *testing.T) {
 	t.Parallel()
-	p := rig.NewThriftPeer(t, func(net.Conn, *thrift.Message) bool { return false })
+	p := testsupport.NewThriftPeer(t, func(net.Conn, *thrift.Message) bool { return false })
 	a, _ := thriftAgent(t, "binary", p.Addr())
 	whole := callFrame(thrift.Binary, 1, "saleSettle", "a1")
 	for _, n := range []int{1, 4, 5, len(whole) / 2, len(whole) - 1} {
@@ -342,7 +342,7 @@
 // What is no Thrift ends its connection clearly, on either port, and is logged once.
 func TestThriftForeignBytes(t *testing.T) {
 	t.Parallel()
-	p := rig.NewThriftPeer(t, func(net.Conn, *thrift.Message) bool { return false })
+	p := testsupport.NewThriftPeer(t, func(net.Conn, *thrift.Message) bool { return false })
 	a, logged := thriftAgent(t, "binary", p.Addr())
 	bad := map[string]string{
 		"HTTP":           "GET /look HTTP/1.1\r\nHost: x\r\n\r\n",
@@ -351,7 +351,7 @@
 		"2 GiB":          "\x7f\xff\xff\xff",
 		"noise":          "\x00\x00\x00\x05abcde",
 		"unframed":       "\x80\x01\x00\x01\x00\x00\x00\x04look",
-		"a reply":        string(rig.Answered(&thrift.Message{Name: []byte("look")}, "x", nil)),
+		"a reply":        string(testsupport.Answered(&thrift.Message{Name: []byte("look")}, "x", nil)),
 		"nesting bomb":   "\x00\x00\x00\x60\x82\x21\x01\x04look" + strings.Repeat("\x1c", 88),
 		"a billion more": "\x00\x00\x00\x11\x82\x21\x01\x04look\x19\xf5\x80\x94\xeb\xdc\x03\x00\x00",
 	}
@@ -379,12 +379,12 @@
 func TestThriftPipelining(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
-	p := rig.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool {
+	p := testsupport.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool {
 		v, _ := thrift.Find(m, 1)
 		if string(v.Bytes()) == "slow" {
 			<-gate
 		}
-		c.Write(rig.Answered(m, string(v.Bytes()), nil))
+		c.Write(testsupport.Answered(m, string(v.Bytes()), nil))
 		return true
 	})
 	a, _ := thriftAgent(t, "binary", p.Addr())
@@ -396,7 +396,7 @@
 	c.Write(all)
 	seen := map[int32]string{}
 	take := func() int32 {
-		m, err := rig.ReadThrift(c)
+		m, err := testsupport.ReadThrift(c)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -429,7 +429,7 @@
 	var turned atomic.Bool
 	hung := make(chan struct{})
 	defer close(hung)
-	p := rig.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool {
+	p := testsupport.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool {
 		v, _ := thrift.Find(m, 1)
 		id := string(v.Bytes())
 		switch {
@@ -442,14 +442,14 @@
 			<-hung
 			return false
 		}
-		c.Write(rig.Answered(m, "did "+id, nil))
+		c.Write(testsupport.Answered(m, "did "+id, nil))
 		return true
 	})
 	a, _ := thriftAgent(t, "binary", p.Addr())
 	ask := func(name, id string) *thrift.Message {
 		c := rawThrift(t, a)
 		c.Write(callFrame(thrift.Binary, 3, name, id))
-		m, err := rig.ReadThrift(c)
+		m, err := testsupport.ReadThrift(c)
 		if err != nil {
 			t.Fatal(name, id, err)
 		}
@@ -496,8 +496,8 @@
 // A server that replies in compact to a binary call: the caller sees its own protocol, or nothing of it.
 func TestThriftReplyInTheOtherProtocol(t *testing.T) {
 	t.Parallel()
-	p := rig.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool {
-		c.Write(rig.Answered(m, "done", func(r *thrift.Message) {
+	p := testsupport.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool {
+		c.Write(testsupport.Answered(m, "done", func(r *thrift.Message) {
 			r.Body, _ = thrift.Transcode(nil, r, thrift.Compact, 1000)
 			r.Protocol = thrift.Compact
 		}))
@@ -506,7 +506,7 @@
 	a, _ := thriftAgent(t, "binary", p.Addr())
 	c := rawThrift(t, a)
 	c.Write(callFrame(thrift.Binary, 9, "saleSettle", "a1"))
-	m, err := rig.ReadThrift(c)
+	m, err := testsupport.ReadThrift(c)
 	if err != nil || m.Protocol != thrift.Binary || m.Type != thrift.Reply || m.Seq != 9 {
 		t.Fatal(m, err)
 	}
@@ -519,7 +519,7 @@
 func TestProtocolsKeepToTheirServers(t *testing.T) {
 	t.Parallel()
 	ofHTTP := newPeer(t, echo)
-	ofThrift := rig.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool { c.Write(rig.Answered(m, "x", nil)); return true })
+	ofThrift := testsupport.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool { c.Write(testsupport.Answered(m, "x", nil)); return true })
 	d := newLists(t)
 	c := configOf(t, d.Addr, entry("s0", ofHTTP.Addr(), "SERVING"), entry("t0", ofThrift.Addr(), "SERVING"))
 	var err error
@@ -536,7 +536,7 @@
 			t.Fatal(resp.Status)
 		}
 		conn.Write(callFrame(thrift.Binary, int32(i), "saleSettle", fmt.Sprint("c", i)))
-		if m, err := rig.ReadThrift(conn); err != nil || m.Type != thrift.Reply {
+		if m, err := testsupport.ReadThrift(conn); err != nil || m.Type != thrift.Reply {
 			t.Fatal(m, err)
 		}
 	}
@@ -550,7 +550,7 @@
 	d.Say <- `{"version":2,"full":false,"servers":[` + entry("t0", ofThrift.Addr(), "DRAINING") + `]}`
 	until(t, "the drain", func() bool { _, ok := a.table.Serving("t0"); return !ok })
 	conn.Write(callFrame(thrift.Binary, 99, "saleSettle", "late"))
-	if m, err := rig.ReadThrift(conn); err != nil || m.Type != thrift.Exception {
+	if m, err := testsupport.ReadThrift(conn); err != nil || m.Type != thrift.Exception {
 		t.Errorf("a call with no server left: %+v, %v", m, err)
 	} else if kind, text := thrift.ReadException(m); kind != thriftfront.Refused {
 		t.Errorf("a call with no server left: exception %d %q, want a refusal: nothing has run", kind, text)
@@ -561,7 +561,11 @@
 func TestThriftStop(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
-	p := rig.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool { <-gate; c.Write(rig.Answered(m, "x", nil)); return true })
+	p := testsupport.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool {
+		<-gate
+		c.Write(testsupport.Answered(m, "x", nil))
+		return true
+	})
 	c := configOf(t, newLists(t).Addr, entry("t0", p.Addr(), "SERVING"))
 	var err error
 	if c.Operator, err = config.ParseOperator("x.toml", []byte(operatorFile), c.Names.Classes, c.Settings.Classes); err != nil {
@@ -580,7 +584,7 @@
 	stop()
 	closed(t, rests)
 	close(gate)
-	if m, err := rig.ReadThrift(busy); err != nil || m.Type != thrift.Reply {
+	if m, err := testsupport.ReadThrift(busy); err != nil || m.Type != thrift.Reply {
 		t.Errorf("what was under way: %+v, %v", m, err)
 	}
 	closed(t, busy)
--- a/internal/config/retune_test.go
+++ b/internal/config/retune_test.go
@@ -7,11 +7,11 @@
 	"strings"
 	"testing"
 
-	"saltmast/internal/rig"
+	"saltmast/internal/testsupport"
 )
 
 func TestReread(t *testing.T) {
-	whole := string(rig.Config("127.0.0.1:1", rig.Entry("s0", "127.0.0.1:2", "SERVING")))
+	whole := string(testsupport.Config("127.0.0.1:1", testsupport.Entry("s0", "127.0.0.1:2", "SERVING")))
 	running, err := Parse([]byte(whole))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/consensus/explore_test.go
+++ b/internal/consensus/explore_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"saltmast/internal/configuration"
-	"saltmast/internal/explore"
+	"saltmast/internal/modelcheck"
 )
 
 // The whole space of three members and two rounds or three, of ballots 1 to 3, that run whenever they like: messages are lost, come
@@ -407,13 +407,13 @@
 		{"an incarnation on disk before what was taken", rules{memory: 1, disks: 1, halves: true}, false},
 		{"a base that is not the highest", rules{anyBase: true, more: 1}, false},
 	} {
-		if c.k.long && !*all || explore.Slow && (c.k.disks > 0 || c.k.more > 0) {
+		if c.k.long && !*all || modelcheck.Slow && (c.k.disks > 0 || c.k.more > 0) {
 			continue
 		}
 		begun := time.Now()
 		c.k.bases = map[[members]uint16]outcomes{}
-		n, err := explore.Whole(first, c.k.next, broken, 4e6)
-		if wrong := explore.Verdict(c.ok, n, err); wrong != nil {
+		n, err := modelcheck.Whole(first, c.k.next, broken, 4e6)
+		if wrong := modelcheck.Verdict(c.ok, n, err); wrong != nil {
 			t.Errorf("%s: %v", c.name, wrong)
 		}
 		t.Logf("%s: %d states in %v", c.name, n, time.Since(begun).Round(time.Millisecond))
--- a/internal/consensus/order_test.go
+++ b/internal/consensus/order_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"saltmast/internal/configuration"
-	"saltmast/internal/explore"
+	"saltmast/internal/modelcheck"
 )
 
 // The whole space of orders that are sent, some of them twice, to agents that each run rounds as they like, with three members:
@@ -406,7 +406,7 @@
 		{"a refusal that is not written", [][]configuration.Item{addC, toC}, []uint8{0, 1, 1}, 5, false, func(k *harbourRules) { k.lazy = true }},
 		{"a refusal that is not remembered", [][]configuration.Item{addC, toC}, []uint8{1, 0, 1}, 4, true, func(k *harbourRules) { k.forgetful = true }},
 	} {
-		if explore.Slow && c.wrong == nil {
+		if modelcheck.Slow && c.wrong == nil {
 			continue
 		}
 		t.Run(c.name, func(t *testing.T) {
@@ -427,11 +427,11 @@
 			for n := range c.copies {
 				begin.copies[n].came = k.early
 			}
-			n, err := explore.Whole(begin, k.next, k.broken, 4e6)
-			if wrong := explore.Verdict(c.wrong == nil, n, err); wrong != nil {
+			n, err := modelcheck.Whole(begin, k.next, k.broken, 4e6)
+			if wrong := modelcheck.Verdict(c.wrong == nil, n, err); wrong != nil {
 				t.Error(wrong)
 			}
-			var b *explore.Broken
+			var b *modelcheck.Broken
 			if errors.As(err, &b) {
 				t.Log(b)
 			}
--- a/internal/consensus/pages_test.go
+++ b/internal/consensus/pages_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"saltmast/internal/configuration"
-	"saltmast/internal/explore"
+	"saltmast/internal/modelcheck"
 )
 
 // The whole space of three members, each a base and a delta on disk, with rounds that run whenever they like, proposers that hold
@@ -437,7 +437,7 @@
 		{"in force at a lower target than an earlier page had", pageRules{forgets: true}, false},
 		{"a page that does not follow", pageRules{apart: true}, false},
 	} {
-		if explore.Slow && c.ok {
+		if modelcheck.Slow && c.ok {
 			continue
 		}
 		begun := time.Now()
@@ -450,8 +450,8 @@
 		for i := range 2 {
 			first.m[i] = pageMember{promised: 1, accepted: 1, delta: v}
 		}
-		n, err := explore.Whole(first, k.next, k.broken, 4e6)
-		if wrong := explore.Verdict(c.ok, n, err); wrong != nil {
+		n, err := modelcheck.Whole(first, k.next, k.broken, 4e6)
+		if wrong := modelcheck.Verdict(c.ok, n, err); wrong != nil {
 			t.Errorf("%s: %v", c.name, wrong)
 		}
 		t.Logf("%s: %d states in %v, %v", c.name, n, time.Since(begun).Round(time.Millisecond), err)
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"saltmast"
-	"saltmast/internal/rig"
 	"saltmast/internal/shared"
+	"saltmast/internal/testsupport"
 	"saltmast/internal/wire"
 )
 
@@ -58,13 +58,13 @@
 // It returns the answer to one request, and what the module was told.
 func play(t *testing.T, f *ledger, result saltmast.Result) (Answer, []saltmast.Allowance) {
 	t.Helper()
-	settings, _, err := wire.ParseSettings([]byte(rig.Settings))
+	settings, _, err := wire.ParseSettings([]byte(testsupport.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var told []saltmast.Allowance
 	sends := 0
-	script := rig.Script(func(_ time.Duration, e saltmast.Event) []saltmast.Action {
+	script := testsupport.Script(func(_ time.Duration, e saltmast.Event) []saltmast.Action {
 		switch e := e.(type) {
 		case saltmast.Allowance:
 			told = append(told, e)
@@ -79,7 +79,7 @@
 		}
 		return nil
 	})
-	l, err := New(Options{Settings: settings, Clock: NewClock(), Log: rig.LogTo(&rig.Capture{}), Decider: script, Fleet: f})
+	l, err := New(Options{Settings: settings, Clock: NewClock(), Log: testsupport.LogTo(&testsupport.Capture{}), Decider: script, Fleet: f})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,9 +88,9 @@
 	go l.Run(ctx)
 	r := l.NewRequest(&settings, saltmast.Request{ID: id, Left: 6 * time.Second}, time.Now(), nil)
 	l.Submit(r)
-	a := rig.Receive(t, r.Answer())
+	a := testsupport.Receive(t, r.Answer())
 	cancel()
-	rig.Receive(t, l.Done())
+	testsupport.Receive(t, l.Done())
 	return a, told
 }
 
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"saltmast"
-	"saltmast/internal/rig"
+	"saltmast/internal/testsupport"
 	"saltmast/internal/wire"
 )
 
@@ -23,15 +23,15 @@
 // module was told to be left.
 func stepOnce(t *testing.T, late time.Duration) (r *Request, now, left time.Duration) {
 	t.Helper()
-	settings, _, err := wire.ParseSettings([]byte(rig.Settings))
+	settings, _, err := wire.ParseSettings([]byte(testsupport.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := New(Options{Settings: settings, Clock: NewClock(), Log: rig.LogTo(&rig.Capture{})})
+	l, err := New(Options{Settings: settings, Clock: NewClock(), Log: testsupport.LogTo(&testsupport.Capture{})})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.bal = rig.Script(func(_ time.Duration, e saltmast.Event) []saltmast.Action {
+	l.bal = testsupport.Script(func(_ time.Duration, e saltmast.Event) []saltmast.Action {
 		if q, ok := e.(saltmast.Request); ok {
 			left = q.Left
 		}
@@ -67,7 +67,7 @@
 	}
 	ms := float64(time.Now().UnixMilli() - 3000)
 	first := clock.FromUnixMs(ms)
-	if age := clock.Now() - first; age < 2900*time.Millisecond || age > 3*time.Second+rig.Long {
+	if age := clock.Now() - first; age < 2900*time.Millisecond || age > 3*time.Second+testsupport.Long {
 		t.Errorf("started 3 s ago became %v ago", age)
 	}
 	if clock.FromUnixMs(ms) != first {
--- a/internal/daemon/peers_test.go
+++ b/internal/daemon/peers_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"saltmast/internal/rig"
+	"saltmast/internal/testsupport"
 )
 
 // sockets counts what a process has open: UDP sockets, and TCP sockets that listen.
@@ -51,8 +51,8 @@
 // Without [peers] nothing listens, nothing is sent, and the calls about it are unknown; with it there is one more listener,
 // and one socket for datagrams.
 func TestPeersAreOffWithoutTheirSection(t *testing.T) {
-	d := rig.NewLists(t)
-	peer := rig.NewPeer(t, rig.Echo)
+	d := testsupport.NewLists(t)
+	peer := testsupport.NewPeer(t, testsupport.Echo)
 	for _, on := range []bool{false, true} {
 		s := &site{t: t, dir: t.TempDir(), discover: d.Addr, backend: peer.Addr(), listen: freeAddr(t), sockets: 512}
 		want, udps, status := 2, 0, http.StatusNotFound
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -19,7 +19,7 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/rig"
+	"saltmast/internal/testsupport"
 )
 
 // upgrades is how many are played: few in CI, 50 by go test ./internal/daemon -run Upgrades -upgrades 50.
@@ -66,7 +66,7 @@
 	s.t.Helper()
 	p := &process{calls: freeAddr(s.t), log: &bytes.Buffer{}, ended: make(chan error, 1)}
 	text := strings.NewReplacer(`"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q,"operator":%q`, s.listen, p.calls),
-		`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, s.sockets)).Replace(string(rig.Config(s.discover, rig.Entry("s0", s.backend, "SERVING"))))
+		`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, s.sockets)).Replace(string(testsupport.Config(s.discover, testsupport.Entry("s0", s.backend, "SERVING"))))
 	path := filepath.Join(s.t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
@@ -92,8 +92,8 @@
 // ready waits for its yes.
 func (s *site) ready(p *process) {
 	s.t.Helper()
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: rig.Long}
-	rig.Until(s.t, "its yes", func() bool {
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testsupport.Long}
+	testsupport.Until(s.t, "its yes", func() bool {
 		resp, err := client.Get("http://" + p.calls + "/-/ready")
 		if err != nil {
 			return false
@@ -135,7 +135,7 @@
 							c = nil
 							return err
 						}
-						c.SetDeadline(time.Now().Add(rig.Long))
+						c.SetDeadline(time.Now().Add(testsupport.Long))
 						in = bufio.NewReader(c)
 					}
 					if _, err := fmt.Fprintf(c, "POST /settle HTTP/1.1\r\nHost: x\r\nX-Call-Id: %016x\r\nX-Budget-Ms: 7000\r\nContent-Length: 1\r\n\r\nx", ids.Add(1)); err != nil {
@@ -177,7 +177,7 @@
 func (s *site) more(l *clients) {
 	s.t.Helper()
 	then := l.served.Load()
-	rig.Until(s.t, "requests", func() bool { return l.served.Load() > then+100 })
+	testsupport.Until(s.t, "requests", func() bool { return l.served.Load() > then+100 })
 }
 
 // Upgrades of real processes under load. Each second one kills the old process at a drawn step: then what it held is its
@@ -186,11 +186,11 @@
 func TestUpgradesOfProcesses(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]int{}
-	peer := rig.NewPeer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	peer := testsupport.NewPeer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		mu.Lock()
 		ran[r.Header.Get("X-Call-Id")]++
 		mu.Unlock()
-		return rig.Echo(c, r, body)
+		return testsupport.Echo(c, r, body)
 	})
 	go func() {
 		for range peer.Got {
@@ -200,7 +200,7 @@
 		for range peer.Closed {
 		}
 	}()
-	s := &site{t: t, dir: t.TempDir(), discover: rig.NewLists(t).Addr, backend: peer.Addr(), listen: freeAddr(t), sockets: 384}
+	s := &site{t: t, dir: t.TempDir(), discover: testsupport.NewLists(t).Addr, backend: peer.Addr(), listen: freeAddr(t), sockets: 384}
 	old := s.start()
 	s.ready(old)
 	l := s.load(16)
@@ -231,7 +231,7 @@
 			if err != nil && kill < 0 {
 				t.Errorf("the old process: %v\n%s", err, old.log)
 			}
-		case <-time.After(rig.Long):
+		case <-time.After(testsupport.Long):
 			t.Fatalf("the old process stays\n%s", old.log)
 		}
 		s.more(l) // whoever was cut off has come again by then
@@ -305,7 +305,7 @@
 			}()
 		}
 	}()
-	s := &site{t: t, dir: t.TempDir(), discover: rig.NewLists(t).Addr, backend: l.Addr().String(), listen: freeAddr(t), sockets: 1024}
+	s := &site{t: t, dir: t.TempDir(), discover: testsupport.NewLists(t).Addr, backend: l.Addr().String(), listen: freeAddr(t), sockets: 1024}
 	p := s.start()
 	s.ready(p)
 	stop := time.Now().Add(5 * time.Second)
--- a/internal/dataplane/hop_answer_test.go
+++ b/internal/dataplane/hop_answer_test.go
@@ -13,8 +13,8 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/drydock/sea"
 	"saltmast/internal/errcode"
+	"saltmast/internal/simulation/sea"
 )
 
 // far is a proxy on another machine, played by the test, and the hops to it.
--- a/internal/dataplane/walk_front_test.go
+++ b/internal/dataplane/walk_front_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/explore"
+	"saltmast/internal/modelcheck"
 	"saltmast/internal/sock"
 )
 
@@ -255,7 +255,7 @@
 }
 
 // The last deed of each script is a request, two at once, or the last request with one behind it.
-var walkOfFronts = explore.Walk[*frontWalk]{Deeds: len(clientDeeds), Deed: func(i int) string { return clientDeeds[i].name }, Length: 2,
+var walkOfFronts = modelcheck.Walk[*frontWalk]{Deeds: len(clientDeeds), Deed: func(i int) string { return clientDeeds[i].name }, Length: 2,
 	Ways: []string{"a request", "two at once", "the last"}, Begin: newFrontWalk,
 	World: func(t *testing.T, w *frontWalk, script []int, way int) string {
 		return w.world(t, append(script, [...]int{0, 4, 9}[way]))
--- a/internal/dataplane/walk_gate_test.go
+++ b/internal/dataplane/walk_gate_test.go
@@ -18,9 +18,9 @@
 
 	"saltmast/internal/backends"
 	"saltmast/internal/controlapi"
-	"saltmast/internal/drydock/sea"
 	"saltmast/internal/errcode"
-	"saltmast/internal/explore"
+	"saltmast/internal/modelcheck"
+	"saltmast/internal/simulation/sea"
 	"saltmast/internal/sock"
 )
 
@@ -265,7 +265,7 @@
 	{[3]string{"A", "B", "A"}, nil},
 }
 
-var walkOfGates = explore.Walk[*gateWalk]{Deeds: len(backendDeeds), Deed: func(i int) string { return backendDeeds[i].name }, Length: 2,
+var walkOfGates = modelcheck.Walk[*gateWalk]{Deeds: len(backendDeeds), Deed: func(i int) string { return backendDeeds[i].name }, Length: 2,
 	Ways: []string{"others", "again after a proof", "again after a failure", "again behind another"}, Begin: newGateWalk,
 	World: func(t *testing.T, w *gateWalk, script []int, way int) string {
 		return w.world(t, gateWays[way].ids, append(script, 0), gateWays[way].again)
--- a/internal/dataplane/walk_hop_test.go
+++ b/internal/dataplane/walk_hop_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"saltmast/internal/errcode"
-	"saltmast/internal/explore"
+	"saltmast/internal/modelcheck"
 	"saltmast/internal/sock"
 )
 
@@ -245,7 +245,7 @@
 	return ""
 }
 
-var walkOfHops = explore.Walk[*hopWalk]{Deeds: len(gateDeeds), Deed: func(i int) string { return gateDeeds[i].name }, Length: 2,
+var walkOfHops = modelcheck.Walk[*hopWalk]{Deeds: len(gateDeeds), Deed: func(i int) string { return gateDeeds[i].name }, Length: 2,
 	Ways: []string{"small", "large", "stream"}, Begin: newHopWalk, World: hopWorld, End: func(w *hopWalk) { w.end() }}
 
 // Whatever happens to an ask, and to the one before it, none gets another's answer and none is sent twice.
--- a/internal/dataplane/way_test.go
+++ b/internal/dataplane/way_test.go
@@ -14,10 +14,10 @@
 
 	"saltmast/internal/backends"
 	"saltmast/internal/controlapi"
-	"saltmast/internal/drydock/sea"
 	"saltmast/internal/idempotency"
 	"saltmast/internal/messages"
 	"saltmast/internal/quorum"
+	"saltmast/internal/simulation/sea"
 	"saltmast/internal/sock"
 )
 
--- a/internal/disconnect/disconnect_test.go
+++ b/internal/disconnect/disconnect_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/drydock/sea"
+	"saltmast/internal/simulation/sea"
 )
 
 // pair is a connection of a client and a server, in virtual time.
--- a/internal/discovery/rig_test.go
+++ b/internal/discovery/rig_test.go
@@ -3,24 +3,24 @@
 import (
 	"testing"
 
-	"saltmast/internal/rig"
+	"saltmast/internal/testsupport"
 )
 
 // Short names for what the rig has.
-const long = rig.Long
+const long = testsupport.Long
 
 type (
-	capture = rig.Capture
-	lists   = rig.Lists
+	capture = testsupport.Capture
+	lists   = testsupport.Lists
 )
 
 var (
-	logTo    = rig.LogTo
-	newLists = rig.NewLists
-	entry    = rig.Entry
+	logTo    = testsupport.LogTo
+	newLists = testsupport.NewLists
+	entry    = testsupport.Entry
 )
 
 func receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
-	return rig.Receive(t, c)
+	return testsupport.Receive(t, c)
 }
--- a/internal/almanac/almanac.go
+++ b/internal/faultschedule/almanac.go
@@ -1,6 +1,6 @@
-// Package almanac is a seeded generator of fault-injection schedules: days for the operators' bench, with every kind of trouble that it
+// Package faultschedule is a seeded generator of fault-injection schedules: days for the operators' bench, with every kind of trouble that it
 // knows, in every variant, at any moment, several at once, and within the losses that a deployment is to bear. Start reading at Draw.
-package almanac
+package faultschedule
 
 import (
 	"cmp"
--- a/internal/almanac/kinds.go
+++ b/internal/faultschedule/kinds.go
@@ -1,4 +1,4 @@
-package almanac
+package faultschedule
 
 import (
 	"slices"
--- a/internal/idempotency/explore_test.go
+++ b/internal/idempotency/explore_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"saltmast/internal/consensus"
-	"saltmast/internal/explore"
+	"saltmast/internal/modelcheck"
 )
 
 // The whole space of one key, three members and some claims: messages are lost, come late and come again, members lose their
@@ -469,13 +469,13 @@
 		{"an incarnation on disk before what was taken", rules{memory: 1, disks: 1, halves: true}, false},
 		{"a repair that heard one that repairs itself", rules{disks: 2, lame: true}, false},
 	} {
-		if c.r.long && !*all || explore.Slow && (c.r.disks > 0 || c.r.ids > 0) {
+		if c.r.long && !*all || modelcheck.Slow && (c.r.disks > 0 || c.r.ids > 0) {
 			continue
 		}
 		begun := time.Now()
 		c.r.won = map[[members]uint32]bool{}
-		n, err := explore.Whole(begin(), c.r.next, broken, 6e6)
-		if wrong := explore.Verdict(c.ok, n, err); wrong != nil {
+		n, err := modelcheck.Whole(begin(), c.r.next, broken, 6e6)
+		if wrong := modelcheck.Verdict(c.ok, n, err); wrong != nil {
 			t.Errorf("%s: %v", c.name, wrong)
 		}
 		t.Logf("%s: %d states in %v", c.name, n, time.Since(begun).Round(time.Millisecond))
--- a/internal/shakedown/backend.go
+++ b/internal/integration/backend.go
@@ -1,4 +1,4 @@
-package shakedown
+package integration
 
 import (
 	"bufio"
--- a/internal/shakedown/mesh.go
+++ b/internal/integration/mesh.go
@@ -1,7 +1,7 @@
-// Package shakedown takes the mesh out for a trial: it builds the three real programs, starts them as processes on loopback
+// Package integration takes the mesh out for a trial: it builds the three real programs, starts them as processes on loopback
 // addresses, and stands around them as their backends, clients, operator and platform. What it finds out it counts itself, or
 // hears from what the programs say; it looks into none of them. It is for tests. Start reading at Start.
-package shakedown
+package integration
 
 import (
 	"encoding/json"
--- a/internal/lookout/mesh_test.go
+++ b/internal/lookout/mesh_test.go
@@ -8,11 +8,11 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/drydock/sea"
 	"saltmast/internal/proxy"
 	"saltmast/internal/registry"
 	"saltmast/internal/rpc"
 	"saltmast/internal/settings"
+	"saltmast/internal/simulation/sea"
 	"saltmast/internal/store"
 )
 
--- a/internal/membership/transport/masthead_test.go
+++ b/internal/membership/transport/masthead_test.go
@@ -10,10 +10,10 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/drydock/sea"
 	"saltmast/internal/membership"
 	"saltmast/internal/messages"
 	"saltmast/internal/settings"
+	"saltmast/internal/simulation/sea"
 )
 
 // TestWatch: three core machines and four others. One of these freezes, one is heard, one leaves.
--- a/internal/explore/explore.go
+++ b/internal/modelcheck/explore.go
@@ -1,5 +1,5 @@
-// Package explore walks a small space of states whole, breadth first, for tests of what must hold whatever happens.
-package explore
+// Package modelcheck walks a small space of states whole, breadth first, for tests of what must hold whatever happens.
+package modelcheck
 
 import (
 	"errors"
--- a/internal/explore/walk.go
+++ b/internal/modelcheck/walk.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/drydock/sea"
+	"saltmast/internal/simulation/sea"
 )
 
 const (
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/rig"
 	"saltmast/internal/shared"
 	"saltmast/internal/standin/between"
+	"saltmast/internal/testsupport"
 )
 
 // BenchmarkFleet measures thirty agents at service's spans, each behind a forwarder: what one sends a second, at rest and
@@ -26,7 +26,7 @@
 		net := between.New(1)
 		var all []*Peers
 		for i := range n {
-			o := options(fmt.Sprintf("agent-%02d", i), &rig.Capture{})
+			o := options(fmt.Sprintf("agent-%02d", i), &testsupport.Capture{})
 			o.Members, o.BytesASec, o.StateBytes = 512, 768, 1<<20
 			o.Probe, o.Exchange, o.Rejoin = time.Second, 30*time.Second, 5*time.Second
 			o.Listen = fmt.Sprintf("127.77.0.%d:%d", i+1, 20000+i)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -16,16 +16,16 @@
 	"go.uber.org/goleak"
 
 	"saltmast/internal/membership"
-	"saltmast/internal/rig"
 	"saltmast/internal/shared"
+	"saltmast/internal/testsupport"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func options(name string, log *rig.Capture) Options {
+func options(name string, log *testsupport.Capture) Options {
 	return Options{Name: name, Incarnation: uint64(len(name))<<32 + uint64(name[0]), Listen: "127.0.0.1:0", Join: func() []string { return nil }, Cluster: "test", Members: 8,
 		BytesASec: 1 << 20, StateBytes: 1 << 16, Probe: 50 * time.Millisecond, Exchange: 100 * time.Millisecond, Rejoin: 50 * time.Millisecond,
-		Terms: shared.Terms{Turn: time.Second, Window: 60, Windows: 3, Agents: 32}, Log: rig.LogTo(log)}
+		Terms: shared.Terms{Turn: time.Second, Window: 60, Windows: 3, Agents: 32}, Log: testsupport.LogTo(log)}
 }
 
 // start runs one until the test ends, or until what it returns is called.
@@ -53,7 +53,7 @@
 }
 
 func TestCountsReachAllAndARestartedOneIsAnother(t *testing.T) {
-	log := &rig.Capture{}
+	log := &testsupport.Capture{}
 	a, _ := start(t, options("a", log))
 	ob := options("b", log)
 	ob.Join, ob.Zone = join(a), "north"
@@ -65,26 +65,26 @@
 	b.Count(0, 1, shared.Requests)
 	b.Count(7, 0, shared.Requests) // of a generation that nobody named
 	for _, p := range []*Peers{a, b} {
-		rig.Until(t, "both to have both's counts", func() bool { return count(p, "look") == 4 && count(p, "hold") == 1 })
+		testsupport.Until(t, "both to have both's counts", func() bool { return count(p, "look") == 4 && count(p, "hold") == 1 })
 	}
 	v := a.View()
 	if v.Alive != 2 || len(v.Members) != 2 || v.Members[1].Zone != "north" || v.Members[1].Heard < 0 {
 		t.Errorf("%+v", v)
 	}
 	end()
-	rig.Until(t, "the farewell", func() bool { return a.View().Alive == 1 })
+	testsupport.Until(t, "the farewell", func() bool { return a.View().Alive == 1 })
 	ob.Incarnation++
 	ob.Listen = b.Addr()
 	b2, _ := start(t, ob)
 	b2.Count(0, 0, shared.Requests)
-	rig.Until(t, "the counts of both incarnations", func() bool { return count(a, "look") == 5 && count(b2, "look") == 5 })
-	rig.Until(t, "the new incarnation", func() bool {
+	testsupport.Until(t, "the counts of both incarnations", func() bool { return count(a, "look") == 5 && count(b2, "look") == 5 })
+	testsupport.Until(t, "the new incarnation", func() bool {
 		return a.View().Alive == 2 && a.View().Members[1].Incarnation == fmt.Sprintf("%x", ob.Incarnation)
 	})
 }
 
 func TestABusyOneGetsRightsOfAQuietOne(t *testing.T) {
-	log := &rig.Capture{}
+	log := &testsupport.Capture{}
 	budget := &shared.Budget{Name: "retries", Rate: 100_000, Agents: 2, Static: 0.2, Lease: 20 * time.Second, Burst: time.Second}
 	oa, ob := options("a", log), options("b", log)
 	oa.Retries, ob.Retries = budget, budget
@@ -97,7 +97,7 @@
 		p.rights = shared.NewHolder(p.self, *budget, p.now()-time.Hour)
 		p.mu.Unlock()
 	}
-	rig.Until(t, "b to borrow", func() bool {
+	testsupport.Until(t, "b to borrow", func() bool {
 		b.Missed()
 		b.Missed()
 		return b.Shared().Retries.Held > 50_000
@@ -105,14 +105,14 @@
 	if held := a.Shared().Retries.Held + b.Shared().Retries.Held; held > 100_000 {
 		t.Errorf("together they hold %d", held)
 	}
-	rig.Until(t, "something to spend", b.Spend)
+	testsupport.Until(t, "something to spend", b.Spend)
 	if b.Left() < 0 {
 		t.Error("no budget is told")
 	}
 }
 
 func TestWithoutABudgetNothingIsHeldBack(t *testing.T) {
-	p, _ := start(t, options("a", &rig.Capture{}))
+	p, _ := start(t, options("a", &testsupport.Capture{}))
 	p.Missed()
 	if p.Left() != -1 || !p.Spend() || p.Shared().Retries != nil {
 		t.Error("a budget")
@@ -126,16 +126,16 @@
 		"another key":     func(o *Options) { o.Key = []byte("0123456789abcdef") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			log := &rig.Capture{}
+			log := &testsupport.Capture{}
 			oa := options("a", log)
 			oa.Key = []byte("fedcba9876543210")
 			a, _ := start(t, oa)
-			ob := options("b", &rig.Capture{})
+			ob := options("b", &testsupport.Capture{})
 			ob.Key, ob.Join = oa.Key, join(a)
 			change(&ob)
 			b, _ := start(t, ob)
 			b.Count(0, 0, shared.Requests)
-			rig.Until(t, "a word of it", func() bool { return log.Has("level=WARN") })
+			testsupport.Until(t, "a word of it", func() bool { return log.Has("level=WARN") })
 			if a.View().Alive != 1 || b.View().Alive != 1 || count(a, "look") != 0 {
 				t.Errorf("%+v", a.View())
 			}
@@ -144,19 +144,19 @@
 }
 
 func TestANameTakenTwiceIsRefused(t *testing.T) {
-	log := &rig.Capture{}
+	log := &testsupport.Capture{}
 	a, _ := start(t, options("a", log))
-	other := options("a", &rig.Capture{})
+	other := options("a", &testsupport.Capture{})
 	other.Incarnation, other.Join = 99, join(a)
 	start(t, other)
-	rig.Until(t, "a word of it", func() bool { return log.Has("taken twice") })
+	testsupport.Until(t, "a word of it", func() bool { return log.Has("taken twice") })
 	if v := a.View(); v.Alive != 1 || v.Members[0].Incarnation != v.Self.Incarnation || v.Refused == 0 {
 		t.Errorf("%+v", v)
 	}
 }
 
 func TestNonsenseIsRefusedAndSaidOnceAMinute(t *testing.T) {
-	log := &rig.Capture{}
+	log := &testsupport.Capture{}
 	p, _ := start(t, options("a", log))
 	p.hear([]byte("garbage"))
 	p.hear([]byte{shared.Version + 1, 'd', 0})
@@ -201,38 +201,38 @@
 	}
 	defer c.Close()
 	c.Write(make([]byte, 200))
-	if err := rig.Receive(t, ended); err != errTooMuch {
+	if err := testsupport.Receive(t, ended); err != errTooMuch {
 		t.Error(err)
 	}
 }
 
 func TestAnAddressInUseIsWaitedFor(t *testing.T) {
-	log := &rig.Capture{}
+	log := &testsupport.Capture{}
 	before, end := start(t, options("a", log))
 	o := options("a", log)
 	o.Listen, o.Incarnation = before.Addr(), 5
 	after, _ := start(t, o)
 	after.Count(0, 0, shared.Requests)
-	rig.Until(t, "a word of it", func() bool { return log.Has("can't listen yet") })
+	testsupport.Until(t, "a word of it", func() bool { return log.Has("can't listen yet") })
 	if after.Addr() != "" {
 		t.Error("both have one address")
 	}
 	end()
-	rig.Until(t, "the address", func() bool { return after.Addr() == o.Listen && after.View().Alive == 1 })
+	testsupport.Until(t, "the address", func() bool { return after.Addr() == o.Listen && after.View().Alive == 1 })
 }
 
 // Others would refuse it: it goes on alone, and says why.
 func TestANameThatIsTooLongTakesNoPart(t *testing.T) {
-	log := &rig.Capture{}
+	log := &testsupport.Capture{}
 	p, _ := start(t, options(strings.Repeat("n", membership.NameBytes+1), log))
-	rig.Until(t, "a word of it", func() bool { return log.Has("a name of 65 bytes") })
+	testsupport.Until(t, "a word of it", func() bool { return log.Has("a name of 65 bytes") })
 	if p.Addr() != "" {
 		t.Error("it listens")
 	}
 }
 
 func TestABadAddressEndsTheStart(t *testing.T) {
-	o := options("a", &rig.Capture{})
+	o := options("a", &testsupport.Capture{})
 	for _, addr := range []string{"127.0.0.1", "here:1", "192.0.2.1:1"} {
 		o.Listen = addr
 		if _, err := New(o); err == nil || !strings.HasPrefix(err.Error(), "peers: ") || strings.Contains(err.Error(), "\n") {
@@ -261,7 +261,7 @@
 
 // Addresses that nobody has are called again, and those that come to the list meanwhile too.
 func TestDeadAddressesAreCalledUntilSomebodyIsThere(t *testing.T) {
-	log := &rig.Capture{}
+	log := &testsupport.Capture{}
 	a, _ := start(t, options("a", log))
 	var there atomic.Bool
 	o := options("b", log)
@@ -272,9 +272,9 @@
 		return []string{"127.0.0.1:1", "127.0.0.1:2"}
 	}
 	b, _ := start(t, o)
-	rig.Until(t, "a word of it", func() bool { return log.Has("nobody answers") })
+	testsupport.Until(t, "a word of it", func() bool { return log.Has("nobody answers") })
 	there.Store(true)
-	rig.Until(t, "both to know each other", func() bool { return a.View().Alive == 2 && b.View().Alive == 2 })
+	testsupport.Until(t, "both to know each other", func() bool { return a.View().Alive == 2 && b.View().Alive == 2 })
 }
 
 // caller is somebody who sends what the test has it send.
@@ -301,7 +301,7 @@
 
 // Members of another version, without a name, or beyond the bound are not taken.
 func TestMembersThatAreNotTaken(t *testing.T) {
-	log := &rig.Capture{}
+	log := &testsupport.Capture{}
 	o := options("a", log)
 	o.Members, o.Probe = 2, time.Hour // nobody is lost
 	p, _ := start(t, o)
@@ -326,13 +326,13 @@
 	} {
 		was := p.View().Refused
 		c.Write(raw)
-		rig.Until(t, name+" to be refused", func() bool { return p.View().Refused == was+1 })
+		testsupport.Until(t, name+" to be refused", func() bool { return p.View().Refused == was+1 })
 	}
 	c.Write(change("\x64bbbb", "\x64cccc"))
-	rig.Until(t, "one that is good", func() bool { return p.View().Alive == 2 })
+	testsupport.Until(t, "one that is good", func() bool { return p.View().Alive == 2 })
 	c.Write(e.seal(forDatagram, good))
-	rig.Until(t, "one beyond the bound", func() bool { return p.quay.Load().roster.Counts().Roster.Full > 0 })
-	rig.Until(t, "a word of it", func() bool { return log.Has("no more members") })
+	testsupport.Until(t, "one beyond the bound", func() bool { return p.quay.Load().roster.Counts().Roster.Full > 0 })
+	testsupport.Until(t, "a word of it", func() bool { return log.Has("no more members") })
 	if v := p.View(); len(v.Members) != 2 || v.Members[1].Name != "cccc" {
 		t.Errorf("%+v", v)
 	}
@@ -342,7 +342,7 @@
 func TestWholeStatesAreExchanged(t *testing.T) {
 	var all []*Peers
 	for _, name := range []string{"a", "b", "c"} {
-		o := options(name, &rig.Capture{})
+		o := options(name, &testsupport.Capture{})
 		o.BytesASec, o.Key = 0, []byte("0123456789abcdef")
 		if name != "b" {
 			o.Exchange = time.Hour // it is asked, and answers
@@ -353,48 +353,48 @@
 		p, _ := start(t, o)
 		all = append(all, p)
 	}
-	rig.Until(t, "all to know each other", func() bool { return all[0].View().Alive == 3 })
+	testsupport.Until(t, "all to know each other", func() bool { return all[0].View().Alive == 3 })
 	for n := range uint64(3) { // the first may go with the states that are exchanged as they meet
 		all[0].Count(0, 0, shared.Requests)
-		rig.Until(t, "the counts", func() bool { return count(all[1], "look") == n+1 && count(all[2], "look") == n+1 })
+		testsupport.Until(t, "the counts", func() bool { return count(all[1], "look") == n+1 && count(all[2], "look") == n+1 })
 	}
 }
 
 // Counts are told, and a farewell is, without a probe or an exchange.
 func TestCountsAndFarewellsWaitForNoProbe(t *testing.T) {
-	oa, ob := options("a", &rig.Capture{}), options("b", &rig.Capture{})
+	oa, ob := options("a", &testsupport.Capture{}), options("b", &testsupport.Capture{})
 	oa.Probe, oa.Exchange = time.Hour, time.Hour
 	ob.Probe, ob.Exchange = time.Hour, time.Hour
 	a, _ := start(t, oa)
 	ob.Join = join(a)
 	b, end := start(t, ob)
-	rig.Until(t, "both to know each other", func() bool { return a.View().Alive == 2 && b.View().Alive == 2 })
+	testsupport.Until(t, "both to know each other", func() bool { return a.View().Alive == 2 && b.View().Alive == 2 })
 	for n := range uint64(3) { // the first may go with the state that is exchanged as they meet
 		b.Count(0, 0, shared.Requests)
-		rig.Until(t, "its counts", func() bool { return count(a, "look") == n+1 })
+		testsupport.Until(t, "its counts", func() bool { return count(a, "look") == n+1 })
 	}
 	end()
-	rig.Until(t, "its farewell", func() bool { return a.View().Alive == 1 })
+	testsupport.Until(t, "its farewell", func() bool { return a.View().Alive == 1 })
 }
 
 // One that is told to stop leaves what it has counted with others, whatever its line allowed it to tell before.
 func TestOneThatGoesHandsOnItsCounts(t *testing.T) {
-	log := &rig.Capture{}
+	log := &testsupport.Capture{}
 	a, _ := start(t, options("a", log))
 	o := options("b", log)
 	o.Join, o.Exchange, o.BytesASec = join(a), time.Hour, 0
 	b, end := start(t, o)
-	rig.Until(t, "both to know each other", func() bool { return a.View().Alive == 2 && b.View().Alive == 2 })
+	testsupport.Until(t, "both to know each other", func() bool { return a.View().Alive == 2 && b.View().Alive == 2 })
 	for range 7 {
 		b.Count(0, 0, shared.Requests)
 	}
 	end()
-	rig.Until(t, "what it had counted", func() bool { return count(a, "look") == 7 })
+	testsupport.Until(t, "what it had counted", func() bool { return count(a, "look") == 7 })
 }
 
 // Connections that come while it shuts down hold nothing up, though nobody says anything by them.
 func TestShutdownWaitsForNoConnection(t *testing.T) {
-	o := options("a", &rig.Capture{})
+	o := options("a", &testsupport.Capture{})
 	o.Probe = time.Hour // connections have their longest time
 	p, err := New(o)
 	if err != nil {
@@ -410,7 +410,7 @@
 	ended := make(chan time.Duration, 1)
 	began := time.Now()
 	go func() { p.Close(); ended <- time.Since(began) }()
-	if took := rig.Receive(t, ended); took > streamFor/2 {
+	if took := testsupport.Receive(t, ended); took > streamFor/2 {
 		t.Errorf("it took %v", took)
 	}
 }
--- a/internal/proxy/start_test.go
+++ b/internal/proxy/start_test.go
@@ -14,10 +14,10 @@
 	"saltmast/internal/backends"
 	"saltmast/internal/configuration"
 	"saltmast/internal/dataplane"
-	"saltmast/internal/drydock/sea"
 	"saltmast/internal/messages"
 	"saltmast/internal/rpc"
 	"saltmast/internal/settings"
+	"saltmast/internal/simulation/sea"
 )
 
 // many is a configuration of n routes, all of one change.
--- a/internal/reconfig/explore_test.go
+++ b/internal/reconfig/explore_test.go
@@ -9,8 +9,8 @@
 
 	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
-	"saltmast/internal/explore"
 	"saltmast/internal/idempotency"
+	"saltmast/internal/modelcheck"
 )
 
 // The whole space of one change of the roll: voters 0, 1 and 2, a joiner 3, two proposers of different rolls, and either two
@@ -655,11 +655,11 @@
 				}
 			}
 		}
-		if c.k.long && !*all || explore.Slow && c.why == "" {
+		if c.k.long && !*all || modelcheck.Slow && c.why == "" {
 			continue
 		}
-		n, err := explore.Whole(first, c.k.next, broken, 6e6)
-		var b *explore.Broken
+		n, err := modelcheck.Whole(first, c.k.next, broken, 6e6)
+		var b *modelcheck.Broken
 		switch {
 		case err != nil && !errors.As(err, &b), c.why == "" && err != nil:
 			t.Errorf("%s: %v", c.name, err)
--- a/internal/registry/contact_test.go
+++ b/internal/registry/contact_test.go
@@ -8,12 +8,12 @@
 
 	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
-	"saltmast/internal/drydock/sea"
 	"saltmast/internal/errcode"
 	"saltmast/internal/lease"
 	"saltmast/internal/messages"
 	"saltmast/internal/quorum"
 	"saltmast/internal/rpc"
+	"saltmast/internal/simulation/sea"
 )
 
 // Contact is with a majority that spoke lately, in this epoch, unsealed, and knows of nothing that is not known here; whatever
--- a/internal/registry/harbour_test.go
+++ b/internal/registry/harbour_test.go
@@ -11,11 +11,11 @@
 	"saltmast/internal/backends"
 	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
-	"saltmast/internal/drydock/sea"
 	"saltmast/internal/errcode"
 	"saltmast/internal/messages"
 	"saltmast/internal/quorum"
 	"saltmast/internal/rpc"
+	"saltmast/internal/simulation/sea"
 )
 
 // ashore is a harbour without goroutines, sockets or members.
--- a/internal/registry/lag_test.go
+++ b/internal/registry/lag_test.go
@@ -10,12 +10,12 @@
 
 	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
-	"saltmast/internal/drydock/sea"
 	"saltmast/internal/errcode"
 	"saltmast/internal/lease"
 	"saltmast/internal/messages"
 	"saltmast/internal/quorum"
 	"saltmast/internal/rpc"
+	"saltmast/internal/simulation/sea"
 )
 
 // A member that lacks more than it can be told at once counts for nothing, until it has been taught in pages, which a
--- a/internal/registry/number_test.go
+++ b/internal/registry/number_test.go
@@ -10,11 +10,11 @@
 
 	"saltmast/internal/configuration"
 	"saltmast/internal/consensus"
-	"saltmast/internal/drydock/sea"
 	"saltmast/internal/errcode"
 	"saltmast/internal/messages"
 	"saltmast/internal/quorum"
 	"saltmast/internal/rpc"
+	"saltmast/internal/simulation/sea"
 )
 
 // chamber is a harbour without proxies, and three members that have accepted what a test says, the last of its sets at each.
--- a/internal/rpc/walk_test.go
+++ b/internal/rpc/walk_test.go
@@ -13,9 +13,9 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/drydock/sea"
 	"saltmast/internal/errcode"
-	"saltmast/internal/explore"
+	"saltmast/internal/modelcheck"
+	"saltmast/internal/simulation/sea"
 	"saltmast/internal/sock"
 )
 
@@ -207,7 +207,7 @@
 	return &callWalk{p: p, net: p, port: 1000}
 }
 
-var walkOfCalls = explore.Walk[*callWalk]{Deeds: len(peerDeeds), Deed: func(i int) string { return peerDeeds[i].name }, Length: 3,
+var walkOfCalls = modelcheck.Walk[*callWalk]{Deeds: len(peerDeeds), Deed: func(i int) string { return peerDeeds[i].name }, Length: 3,
 	Ways: []string{"one by one", "at once"}, Begin: newCallWalk, World: callWorld, End: func(w *callWalk) { w.p.End() }}
 
 // Whatever happens to a call, and to those before it, none gets another's answer.
--- a/internal/drydock/acks_test.go
+++ b/internal/simulation/acks_test.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // An order that any agent is asked for first, the lost one too, is acknowledged soon while a core machine is lost in some way: at once
--- a/internal/drydock/backend.go
+++ b/internal/simulation/backend.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"saltmast/internal/drydock/sea"
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/sea"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // backend is one life of a stand-in for an application.
--- a/internal/drydock/contact.go
+++ b/internal/simulation/contact.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"net"
 	"time"
 
-	"saltmast/internal/drydock/sea"
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/sea"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // Days on which a machine has no contact with a majority of the core for twenty seconds, while orders come to it and proxies
--- a/internal/drydock/day.go
+++ b/internal/simulation/day.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // Day is a kind of day: what happens in it besides clients.
--- a/internal/drydock/days.go
+++ b/internal/simulation/days.go
@@ -1,11 +1,11 @@
-package drydock
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // Days are the kinds of days that are played.
--- a/internal/drydock/epochs.go
+++ b/internal/simulation/epochs.go
@@ -1,13 +1,13 @@
-package drydock
+package simulation
 
 import (
 	"fmt"
 	"path/filepath"
 	"time"
 
-	"saltmast/internal/drydock/surveyor"
 	"saltmast/internal/messages"
 	"saltmast/internal/rpc"
+	"saltmast/internal/simulation/surveyor"
 	"saltmast/internal/store"
 )
 
--- a/internal/drydock/flaws.go
+++ b/internal/simulation/flaws.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"net"
@@ -7,10 +7,10 @@
 	"strconv"
 	"time"
 
-	"saltmast/internal/drydock/surveyor"
 	"saltmast/internal/idempotency"
 	"saltmast/internal/messages"
 	"saltmast/internal/rpc"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // What flawed worlds are made of, where settings are not enough.
--- a/internal/drydock/hunt.go
+++ b/internal/simulation/hunt.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // Variant is a day with its seed, and what was changed of its kind.
--- a/internal/drydock/inner.go
+++ b/internal/simulation/inner.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // innerMark is in the path of a call that a run makes. Its own run makes none.
--- a/internal/drydock/known_test.go
+++ b/internal/simulation/known_test.go
@@ -1,9 +1,9 @@
-package drydock
+package simulation
 
 import (
 	"testing"
 
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // A known breach is passed over for its kind and rule alone, and not beside another one.
--- a/internal/drydock/longcuts.go
+++ b/internal/simulation/longcuts.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"net"
 	"time"
 
-	"saltmast/internal/drydock/sea"
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/sea"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // Days of cuts that leave parts of the core in contact, or that change without a calm between, with backends that leave amid them.
--- a/internal/drydock/longdays_test.go
+++ b/internal/simulation/longdays_test.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/almanac"
+	"saltmast/internal/faultschedule"
 	"saltmast/internal/settings"
 )
 
@@ -133,7 +133,7 @@
 			}
 		}
 	}
-	for _, name := range almanac.Kinds() {
+	for _, name := range faultschedule.Kinds() {
 		if (count[name] == 0) != slices.Contains(notPlayed, name) {
 			t.Errorf("%s: %d in 30 days", name, count[name])
 		}
--- a/internal/drydock/loss.go
+++ b/internal/simulation/loss.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/surveyor"
 	"saltmast/internal/store"
 )
 
--- a/internal/drydock/missed.go
+++ b/internal/simulation/missed.go
@@ -1,11 +1,11 @@
-package drydock
+package simulation
 
 import (
 	"fmt"
 	"strings"
 	"time"
 
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/surveyor"
 	"saltmast/internal/store"
 )
 
--- a/internal/drydock/numbers.go
+++ b/internal/simulation/numbers.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/surveyor"
 	"saltmast/internal/store"
 )
 
--- a/internal/drydock/numbers_test.go
+++ b/internal/simulation/numbers_test.go
@@ -1,10 +1,10 @@
-package drydock
+package simulation
 
 import (
 	"strings"
 	"testing"
 
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // What operators hear of a register that doesn't keep one content to a number is noticed.
--- a/internal/drydock/orders.go
+++ b/internal/simulation/orders.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"saltmast/internal/drydock/sea"
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/sea"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // Operators as the operators' pages have them: up to eight orders under way at once, hundreds in a day; any agent may be asked, 307 is
--- a/internal/drydock/partings.go
+++ b/internal/simulation/partings.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"saltmast/internal/almanac"
+	"saltmast/internal/faultschedule"
 )
 
 // partings are the kinds of this file.
@@ -28,7 +28,7 @@
 	ways := []string{"behind", "split", "relieve"}
 	r.Shuffle(len(ways), func(i, j int) { ways[i], ways[j] = ways[j], ways[i] })
 	for i, way := range ways {
-		e := almanac.Entry{Kind: "core_cut", How: way + []string{"", " meet", " race", " drain"}[r.IntN(4)], For: 1.5 + 2*r.Float64(), Count: 1 + r.IntN(2)}
+		e := faultschedule.Entry{Kind: "core_cut", How: way + []string{"", " meet", " race", " drain"}[r.IntN(4)], For: 1.5 + 2*r.Float64(), Count: 1 + r.IntN(2)}
 		if w.leaves(fmt.Sprint("part ", i), e.How) {
 			continue
 		}
@@ -45,7 +45,7 @@
 // part cuts the core in two, in one of three ways. behind: a minority misses changes; then one of the others loses its disk, the rest are
 // dark, and the minority and the empty one are joined while they are. split: halves, or nearly. relieve: a minority misses changes, and
 // the processes of all others are killed just after it is back.
-func (p *almanacPlay) part(e almanac.Entry, r *rand.Rand) {
+func (p *almanacPlay) part(e faultschedule.Entry, r *rand.Rand) {
 	w, last := p.w, seconds(e.For)
 	has := func(word string) bool { return strings.Contains(e.How, word) }
 	all := p.whom(e, r, len(w.core))
@@ -83,7 +83,7 @@
 	}
 	w.pause(last / 2)
 	if has("meet") || has("race") {
-		p.follows(almanac.Entry{How: e.How}, r, near[0])
+		p.follows(faultschedule.Entry{How: e.How}, r, near[0])
 	}
 	w.pause(last / 2)
 	switch {
--- a/internal/drydock/people.go
+++ b/internal/simulation/people.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"sync/atomic"
 	"time"
 
-	"saltmast/internal/drydock/sea"
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/sea"
+	"saltmast/internal/simulation/surveyor"
 )
 
 func newReader(c net.Conn) *bufio.Reader { return bufio.NewReaderSize(c, 4<<10) }
--- a/internal/drydock/roster_test.go
+++ b/internal/simulation/roster_test.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"slices"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // TestGoneMachinesAreForgotten: what is known of a machine that is long gone is dropped everywhere, and it is taken up again when
--- a/internal/drydock/seeds.go
+++ b/internal/simulation/seeds.go
@@ -1,10 +1,10 @@
-package drydock
+package simulation
 
 import (
 	"net"
 	"time"
 
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // reload gives a machine's programs other seeds, as a change of the settings file and a SIGHUP do. Their next lives begin with them.
--- a/internal/drydock/shrink.go
+++ b/internal/simulation/shrink.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // Shrink looks for the smallest variant of a day that still breaks a rule: fewer steps, a shorter day, fewer faults, keys and
--- a/internal/drydock/stormdays.go
+++ b/internal/simulation/stormdays.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"saltmast/internal/almanac"
-	"saltmast/internal/drydock/sea"
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/faultschedule"
+	"saltmast/internal/simulation/sea"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // Storms of the almanac's kinds: what latchkit days writes for the bench, drawn from the day's seed and played here.
@@ -84,10 +84,10 @@
 }
 
 // stormSite is the dry dock as the almanac sees it.
-func stormSite(size Size) *almanac.Site {
-	s := &almanac.Site{Name: "dock", Length: 24, Contracts: []string{"health", "pool"},
-		Zones: []almanac.Named{{Name: "east"}, {Name: "west"}, {Name: "south"}}, Services: []almanac.Named{{Name: "pump"}, {Name: "ledger"}},
-		Machines: []almanac.Machines{{Class: "core", Count: size.Voters}}}
+func stormSite(size Size) *faultschedule.Site {
+	s := &faultschedule.Site{Name: "dock", Length: 24, Contracts: []string{"health", "pool"},
+		Zones: []faultschedule.Named{{Name: "east"}, {Name: "west"}, {Name: "south"}}, Services: []faultschedule.Named{{Name: "pump"}, {Name: "ledger"}},
+		Machines: []faultschedule.Machines{{Class: "core", Count: size.Voters}}}
 	if size.Sides > 6 {
 		s.Length = 40
 	}
@@ -99,11 +99,11 @@
 const stormsDrawn = 1000
 
 // stormDay is the day of a seed: seeds that follow each other are days of one draw, which deals every kind before one comes again.
-func stormDay(site *almanac.Site, seed uint64) (almanac.Day, error) {
+func stormDay(site *faultschedule.Site, seed uint64) (faultschedule.Day, error) {
 	names := slices.DeleteFunc(site.Plays(), func(n string) bool { return slices.Contains(notPlayed, n) })
-	days, err := almanac.Draw(site, seed/stormsDrawn, int(seed%stormsDrawn)+1, names)
+	days, err := faultschedule.Draw(site, seed/stormsDrawn, int(seed%stormsDrawn)+1, names)
 	if err != nil {
-		return almanac.Day{}, err
+		return faultschedule.Day{}, err
 	}
 	return days[len(days)-1], nil
 }
@@ -205,7 +205,7 @@
 }
 
 // whom picks core machines by the words of an entry: also those that found no roll, as nobody outside knows who does.
-func (p *almanacPlay) whom(e almanac.Entry, r *rand.Rand, n int) (got []*coreMachine) {
+func (p *almanacPlay) whom(e faultschedule.Entry, r *rand.Rand, n int) (got []*coreMachine) {
 	v := p.w.core
 	at := r.IntN(len(v))
 	if strings.Contains(e.How, "leader") {
@@ -225,7 +225,7 @@
 }
 
 // follows plays what the words of an entry say of its end, for one that counts.
-func (p *almanacPlay) follows(e almanac.Entry, r *rand.Rand, c *coreMachine) {
+func (p *almanacPlay) follows(e faultschedule.Entry, r *rand.Rand, c *coreMachine) {
 	meets, races := strings.Contains(e.How, "meet"), strings.Contains(e.How, "race")
 	if meets || races {
 		for range map[bool]int{true: 2, false: 1}[races] {
@@ -247,7 +247,7 @@
 }
 
 // ail has backends be ill for a while.
-func (p *almanacPlay) ail(e almanac.Entry, r *rand.Rand, a ailment) {
+func (p *almanacPlay) ail(e faultschedule.Entry, r *rand.Rand, a ailment) {
 	ms := p.take(r, e.Share, e.Service)
 	for _, m := range ms {
 		t := &surveyor.Trouble{Kind: e.Kind, Machine: m.name, Backend: true, From: p.w.now(), To: 1 << 60}
@@ -260,7 +260,7 @@
 }
 
 // play plays one entry to its end.
-func (p *almanacPlay) play(e almanac.Entry, r *rand.Rand) {
+func (p *almanacPlay) play(e faultschedule.Entry, r *rand.Rand) {
 	w, last := p.w, seconds(e.For)
 	has := func(word string) bool { return strings.Contains(e.How, word) }
 	switch e.Kind {
@@ -477,7 +477,7 @@
 }
 
 // sides does something to machines with a proxy.
-func (p *almanacPlay) sides(e almanac.Entry, r *rand.Rand, what string) {
+func (p *almanacPlay) sides(e faultschedule.Entry, r *rand.Rand, what string) {
 	w, last := p.w, seconds(e.For)
 	ms := p.take(r, e.Share, "")
 	defer p.give(ms)
@@ -537,7 +537,7 @@
 }
 
 // onCore does something to those that count, once it is borne.
-func (p *almanacPlay) onCore(e almanac.Entry, r *rand.Rand) {
+func (p *almanacPlay) onCore(e faultschedule.Entry, r *rand.Rand) {
 	w, last, n := p.w, seconds(e.For), max(1, e.Count)
 	has := func(word string) bool { return strings.Contains(e.How, word) }
 	parts := e.Kind == "core_cut" && (has("behind") || has("split") || has("relieve"))
@@ -618,7 +618,7 @@
 			continue
 		}
 		if has("meet") { // also while it is away
-			p.follows(almanac.Entry{How: "meet"}, r, c)
+			p.follows(faultschedule.Entry{How: "meet"}, r, c)
 		}
 		all.Go(one)
 	}
@@ -631,7 +631,7 @@
 		}
 		w.reseed(seeds)
 		w.pause(500 * time.Millisecond)
-		p.sides(almanac.Entry{Share: 0.2, For: 0.3}, r, "kill")
+		p.sides(faultschedule.Entry{Share: 0.2, For: 0.3}, r, "kill")
 	}
 	all.Wait()
 	if has("both") {
@@ -640,7 +640,7 @@
 }
 
 // bad sends a change that is not valid.
-func (p *almanacPlay) bad(e almanac.Entry, r *rand.Rand) {
+func (p *almanacPlay) bad(e faultschedule.Entry, r *rand.Rand) {
 	v := p.f.next()
 	wrong := route{name: fmt.Sprintf("r-wrong%d", v), prefix: fmt.Sprintf("/wrong%d/", v), kind: "idempotent", services: []string{"pump"}, deadline: 1, target: 0.3, attempts: 2}
 	switch {
--- a/internal/drydock/successors.go
+++ b/internal/simulation/successors.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/surveyor"
 	"saltmast/internal/store"
 )
 
--- a/internal/drydock/syncs_test.go
+++ b/internal/simulation/syncs_test.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"time"
 
 	"saltmast/internal/consensus"
-	"saltmast/internal/drydock/surveyor"
 	"saltmast/internal/idempotency"
 	"saltmast/internal/messages"
 	"saltmast/internal/rpc"
+	"saltmast/internal/simulation/surveyor"
 	"saltmast/internal/store"
 )
 
--- a/internal/drydock/water.go
+++ b/internal/simulation/water.go
@@ -1,12 +1,12 @@
-package drydock
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"saltmast/internal/drydock/sea"
-	"saltmast/internal/drydock/surveyor"
+	"saltmast/internal/simulation/sea"
+	"saltmast/internal/simulation/surveyor"
 )
 
 // lossy has a part of the packets of one machine, or of two of the proxies', be lost for a while, twice.
--- a/internal/drydock/within.go
+++ b/internal/simulation/within.go
@@ -1,4 +1,4 @@
-package drydock
+package simulation
 
 import (
 	"flag"
--- a/internal/drydock/world.go
+++ b/internal/simulation/world.go
@@ -1,6 +1,6 @@
-// Package drydock plays days of the mesh in virtual time: its real rooms in one process on a network in memory, with seeded
+// Package simulation plays days of the mesh in virtual time: its real rooms in one process on a network in memory, with seeded
 // troubles, stand-ins for backends, clients and the operator, and a surveyor who judges what these saw. Start reading at Play.
-package drydock
+package simulation
 
 import (
 	"cmp"
@@ -19,12 +19,12 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/drydock/sea"
-	"saltmast/internal/drydock/surveyor"
 	"saltmast/internal/messages"
 	"saltmast/internal/proxy"
 	"saltmast/internal/registry"
 	"saltmast/internal/settings"
+	"saltmast/internal/simulation/sea"
+	"saltmast/internal/simulation/surveyor"
 	"saltmast/internal/sock"
 	"saltmast/internal/store"
 )
--- a/internal/store/close_test.go
+++ b/internal/store/close_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"saltmast/internal/drydock/sea"
+	"saltmast/internal/simulation/sea"
 )
 
 // A purser that ends while its disk is being opened ends behind that: whoever then takes the folder away or begins the next life in
--- a/internal/rig/rig.go
+++ b/internal/testsupport/rig.go
@@ -1,6 +1,6 @@
-// Package rig is what the tests of several packages share: backends and Lists scripted by the test on real sockets,
+// Package testsupport is what the tests of several packages share: backends and Lists scripted by the test on real sockets,
 // and waiting. Nothing but tests may use it.
-package rig
+package testsupport
 
 import (
 	"bufio"
--- a/internal/upstream/rig_test.go
+++ b/internal/upstream/rig_test.go
@@ -3,26 +3,26 @@
 import (
 	"testing"
 
-	"saltmast/internal/rig"
+	"saltmast/internal/testsupport"
 )
 
 // Short names for what the rig has.
-const long = rig.Long
+const long = testsupport.Long
 
 type (
-	capture = rig.Capture
+	capture = testsupport.Capture
 )
 
 var (
-	logTo      = rig.LogTo
-	newPeer    = rig.NewPeer
-	answerWith = rig.AnswerWith
-	echo       = rig.Echo
-	hang       = rig.Hang
-	until      = rig.Until
+	logTo      = testsupport.LogTo
+	newPeer    = testsupport.NewPeer
+	answerWith = testsupport.AnswerWith
+	echo       = testsupport.Echo
+	hang       = testsupport.Hang
+	until      = testsupport.Until
 )
 
 func receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
-	return rig.Receive(t, c)
+	return testsupport.Receive(t, c)
 }
--- a/internal/upstream/thrift_conns_test.go
+++ b/internal/upstream/thrift_conns_test.go
@@ -12,8 +12,8 @@
 	"saltmast"
 	"saltmast/internal/core"
 	"saltmast/internal/discovery"
-	"saltmast/internal/rig"
 	"saltmast/internal/sock"
+	"saltmast/internal/testsupport"
 	"saltmast/internal/thrift"
 )
 
@@ -26,7 +26,7 @@
 }
 
 func reply200(c net.Conn, m *thrift.Message) bool {
-	c.Write(rig.Answered(m, "done", nil))
+	c.Write(testsupport.Answered(m, "done", nil))
 	return true
 }
 
@@ -80,7 +80,7 @@
 func TestThriftReusedConnectionBreaks(t *testing.T) {
 	eachProtocol(t, func(t *testing.T, call func() *core.Call) {
 		var n atomic.Int32
-		p := rig.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool { return n.Add(1) != 2 && reply200(c, m) })
+		p := testsupport.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool { return n.Add(1) != 2 && reply200(c, m) })
 		b := newBackends(t, p.Addr())
 		if res, _ := b.try(call(), long); res != saltmast.OK {
 			t.Fatalf("first: result %d", res)
@@ -103,7 +103,7 @@
 		t.Run(name, func(t *testing.T) {
 			eachProtocol(t, func(t *testing.T, call func() *core.Call) {
 				more := make(chan struct{})
-				p := rig.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool {
+				p := testsupport.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool {
 					reply200(c, m)
 					<-more
 					return after(c, m)
@@ -138,7 +138,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			eachProtocol(t, func(t *testing.T, call func() *core.Call) {
-				p := rig.NewThriftPeer(t, reply200)
+				p := testsupport.NewThriftPeer(t, reply200)
 				b, q := newBackends(t, p.Addr()), call()
 				b.pool.Control = func(uintptr) error { tt.event(b, q); return nil }
 				if res, _ := b.try(q, long); res != tt.want {
@@ -155,7 +155,7 @@
 }
 
 // twoKept has b keep two connections to p, which answers when gate is closed.
-func twoKept(t *testing.T, b *Backends, p *rig.ThriftPeer, gate chan struct{}, call func() *core.Call) {
+func twoKept(t *testing.T, b *Backends, p *testsupport.ThriftPeer, gate chan struct{}, call func() *core.Call) {
 	t.Helper()
 	done := make(chan saltmast.Result, 2)
 	for range 2 {
@@ -188,7 +188,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			eachProtocol(t, func(t *testing.T, call func() *core.Call) {
 				gate, trouble := make(chan struct{}), make(chan bool, 1)
-				p := rig.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool {
+				p := testsupport.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool {
 					select {
 					case silent := <-trouble:
 						if silent {
@@ -224,7 +224,7 @@
 // A given up attempt takes its connection along; what ends first is kept.
 func TestThriftCancelClosesTheConnection(t *testing.T) {
 	eachProtocol(t, func(t *testing.T, call func() *core.Call) {
-		p := rig.NewThriftPeer(t, func(net.Conn, *thrift.Message) bool { return true }) // reads on
+		p := testsupport.NewThriftPeer(t, func(net.Conn, *thrift.Message) bool { return true }) // reads on
 		b := newBackends(t, p.Addr())
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan saltmast.Result, 1)
@@ -244,7 +244,7 @@
 // At the limit an idle connection elsewhere makes room; where none is idle, nothing has run.
 func TestThriftConnectionLimit(t *testing.T) {
 	eachProtocol(t, func(t *testing.T, call func() *core.Call) {
-		p, q := rig.NewThriftPeer(t, reply200), rig.NewThriftPeer(t, reply200)
+		p, q := testsupport.NewThriftPeer(t, reply200), testsupport.NewThriftPeer(t, reply200)
 		b := newBackends(t, p.Addr(), q.Addr())
 		b.pool.SetLimit(1)
 		if res, _ := b.try(call(), long); res != saltmast.OK {
--- a/internal/upstream/thrift_test.go
+++ b/internal/upstream/thrift_test.go
@@ -8,7 +8,7 @@
 
 	"saltmast"
 	"saltmast/internal/core"
-	"saltmast/internal/rig"
+	"saltmast/internal/testsupport"
 	"saltmast/internal/thrift"
 )
 
@@ -24,7 +24,10 @@
 func TestThriftOutcomes(t *testing.T) {
 	type do = func(net.Conn, *thrift.Message) bool
 	say := func(change func(*thrift.Message)) do {
-		return func(c net.Conn, m *thrift.Message) bool { c.Write(rig.Answered(m, "done", change)); return true }
+		return func(c net.Conn, m *thrift.Message) bool {
+			c.Write(testsupport.Answered(m, "done", change))
+			return true
+		}
 	}
 	except := func(kind thrift.ApplicationException, text string) do {
 		return func(c net.Conn, m *thrift.Message) bool {
@@ -37,7 +40,7 @@
 	}
 	part := func(n int) do {
 		return func(c net.Conn, m *thrift.Message) bool {
-			whole := rig.Answered(m, "done", nil)
+			whole := testsupport.Answered(m, "done", nil)
 			c.Write(whole[:len(whole)-n])
 			return false
 		}
@@ -76,7 +79,7 @@
 		}, long, saltmast.Errored, false},
 		{"a call in place of a reply", say(func(m *thrift.Message) { m.Type = thrift.Call }), long, saltmast.Errored, false},
 		{"two replies", func(c net.Conn, m *thrift.Message) bool {
-			b := rig.Answered(m, "done", nil)
+			b := testsupport.Answered(m, "done", nil)
 			c.Write(append(b, b...))
 			return true
 		}, long, saltmast.OK, false},
@@ -92,7 +95,7 @@
 	} {
 		for _, p := range []thrift.Protocol{thrift.Binary, thrift.Compact} {
 			t.Run(tt.name+"/"+p.String(), func(t *testing.T) {
-				peer := rig.NewThriftPeer(t, tt.do)
+				peer := testsupport.NewThriftPeer(t, tt.do)
 				b := newBackends(t, peer.Addr())
 				res, r := b.try(sale(p), tt.wait)
 				if res != tt.want {
@@ -120,7 +123,7 @@
 
 // A oneway call is done once its last byte is written: nothing comes back.
 func TestThriftOneway(t *testing.T) {
-	peer := rig.NewThriftPeer(t, func(net.Conn, *thrift.Message) bool { return true })
+	peer := testsupport.NewThriftPeer(t, func(net.Conn, *thrift.Message) bool { return true })
 	b := newBackends(t, peer.Addr())
 	q := sale(thrift.Binary)
 	q.Payload.(*Thrift).Call.Type = thrift.Oneway
@@ -135,9 +138,9 @@
 // A server is probed by a method that has no effect, where one is named.
 func TestThriftProbe(t *testing.T) {
 	up := true
-	peer := rig.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool {
+	peer := testsupport.NewThriftPeer(t, func(c net.Conn, m *thrift.Message) bool {
 		if up {
-			c.Write(rig.Answered(m, "", nil))
+			c.Write(testsupport.Answered(m, "", nil))
 		} else {
 			c.Write(thrift.AppendException(nil, m, thrift.InternalError, "no"))
 		}
