--- a/cmd/latchkit/main_test.go
+++ b/cmd/latchkit/main_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/rogpeppe/go-internal/testscript"
 
-	"saltmast/internal/settles"
-	settleslog "saltmast/internal/settles/log"
+	"saltmast/internal/requestlog"
+	settleslog "saltmast/internal/requestlog/log"
 )
 
 func TestMain(m *testing.M) {
@@ -33,10 +33,10 @@
 	ts.Check(os.RemoveAll(dir))
 	w, err := settleslog.Open(settleslog.Options{FS: settleslog.Dir(dir), Segment: settleslog.MinSegment})
 	ts.Check(err)
-	one, err := w.Intent(context.Background(), settles.Intent{Request: "s-1", Class: "sale-settle", Account: "fleet-7", Server: "auth-1", Addr: "127.0.0.1:1", At: time.Now()})
+	one, err := w.Intent(context.Background(), requestlog.Intent{Request: "s-1", Class: "sale-settle", Account: "fleet-7", Server: "auth-1", Addr: "127.0.0.1:1", At: time.Now()})
 	ts.Check(err)
-	w.Outcome(one, settles.Served, 200)
-	_, err = w.Intent(context.Background(), settles.Intent{Request: "s-2", Class: "sale-settle", Account: "fleet-7", Server: "auth-2", Addr: "127.0.0.1:2", At: time.Now()})
+	w.Outcome(one, requestlog.Served, 200)
+	_, err = w.Intent(context.Background(), requestlog.Intent{Request: "s-2", Class: "sale-settle", Account: "fleet-7", Server: "auth-2", Addr: "127.0.0.1:2", At: time.Now()})
 	ts.Check(err)
 	ts.Check(w.Close())
 	if len(args) > 1 && args[1] == "damage" {
--- a/cmd/latchkit/settles.go
+++ b/cmd/latchkit/settles.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
-	"saltmast/internal/settles"
-	settleslog "saltmast/internal/settles/log"
+	"saltmast/internal/requestlog"
+	settleslog "saltmast/internal/requestlog/log"
 )
 
 // settlesFlags are the flags that the subcommands of settles share.
@@ -77,7 +77,7 @@
 // journal is one that was read.
 type journal struct {
 	dir      string
-	book     *settles.Book
+	book     *requestlog.Book
 	report   *settleslog.Report
 	from, to time.Time
 }
@@ -104,8 +104,8 @@
 	} else if !info.IsDir() {
 		return nil, usage(fmt.Errorf("%s is no folder", dir))
 	}
-	j.book = settles.NewBook(func(i *settles.Intent) bool {
-		return (f.id == "" || i.Request == settles.Clip(f.id)) && (f.account == "" || i.Account == settles.Clip(f.account)) && (f.key == "" || i.Key == settles.Clip(f.key))
+	j.book = requestlog.NewBook(func(i *requestlog.Intent) bool {
+		return (f.id == "" || i.Request == requestlog.Clip(f.id)) && (f.account == "" || i.Account == requestlog.Clip(f.account)) && (f.key == "" || i.Key == requestlog.Clip(f.key))
 	})
 	var err error
 	if j.report, err = settleslog.Read(settleslog.Dir(dir), j.book); err != nil {
@@ -119,34 +119,34 @@
 
 // line is one request as it is printed in JSON.
 type line struct {
-	Request  string         `json:"request"`
-	Answer   settles.Answer `json:"answer"`
-	Server   string         `json:"server,omitempty"`
-	Addr     string         `json:"addr,omitempty"`
-	At       *time.Time     `json:"at,omitempty"` // of the answer, or else of the hand-over
-	Result   string         `json:"result,omitempty"`
-	Attempts []attemptLine  `json:"attempts"`
-	Doubts   []string       `json:"doubts,omitempty"`
-	Note     string         `json:"note,omitempty"`
+	Request  string            `json:"request"`
+	Answer   requestlog.Answer `json:"answer"`
+	Server   string            `json:"server,omitempty"`
+	Addr     string            `json:"addr,omitempty"`
+	At       *time.Time        `json:"at,omitempty"` // of the answer, or else of the hand-over
+	Result   string            `json:"result,omitempty"`
+	Attempts []attemptLine     `json:"attempts"`
+	Doubts   []string          `json:"doubts,omitempty"`
+	Note     string            `json:"note,omitempty"`
 }
 
 type attemptLine struct {
-	Attempt int            `json:"attempt"`
-	Seq     uint64         `json:"seq"`
-	Class   string         `json:"class"`
-	Account string         `json:"account,omitempty"`
-	Key     string         `json:"key,omitempty"`
-	Server  string         `json:"server"`
-	Addr    string         `json:"addr"`
-	At      time.Time      `json:"at"`
-	Digest  string         `json:"body_sha256"`
-	Answer  settles.Answer `json:"answer"`
-	Result  string         `json:"result,omitempty"`
-	Status  int            `json:"status,omitempty"`
-	Ended   *time.Time     `json:"ended,omitempty"`
+	Attempt int               `json:"attempt"`
+	Seq     uint64            `json:"seq"`
+	Class   string            `json:"class"`
+	Account string            `json:"account,omitempty"`
+	Key     string            `json:"key,omitempty"`
+	Server  string            `json:"server"`
+	Addr    string            `json:"addr"`
+	At      time.Time         `json:"at"`
+	Digest  string            `json:"body_sha256"`
+	Answer  requestlog.Answer `json:"answer"`
+	Result  string            `json:"result,omitempty"`
+	Status  int               `json:"status,omitempty"`
+	Ended   *time.Time        `json:"ended,omitempty"`
 }
 
-func lineOf(f settles.Finding) line {
+func lineOf(f requestlog.Finding) line {
 	l := line{Request: f.Request, Answer: f.Answer, Attempts: []attemptLine{}, Doubts: f.Doubts}
 	utc := func(t time.Time) *time.Time { u := t.UTC(); return &u }
 	for i, a := range f.Attempts {
@@ -164,7 +164,7 @@
 		l.Server, l.Addr, l.At = a.Intent.Server, a.Intent.Addr, utc(a.Intent.At)
 		if a.Outcome != nil {
 			l.Result = a.Outcome.Result.String()
-			if f.Answer == settles.Answered {
+			if f.Answer == requestlog.Answered {
 				l.At = utc(a.Outcome.At)
 			}
 		}
@@ -177,9 +177,9 @@
 func (l line) print(w io.Writer) {
 	fmt.Fprintf(w, "%s: %s", l.Request, l.Answer)
 	switch l.Answer {
-	case settles.Answered:
+	case requestlog.Answered:
 		fmt.Fprintf(w, " (%s) by %s (%s) at %s", l.Result, l.Server, l.Addr, l.At.Format(stamp))
-	case settles.Handed:
+	case requestlog.Handed:
 		fmt.Fprintf(w, ": %s (%s) at %s", l.Server, l.Addr, l.At.Format(stamp))
 	}
 	fmt.Fprintln(w)
@@ -204,7 +204,7 @@
 	if l.Note != "" {
 		fmt.Fprintln(w, "  "+l.Note)
 	}
-	if l.Answer == settles.CannotTell {
+	if l.Answer == requestlog.CannotTell {
 		for _, d := range l.Doubts {
 			fmt.Fprintln(w, "  doubt: "+d)
 		}
@@ -212,11 +212,11 @@
 }
 
 // show prints findings, and tells by the status whether one of them can't be told.
-func (f *settlesFlags) show(cmd *cobra.Command, found []settles.Finding) error {
+func (f *settlesFlags) show(cmd *cobra.Command, found []requestlog.Finding) error {
 	lines := []line{}
 	unsure := false
 	for _, x := range found {
-		unsure = unsure || x.Answer == settles.CannotTell
+		unsure = unsure || x.Answer == requestlog.CannotTell
 		lines = append(lines, lineOf(x))
 	}
 	if f.asJSON {
@@ -242,10 +242,10 @@
 
 func (f *settlesFlags) find(cmd *cobra.Command, j *journal) error {
 	if f.id != "" {
-		return f.show(cmd, []settles.Finding{j.book.Find(settles.Clip(f.id), j.from, j.to)})
+		return f.show(cmd, []requestlog.Finding{j.book.Find(requestlog.Clip(f.id), j.from, j.to)})
 	}
-	var found []settles.Finding
-	j.book.Each(func(x settles.Finding) {
+	var found []requestlog.Finding
+	j.book.Each(func(x requestlog.Finding) {
 		if j.within(x) {
 			found = append(found, x)
 		}
@@ -263,14 +263,14 @@
 			fmt.Fprintln(cmd.OutOrStdout(), "  doubt: "+d)
 		}
 	}
-	if none.Answer == settles.CannotTell {
+	if none.Answer == requestlog.CannotTell {
 		return &ending{status: statusBroke}
 	}
 	return nil
 }
 
 // within reports whether a request has an attempt between the times that were asked for.
-func (j *journal) within(x settles.Finding) bool {
+func (j *journal) within(x requestlog.Finding) bool {
 	for _, a := range x.Attempts {
 		if at := a.Intent.At; (j.from.IsZero() || !at.Before(j.from)) && (j.to.IsZero() || !at.After(j.to)) {
 			return true
@@ -280,7 +280,7 @@
 }
 
 func (f *settlesFlags) listOpen(cmd *cobra.Command, j *journal) error {
-	var found []settles.Finding
+	var found []requestlog.Finding
 	seen := map[string]bool{}
 	for _, a := range j.book.Open() {
 		if id := a.Intent.Request; !seen[id] {
@@ -295,8 +295,8 @@
 }
 
 func (f *settlesFlags) between(cmd *cobra.Command, j *journal) error {
-	var found []settles.Finding
-	j.book.Each(func(x settles.Finding) {
+	var found []requestlog.Finding
+	j.book.Each(func(x requestlog.Finding) {
 		if j.within(x) {
 			found = append(found, x)
 		}
@@ -310,7 +310,7 @@
 func (f *settlesFlags) export(cmd *cobra.Command, j *journal) error {
 	e := json.NewEncoder(cmd.OutOrStdout())
 	var err error
-	j.book.Each(func(x settles.Finding) {
+	j.book.Each(func(x requestlog.Finding) {
 		if err == nil && j.within(x) {
 			err = e.Encode(lineOf(x))
 		}
@@ -360,7 +360,7 @@
 	out := cmd.OutOrStdout()
 	if f.asJSON {
 		return printJSON(out, struct {
-			settles.Stat
+			requestlog.Stat
 			Segments int   `json:"segments"`
 			Bytes    int64 `json:"bytes"`
 		}{s, len(j.report.Segments), j.report.Bytes})
--- a/cmd/latchkit/voyage.go
+++ b/cmd/latchkit/voyage.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"saltmast/internal/logbook"
+	"saltmast/internal/loganalysis"
 )
 
 // voyageLine bounds one line of a log.
@@ -45,7 +45,7 @@
 			if !(f.every >= 0.001 && f.every <= 86400) {
 				return usage(fmt.Errorf("--every: seconds from 0.001 to 86400 wanted, got %v", f.every))
 			}
-			b := logbook.New(time.Duration(math.Round(f.every * float64(time.Second))))
+			b := loganalysis.New(time.Duration(math.Round(f.every * float64(time.Second))))
 			for _, name := range args {
 				if err := readLog(b, name, cmd.InOrStdin()); err != nil {
 					return other(err)
@@ -63,7 +63,7 @@
 }
 
 // readLog reads one log, a line at a time. A last line without an end may be one that was being written.
-func readLog(b *logbook.Book, name string, in io.Reader) error {
+func readLog(b *loganalysis.Book, name string, in io.Reader) error {
 	if name != "-" {
 		f, err := os.Open(name)
 		if err != nil {
@@ -92,13 +92,13 @@
 	}
 }
 
-func (f *voyageFlags) tell(out io.Writer, d *logbook.Day) error {
+func (f *voyageFlags) tell(out io.Writer, d *loganalysis.Day) error {
 	if d.Lines == 0 {
 		return errors.New("no line of a program in what was given")
 	}
 	if f.html != "" {
 		var page bytes.Buffer
-		if err := logbook.Page(&page, d); err != nil {
+		if err := loganalysis.Page(&page, d); err != nil {
 			return err
 		}
 		if err := os.WriteFile(f.html, page.Bytes(), 0o644); err != nil {
@@ -115,7 +115,7 @@
 	return w.Flush()
 }
 
-func (f *voyageFlags) table(w io.Writer, d *logbook.Day) {
+func (f *voyageFlags) table(w io.Writer, d *loganalysis.Day) {
 	fmt.Fprintf(w, "%s to %s UTC, %d proxies: %d heads read", d.From.Format("2006-01-02 15:04:05"),
 		d.To.Format("2006-01-02 15:04:05"), len(d.Machines), d.Requests)
 	if d.InTarget+d.Lost > 0 {
@@ -147,7 +147,7 @@
 		}
 	}
 	sep := "\nchanges: "
-	for _, e := range logbook.Lanes {
+	for _, e := range loganalysis.Lanes {
 		if n := d.Events[e]; n > 0 {
 			fmt.Fprintf(w, "%s%s %d", sep, e, n)
 			sep = ", "
--- a/cmd/lookout/main.go
+++ b/cmd/lookout/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"saltmast/internal/lookout"
+	"saltmast/internal/console"
 )
 
-func main() { os.Exit(lookout.Main(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(console.Main(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -23,7 +23,7 @@
 	thriftfront "saltmast/internal/front/thrift"
 	"saltmast/internal/handover"
 	"saltmast/internal/peers"
-	settleslog "saltmast/internal/settles/log"
+	settleslog "saltmast/internal/requestlog/log"
 	"saltmast/internal/shared"
 	"saltmast/internal/thrift"
 	"saltmast/internal/upstream"
--- a/internal/agent/journal.go
+++ b/internal/agent/journal.go
@@ -7,8 +7,8 @@
 
 	"saltmast/internal/config"
 	"saltmast/internal/front/http"
-	"saltmast/internal/settles"
-	settleslog "saltmast/internal/settles/log"
+	"saltmast/internal/requestlog"
+	settleslog "saltmast/internal/requestlog/log"
 )
 
 // openJournal takes the journal of settles up. From here on one that can't be written is told in the log, once each way.
@@ -25,7 +25,7 @@
 		},
 		Trouble: func(why string) { log.Error("the journal of settles had to give up a segment", "why", why) }}
 	if s.ServesUnrecorded() {
-		o.Policy = settles.ServeUnrecorded
+		o.Policy = requestlog.ServeUnrecorded
 	}
 	w, err := settleslog.Open(o)
 	if err != nil {
@@ -42,7 +42,7 @@
 	}
 	return func() (time.Duration, bool) {
 		verdict, after := a.journal.Admit()
-		return after, verdict != settles.TurnAway
+		return after, verdict != requestlog.TurnAway
 	}
 }
 
@@ -61,7 +61,7 @@
 	}
 	before := a.journal.Began()
 	go func() {
-		book := settles.NewBook(func(*settles.Intent) bool { return false })
+		book := requestlog.NewBook(func(*requestlog.Intent) bool { return false })
 		rep, err := settleslog.ReadBefore(ctx, a.journal.FS(), before, book)
 		if err != nil {
 			if ctx.Err() == nil {
--- a/internal/agent/journal_test.go
+++ b/internal/agent/journal_test.go
@@ -16,8 +16,8 @@
 	"saltmast"
 	"saltmast/internal/config"
 	thriftfront "saltmast/internal/front/thrift"
-	"saltmast/internal/settles"
-	settleslog "saltmast/internal/settles/log"
+	"saltmast/internal/requestlog"
+	settleslog "saltmast/internal/requestlog/log"
 	"saltmast/internal/testsupport"
 	"saltmast/internal/thrift"
 )
@@ -45,9 +45,9 @@
 }
 
 // told is what a folder's journal says of a request now.
-func told(t *testing.T, dir, id string) settles.Finding {
+func told(t *testing.T, dir, id string) requestlog.Finding {
 	t.Helper()
-	book := settles.NewBook(nil)
+	book := requestlog.NewBook(nil)
 	rep, err := settleslog.Read(settleslog.Dir(dir), book)
 	if err != nil || !rep.Certain {
 		t.Fatalf("%+v, %v", rep, err)
@@ -60,7 +60,7 @@
 func TestIntentBeforeTheFirstByte(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	seen := make(chan settles.Finding, 10)
+	seen := make(chan requestlog.Finding, 10)
 	p := newPeer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		seen <- told(t, dir, r.Header.Get("X-Call-Id"))
 		return echo(c, r, body)
@@ -76,14 +76,14 @@
 		t.Fatalf("status %d", resp.StatusCode)
 	}
 	f := receive(t, seen)
-	if f.Answer != settles.Handed {
+	if f.Answer != requestlog.Handed {
 		t.Errorf("while its server has it: %v", f.Answer)
 	} else if i := f.Attempt.Intent; i.Account != "fleet-77" || i.Class != "settle" || i.Server != "s0" || i.Addr != p.Addr() || i.Digest != sha256.Sum256([]byte(body)) {
 		t.Errorf("%+v, digest %s", i, hex.EncodeToString(i.Digest[:]))
 	}
 	until(t, "its outcome", func() bool {
 		f := told(t, dir, id)
-		return f.Answer == settles.Answered && f.Attempt.Outcome.Result == settles.Served && f.Attempt.Outcome.Status == 200
+		return f.Answer == requestlog.Answered && f.Attempt.Outcome.Result == requestlog.Served && f.Attempt.Outcome.Status == 200
 	})
 	for _, proto := range []thrift.Protocol{thrift.Binary, thrift.Compact} {
 		call := "call-" + proto.String()
@@ -91,10 +91,10 @@
 		w.Text(1, []byte(call))
 		w.Text(2, []byte("fleet-78"))
 		askThrift(t, a, thrift.AppendFrame(nil, &thrift.Message{Protocol: proto, Type: thrift.Call, Seq: 1, Name: []byte("saleSettle"), Body: w.Done()}))
-		if f := receive(t, seen); f.Answer != settles.Handed || f.Attempt.Intent.Account != "fleet-78" || f.Attempt.Intent.Server != "t0" {
+		if f := receive(t, seen); f.Answer != requestlog.Handed || f.Attempt.Intent.Account != "fleet-78" || f.Attempt.Intent.Server != "t0" {
 			t.Errorf("%s while its server has it: %v", call, f.Answer)
 		}
-		until(t, "its outcome", func() bool { return told(t, dir, call).Answer == settles.Answered })
+		until(t, "its outcome", func() bool { return told(t, dir, call).Answer == requestlog.Answered })
 	}
 	// A oneway call is served when it has left; nobody has answered it, and the journal does not say so.
 	c := rawThrift(t, a)
@@ -102,7 +102,7 @@
 	receive(t, seen)
 	until(t, "the outcome of a oneway call", func() bool {
 		f := told(t, dir, "one-way")
-		return f.Answer == settles.Handed && f.Attempt.Outcome != nil && f.Attempt.Outcome.Result == settles.OneWay
+		return f.Answer == requestlog.Handed && f.Attempt.Outcome != nil && f.Attempt.Outcome.Result == requestlog.OneWay
 	})
 	other := id[:15] + "2"
 	if resp, _ := ask(t, a, "GET", "/look", "", "X-Call-Id", other, "X-Budget-Ms", "7000"); resp.StatusCode != 200 {
@@ -152,15 +152,15 @@
 	for i, tt := range []struct {
 		body, backend string
 		timeout       time.Duration
-		want          settles.Answer
-		result        settles.Result
+		want          requestlog.Answer
+		result        requestlog.Result
 		status        int
 	}{
-		{"reset", "s0", 5 * time.Second, settles.Handed, settles.NoAnswer, 0},
-		{"error", "s0", 5 * time.Second, settles.Answered, settles.Errored, 500},
-		{"full", "s0", 5 * time.Second, settles.Answered, settles.TurnedAway, 503},
-		{"hang", "s0", 2 * time.Second, settles.Handed, settles.TimedOut, 0},
-		{"dead", "s1", 5 * time.Second, settles.NeverHanded, 0, 0}, // no connection came up: there was nothing to record
+		{"reset", "s0", 5 * time.Second, requestlog.Handed, requestlog.NoAnswer, 0},
+		{"error", "s0", 5 * time.Second, requestlog.Answered, requestlog.Errored, 500},
+		{"full", "s0", 5 * time.Second, requestlog.Answered, requestlog.TurnedAway, 503},
+		{"hang", "s0", 2 * time.Second, requestlog.Handed, requestlog.TimedOut, 0},
+		{"dead", "s1", 5 * time.Second, requestlog.NeverHanded, 0, 0}, // no connection came up: there was nothing to record
 	} {
 		dir := filepath.Join(dir, tt.body)
 		a, _ := start(t, journalConfig(t, dir, "", []string{p.Addr(), dead.Addr().String()}, nil), send(tt.backend, tt.timeout))
@@ -227,16 +227,16 @@
 				t.Errorf("after it came back: status %d", resp.StatusCode)
 			}
 			if policy == "refuse" {
-				if f := told(t, dir, fmt.Sprintf("%016x", 1)); f.Answer != settles.NeverHanded {
+				if f := told(t, dir, fmt.Sprintf("%016x", 1)); f.Answer != requestlog.NeverHanded {
 					t.Errorf("refused: %v", f.Answer)
 				}
 				return
 			}
 			until(t, "the gap", func() bool {
-				book := settles.NewBook(nil)
+				book := requestlog.NewBook(nil)
 				settleslog.Read(settleslog.Dir(dir), book)
 				gaps := book.Stat().Gaps
-				return len(gaps) > 0 && gaps[0].Count >= 4 && book.Find("1", time.Time{}, time.Time{}).Answer == settles.CannotTell
+				return len(gaps) > 0 && gaps[0].Count >= 4 && book.Find("1", time.Time{}, time.Time{}).Answer == requestlog.CannotTell
 			})
 		})
 	}
@@ -285,7 +285,7 @@
 	release()
 	until(t, "the record that it was never sent", func() bool {
 		f := told(t, dir, id)
-		return f.Answer == settles.NeverHanded && len(f.Attempts) > 0 && f.Attempts[0].Outcome != nil
+		return f.Answer == requestlog.NeverHanded && len(f.Attempts) > 0 && f.Attempts[0].Outcome != nil
 	})
 }
 
@@ -312,7 +312,7 @@
 	}
 	until(t, "both attempts", func() bool {
 		f := told(t, dir, id)
-		return f.Answer == settles.Answered && len(f.Attempts) == 2 && f.Attempts[0].Answer() == settles.NeverHanded && f.Attempt.Intent.Server == "s1"
+		return f.Answer == requestlog.Answered && len(f.Attempts) == 2 && f.Attempts[0].Answer() == requestlog.NeverHanded && f.Attempt.Intent.Server == "s1"
 	})
 }
 
@@ -324,7 +324,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := w.Intent(t.Context(), settles.Intent{Request: "lost-1", Account: "fleet-9", Server: "s7", At: time.Now()}); err != nil {
+	if _, err := w.Intent(t.Context(), requestlog.Intent{Request: "lost-1", Account: "fleet-9", Server: "s7", At: time.Now()}); err != nil {
 		t.Fatal(err)
 	}
 	w.Close()
@@ -334,7 +334,7 @@
 	if resp, _ := ask(t, a, "POST", "/settle", "x", "X-Call-Id", id, "X-Budget-Ms", "7000"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	if f := told(t, dir, "lost-1"); f.Answer != settles.Handed {
+	if f := told(t, dir, "lost-1"); f.Answer != requestlog.Handed {
 		t.Errorf("%v", f.Answer)
 	}
 	// One folder, one daemon: the second one says so and does not start.
--- a/internal/lookout/ask.go
+++ b/internal/console/ask.go
@@ -1,6 +1,6 @@
-// Package lookout is the operators' console of the mesh: it asks each program what it knows, and shows that and what two of
+// Package console is the operators' console of the mesh: it asks each program what it knows, and shows that and what two of
 // them tell differently. It changes nothing. Look asks; Draw makes tables of a look; View shows them. Start reading at Main.
-package lookout
+package console
 
 import (
 	"cmp"
--- a/internal/lookout/roll.go
+++ b/internal/console/roll.go
@@ -1,4 +1,4 @@
-package lookout
+package console
 
 import (
 	"fmt"
--- a/internal/logbook/book.go
+++ b/internal/loganalysis/book.go
@@ -1,4 +1,4 @@
-package logbook
+package loganalysis
 
 import (
 	"cmp"
--- a/internal/logbook/line.go
+++ b/internal/loganalysis/line.go
@@ -1,6 +1,6 @@
-// Package logbook reads the logs of the mesh's programs and sums up a day of theirs: what became of the requests by the tugs' own
+// Package loganalysis reads the logs of the mesh's programs and sums up a day of theirs: what became of the requests by the tugs' own
 // counters, and what changed when. It does no I/O, and its memory is bounded whatever it is given. Start reading at Book.
-package logbook
+package loganalysis
 
 import (
 	"bytes"
--- a/internal/rehearsal/settles.go
+++ b/internal/rehearsal/settles.go
@@ -7,9 +7,9 @@
 	"path/filepath"
 
 	"saltmast/internal/grade"
+	"saltmast/internal/requestlog"
+	settleslog "saltmast/internal/requestlog/log"
 	"saltmast/internal/scenario"
-	"saltmast/internal/settles"
-	settleslog "saltmast/internal/settles/log"
 )
 
 // Settles is what the agents' journals say of a run, held against what the servers saw.
@@ -72,9 +72,9 @@
 	for _, c := range r.s.Classes {
 		once[c.Name] = c.Effect != scenario.Safe && c.Effect != scenario.Keyed
 	}
-	books := make([]*settles.Book, len(r.agents))
+	books := make([]*requestlog.Book, len(r.agents))
 	for i, a := range r.agents {
-		books[i] = settles.NewBook(nil)
+		books[i] = requestlog.NewBook(nil)
 		rep, err := settleslog.Read(settleslog.Dir(a.settles), books[i])
 		if err != nil {
 			return nil, fmt.Errorf("journal of %s: %w", a.name, err)
@@ -89,7 +89,7 @@
 }
 
 // compare holds journals against what servers saw.
-func (s *Settles) compare(events []grade.Event, once map[string]bool, books []*settles.Book) {
+func (s *Settles) compare(events []grade.Event, once map[string]bool, books []*requestlog.Book) {
 	seen, ran := map[string]int{}, map[string]int{}
 	var ids []string
 	for _, e := range events {
@@ -106,14 +106,14 @@
 		}
 	}
 	s.Seen, s.Ran = len(ids), len(ran)
-	attempts := map[string][]*settles.Attempt{}
+	attempts := map[string][]*requestlog.Attempt{}
 	for _, b := range books {
-		b.Each(func(f settles.Finding) { attempts[f.Request] = append(attempts[f.Request], f.Attempts...) })
+		b.Each(func(f requestlog.Finding) { attempts[f.Request] = append(attempts[f.Request], f.Attempts...) })
 	}
 	for _, id := range ids {
 		handed := 0
 		for _, a := range attempts[id] {
-			if a.Answer() != settles.NeverHanded {
+			if a.Answer() != requestlog.NeverHanded {
 				handed++
 			}
 		}
@@ -125,12 +125,12 @@
 		served := 0
 		for _, a := range list {
 			switch a.Answer() {
-			case settles.Handed:
+			case requestlog.Handed:
 				s.Open++
-			case settles.NeverHanded:
+			case requestlog.NeverHanded:
 				s.Never++
 			default:
-				if a.Outcome.Result == settles.Served {
+				if a.Outcome.Result == requestlog.Served {
 					served++
 				}
 			}
--- a/internal/rehearsal/settles_test.go
+++ b/internal/rehearsal/settles_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"saltmast/internal/grade"
+	"saltmast/internal/requestlog"
 	"saltmast/internal/scenario"
-	"saltmast/internal/settles"
 )
 
 // Agents are killed at random moments with settles under way, over HTTP and Thrift: every settle that a server saw is
@@ -39,31 +39,33 @@
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
 	attempt := func(id string) grade.Event { return grade.Event{Kind: grade.Attempt, Request: id, Class: "settle"} }
 	effect := func(id string) grade.Event { return grade.Event{Kind: grade.Effect, Request: id, Class: "settle"} }
-	intent := func(id string) any { return &settles.Intent{Request: id, At: at(1)} }
-	outcome := func(seq uint64, r settles.Result) any { return &settles.Outcome{Intent: seq, Result: r, At: at(2)} }
+	intent := func(id string) any { return &requestlog.Intent{Request: id, At: at(1)} }
+	outcome := func(seq uint64, r requestlog.Result) any {
+		return &requestlog.Outcome{Intent: seq, Result: r, At: at(2)}
+	}
 	for _, tt := range []struct {
 		name    string
 		events  []grade.Event
 		records []any // by sequence number, from 1
 		wrong   string
 	}{
-		{"served", []grade.Event{attempt("x"), effect("x")}, []any{intent("x"), outcome(1, settles.Served)}, ""},
+		{"served", []grade.Event{attempt("x"), effect("x")}, []any{intent("x"), outcome(1, requestlog.Served)}, ""},
 		{"open", []grade.Event{attempt("x"), effect("x")}, []any{intent("x")}, ""},
 		{"open, and never came", nil, []any{intent("x")}, ""},
-		{"never handed over", nil, []any{intent("x"), outcome(1, settles.ConnectFailed)}, ""},
-		{"seen twice, told twice", []grade.Event{attempt("x"), attempt("x"), effect("x")}, []any{intent("x"), outcome(1, settles.TurnedAway), intent("x")}, ""},
+		{"never handed over", nil, []any{intent("x"), outcome(1, requestlog.ConnectFailed)}, ""},
+		{"seen twice, told twice", []grade.Event{attempt("x"), attempt("x"), effect("x")}, []any{intent("x"), outcome(1, requestlog.TurnedAway), intent("x")}, ""},
 		{"of another class", []grade.Event{{Kind: grade.Attempt, Request: "x", Class: "look"}}, nil, ""},
 		{"not there", []grade.Event{attempt("x")}, nil, "servers saw it 1 times, the journals tell of 0"},
-		{"claimed never to have been handed over", []grade.Event{attempt("x")}, []any{intent("x"), outcome(1, settles.ConnectFailed)}, "the journals tell of 0"},
-		{"claimed to have been served, did not run", []grade.Event{attempt("x")}, []any{intent("x"), outcome(1, settles.Served)}, "served 1 times, ran 0 times"},
-		{"claimed twice", []grade.Event{attempt("x"), effect("x")}, []any{intent("x"), outcome(1, settles.Served), intent("x"), outcome(3, settles.Served)}, "served 2 times, ran 1 times"},
+		{"claimed never to have been handed over", []grade.Event{attempt("x")}, []any{intent("x"), outcome(1, requestlog.ConnectFailed)}, "the journals tell of 0"},
+		{"claimed to have been served, did not run", []grade.Event{attempt("x")}, []any{intent("x"), outcome(1, requestlog.Served)}, "served 1 times, ran 0 times"},
+		{"claimed twice", []grade.Event{attempt("x"), effect("x")}, []any{intent("x"), outcome(1, requestlog.Served), intent("x"), outcome(3, requestlog.Served)}, "served 2 times, ran 1 times"},
 	} {
-		book := settles.NewBook(nil)
+		book := requestlog.NewBook(nil)
 		for i, r := range tt.records {
 			book.Put(uint64(i+1), r)
 		}
 		s := &Settles{}
-		s.compare(tt.events, map[string]bool{"settle": true}, []*settles.Book{settles.NewBook(nil), book})
+		s.compare(tt.events, map[string]bool{"settle": true}, []*requestlog.Book{requestlog.NewBook(nil), book})
 		if text := strings.Join(s.Wrong, "; "); (tt.wrong == "") != (text == "") || !strings.Contains(text, tt.wrong) {
 			t.Errorf("%s: %q, want %q", tt.name, text, tt.wrong)
 		}
--- a/internal/settles/book.go
+++ b/internal/requestlog/book.go
@@ -1,4 +1,4 @@
-package settles
+package requestlog
 
 import (
 	"fmt"
--- a/internal/settles/log/bench_test.go
+++ b/internal/requestlog/log/bench_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/settles"
+	"saltmast/internal/requestlog"
 )
 
-func benchIntent(i, k int) settles.Intent {
-	return settles.Intent{Request: fmt.Sprintf("%08x%08x", i, k), Class: "sale-settle", Account: "fleet-7731", Server: "auth-03.kol.1", Addr: "10.20.30.40:8443", At: time.Now()}
+func benchIntent(i, k int) requestlog.Intent {
+	return requestlog.Intent{Request: fmt.Sprintf("%08x%08x", i, k), Class: "sale-settle", Account: "fleet-7731", Server: "auth-03.kol.1", Addr: "10.20.30.40:8443", At: time.Now()}
 }
 
 // BenchmarkSettle makes an intent durable and writes an outcome, so many at a time.
@@ -35,7 +35,7 @@
 							b.Error(err)
 							return
 						}
-						w.Outcome(t, settles.Served, 200)
+						w.Outcome(t, requestlog.Served, 200)
 					}
 				}()
 			}
@@ -60,7 +60,7 @@
 			defer done.Done()
 			for k := range 1000 {
 				if t, err := w.Intent(context.Background(), benchIntent(i, k)); err == nil {
-					w.Outcome(t, settles.Served, 200)
+					w.Outcome(t, requestlog.Served, 200)
 				}
 			}
 		}()
@@ -70,7 +70,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		rep, err := Read(dir, settles.NewBook(func(*settles.Intent) bool { return false }))
+		rep, err := Read(dir, requestlog.NewBook(func(*requestlog.Intent) bool { return false }))
 		if err != nil || !rep.Certain {
 			b.Fatal(rep, err)
 		}
--- a/internal/settles/log/crash_test.go
+++ b/internal/requestlog/log/crash_test.go
@@ -15,25 +15,25 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"saltmast/internal/settles"
+	"saltmast/internal/requestlog"
 )
 
 // model is what is known to whoever uses the journal.
 type model struct {
 	n       int
-	acked   map[string]*Ticket        // their attempts may go out
-	unsent  map[string]bool           // these did not
-	claimed map[string]settles.Result // outcomes that were told
-	lost    map[string]bool           // outcomes that a crash may have taken
+	acked   map[string]*Ticket           // their attempts may go out
+	unsent  map[string]bool              // these did not
+	claimed map[string]requestlog.Result // outcomes that were told
+	lost    map[string]bool              // outcomes that a crash may have taken
 	open    []string
 }
 
 func newModel() *model {
-	return &model{acked: map[string]*Ticket{}, unsent: map[string]bool{}, claimed: map[string]settles.Result{}, lost: map[string]bool{}}
+	return &model{acked: map[string]*Ticket{}, unsent: map[string]bool{}, claimed: map[string]requestlog.Result{}, lost: map[string]bool{}}
 }
 
-func intentOf(id string) settles.Intent {
-	return settles.Intent{Request: id, Class: "sale-settle", Account: "fleet-" + strings.Repeat("7", 150), Server: "s0", Addr: "127.0.0.1:1", At: time.Unix(1e9, 0)}
+func intentOf(id string) requestlog.Intent {
+	return requestlog.Intent{Request: id, Class: "sale-settle", Account: "fleet-" + strings.Repeat("7", 150), Server: "s0", Addr: "127.0.0.1:1", At: time.Unix(1e9, 0)}
 }
 
 // intent asks for one more and notes what came of it.
@@ -50,7 +50,7 @@
 }
 
 // outcome tells the outcome of the oldest that is open, or of the newest.
-func (m *model) outcome(w *Writer, newest bool, r settles.Result) {
+func (m *model) outcome(w *Writer, newest bool, r requestlog.Result) {
 	if len(m.open) == 0 {
 		return
 	}
@@ -71,7 +71,7 @@
 	Errorf(string, ...any)
 }, fsys FS, synced bool) {
 	t.Helper()
-	book := settles.NewBook(nil)
+	book := requestlog.NewBook(nil)
 	rep, err := Read(fsys, book)
 	if err != nil {
 		t.Errorf("read: %v", err)
@@ -84,23 +84,23 @@
 		id := fmt.Sprintf("r%d", i)
 		f := book.Find(id, time.Time{}, time.Time{})
 		if m.acked[id] == nil {
-			if f.Answer == settles.Answered || m.unsent[id] && f.Answer == settles.CannotTell {
+			if f.Answer == requestlog.Answered || m.unsent[id] && f.Answer == requestlog.CannotTell {
 				t.Errorf("%s was never sent: %v", id, f.Answer)
 			}
 			continue
 		}
 		result, told := m.claimed[id]
-		proven := told && (result == settles.ConnectFailed || result == settles.NotSent)
+		proven := told && (result == requestlog.ConnectFailed || result == requestlog.NotSent)
 		switch {
-		case f.Answer == settles.CannotTell, f.Answer == settles.NeverHanded && !proven:
+		case f.Answer == requestlog.CannotTell, f.Answer == requestlog.NeverHanded && !proven:
 			t.Errorf("%s may have gone out: %v", id, f.Answer)
-		case f.Answer == settles.Answered && (!told || f.Attempt.Outcome.Result != result):
+		case f.Answer == requestlog.Answered && (!told || f.Attempt.Outcome.Result != result):
 			t.Errorf("%s: answered with %v, told %v", id, f.Attempt.Outcome.Result, result)
 		case synced && told && !m.lost[id] && f.Attempt.Outcome == nil:
 			t.Errorf("%s: its outcome %v is not there", id, result)
 		}
 	}
-	if f := book.Find("never asked", time.Time{}, time.Time{}); f.Answer != settles.NeverHanded {
+	if f := book.Find("never asked", time.Time{}, time.Time{}); f.Answer != requestlog.NeverHanded {
 		t.Errorf("one that never came: %v, %v", f.Answer, f.Doubts)
 	}
 }
@@ -109,7 +109,7 @@
 
 // work is a run that fills several segments.
 func work(w *Writer, m *model) {
-	results := []settles.Result{settles.Served, settles.NoAnswer, settles.ConnectFailed, settles.Errored, settles.TurnedAway}
+	results := []requestlog.Result{requestlog.Served, requestlog.NoAnswer, requestlog.ConnectFailed, requestlog.Errored, requestlog.TurnedAway}
 	for i := range 70 {
 		m.intent(w)
 		if i%3 != 0 {
@@ -163,7 +163,7 @@
 			t.Fatalf("crash at %d: the journal can't be taken up: %v", at, err)
 		}
 		m.intent(w)
-		m.outcome(w, true, settles.Served)
+		m.outcome(w, true, requestlog.Served)
 		if err := w.Close(); err != nil {
 			t.Fatal(err)
 		}
@@ -264,7 +264,7 @@
 				}
 			},
 			"outcome": func(t *rapid.T) {
-				m.outcome(w, rapid.Bool().Draw(t, "newest"), settles.Result(rapid.IntRange(1, 8).Draw(t, "result")))
+				m.outcome(w, rapid.Bool().Draw(t, "newest"), requestlog.Result(rapid.IntRange(1, 8).Draw(t, "result")))
 			},
 			"the disk fills up":       func(*rapid.T) { set(&broken, true) },
 			"the disk has room again": func(*rapid.T) { set(&broken, false) },
@@ -343,13 +343,13 @@
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	book := settles.NewBook(nil)
+	book := requestlog.NewBook(nil)
 	if rep, err := Read(fsys, book); err != nil || !rep.Certain {
 		t.Fatal(rep, err)
 	}
 	for _, id := range []string{"first", "second"} {
 		f := book.Find(id, time.Time{}, time.Time{})
-		if f.Answer != settles.NeverHanded || len(f.Attempts) != 1 || f.Attempts[0].Outcome == nil || f.Attempts[0].Outcome.Result != settles.NotSent {
+		if f.Answer != requestlog.NeverHanded || len(f.Attempts) != 1 || f.Attempts[0].Outcome == nil || f.Attempts[0].Outcome.Result != requestlog.NotSent {
 			t.Errorf("%s: %v, %+v", id, f.Answer, f.Attempts)
 		}
 	}
@@ -358,7 +358,7 @@
 // While the journal can't be written: refused at once, with when to come back; or served, and counted, and the count is
 // recorded as soon as it can be.
 func TestPoliciesWhileDown(t *testing.T) {
-	for _, policy := range []settles.Policy{settles.Refuse, settles.ServeUnrecorded} {
+	for _, policy := range []requestlog.Policy{requestlog.Refuse, requestlog.ServeUnrecorded} {
 		t.Run(fmt.Sprint(policy), func(t *testing.T) {
 			defer goleak.VerifyNone(t)
 			fsys := newMemFS()
@@ -392,12 +392,12 @@
 			ticket, err := w.Intent(context.Background(), intentOf("down"))
 			verdict, after := w.Admit()
 			switch policy {
-			case settles.Refuse:
-				if !errors.Is(err, ErrDown) || verdict != settles.TurnAway || after <= 0 {
+			case requestlog.Refuse:
+				if !errors.Is(err, ErrDown) || verdict != requestlog.TurnAway || after <= 0 {
 					t.Errorf("%v, %v after %v", err, verdict, after)
 				}
-			case settles.ServeUnrecorded:
-				if err != nil || ticket != nil || verdict != settles.Record {
+			case requestlog.ServeUnrecorded:
+				if err != nil || ticket != nil || verdict != requestlog.Record {
 					t.Errorf("%v, %v, %v", ticket, err, verdict)
 				}
 			}
@@ -411,19 +411,19 @@
 				t.Error(err)
 			}
 			w.Close()
-			book := settles.NewBook(nil)
+			book := requestlog.NewBook(nil)
 			if _, err := Read(fsys, book); err != nil {
 				t.Fatal(err)
 			}
 			gaps := book.Stat().Gaps
 			f := book.Find("down", time.Time{}, time.Time{})
 			switch policy {
-			case settles.Refuse:
-				if len(gaps) != 0 || f.Answer != settles.NeverHanded {
+			case requestlog.Refuse:
+				if len(gaps) != 0 || f.Answer != requestlog.NeverHanded {
 					t.Errorf("%v, %v", gaps, f.Answer)
 				}
-			case settles.ServeUnrecorded:
-				if len(gaps) != 1 || gaps[0].Count != 2 || f.Answer != settles.CannotTell {
+			case requestlog.ServeUnrecorded:
+				if len(gaps) != 1 || gaps[0].Count != 2 || f.Answer != requestlog.CannotTell {
 					t.Errorf("%v, %v", gaps, f.Answer)
 				}
 			}
--- a/internal/settles/log/format.go
+++ b/internal/requestlog/log/format.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"saltmast/internal/settles"
+	"saltmast/internal/requestlog"
 )
 
 // A segment is a header and records, each on a boundary of 8 bytes, and zeros behind the last:
@@ -87,13 +87,13 @@
 func sizeOf(payload int) int { return padded(recordLen + payload + 1) }
 
 // outcomeSize is what an outcome takes.
-var outcomeSize = int64(sizeOf(settles.OutcomeLen))
+var outcomeSize = int64(sizeOf(requestlog.OutcomeLen))
 
 // appendRecord encodes a record behind b.
 func appendRecord(b []byte, salt uint64, place, stable uint32, record any) []byte {
 	at := len(b)
 	b = append(b, make([]byte, recordLen)...)
-	b = append(settles.Append(b, record), endMark)
+	b = append(requestlog.Append(b, record), endMark)
 	n := len(b) - at - recordLen
 	head := b[at:]
 	binary.LittleEndian.PutUint16(head[0:], mark)
--- a/internal/settles/log/read.go
+++ b/internal/requestlog/log/read.go
@@ -8,17 +8,17 @@
 	"slices"
 	"time"
 
-	"saltmast/internal/settles"
+	"saltmast/internal/requestlog"
 )
 
 // Report is what reading a journal found.
 type Report struct {
-	Segments []SegmentReport `json:"segments"`
-	Losses   []settles.Loss  `json:"losses,omitempty"`
-	Bytes    int64           `json:"bytes"`   // of the files
-	Records  int             `json:"records"` // that could be read
-	Newer    int             `json:"newer"`   // that a newer program wrote
-	Certain  bool            `json:"certain"` // nothing that was on disk is missing
+	Segments []SegmentReport   `json:"segments"`
+	Losses   []requestlog.Loss `json:"losses,omitempty"`
+	Bytes    int64             `json:"bytes"`   // of the files
+	Records  int               `json:"records"` // that could be read
+	Newer    int               `json:"newer"`   // that a newer program wrote
+	Certain  bool              `json:"certain"` // nothing that was on disk is missing
 }
 
 // SegmentReport is what reading one segment found.
@@ -37,12 +37,12 @@
 
 // Read puts all that a folder's journal says into a book, in order, beside a writer or not. It holds one segment at a
 // time in memory. An error means that the folder can't be read at all; damage is in the report and the book.
-func Read(fsys FS, book *settles.Book) (*Report, error) {
+func Read(fsys FS, book *requestlog.Book) (*Report, error) {
 	return ReadBefore(context.Background(), fsys, 1<<32, book)
 }
 
 // ReadBefore reads the segments below a number, until ctx ends: see Read.
-func ReadBefore(ctx context.Context, fsys FS, below uint64, book *settles.Book) (*Report, error) {
+func ReadBefore(ctx context.Context, fsys FS, below uint64, book *requestlog.Book) (*Report, error) {
 	names, err := segments(fsys)
 	if err != nil {
 		return nil, err
@@ -50,9 +50,9 @@
 	names = slices.DeleteFunc(names, func(i Info) bool { n, _ := number(i.Name); return n >= below })
 	rep := &Report{}
 	var prev *segment
-	var lastAt time.Time         // of the last record that was read
-	var damagedEnd *settles.Loss // of the segment before
-	lose := func(l settles.Loss) {
+	var lastAt time.Time            // of the last record that was read
+	var damagedEnd *requestlog.Loss // of the segment before
+	lose := func(l requestlog.Loss) {
 		rep.Losses = append(rep.Losses, l)
 		book.Lost(l)
 	}
@@ -72,7 +72,7 @@
 		sr := SegmentReport{Name: s.name, Number: s.number, Bytes: s.size, Used: s.used, Records: len(s.records), Made: s.head.made}
 		rep.Bytes += s.size
 		if prev != nil && s.number != prev.number+1 {
-			lose(settles.Loss{Segment: prev.number + 1, After: lastAt, Before: s.head.made,
+			lose(requestlog.Loss{Segment: prev.number + 1, After: lastAt, Before: s.head.made,
 				Describe: fmt.Sprintf("%d segments are missing", s.number-prev.number-1)})
 		}
 		if s.err != nil {
@@ -82,7 +82,7 @@
 			if blank(b) && i == len(names)-1 {
 				sr.Note, sr.Torn = "made and never written to", true
 			} else {
-				lose(settles.Loss{Segment: s.number, After: lastAt, Newer: h.newer, Describe: s.err.Error()})
+				lose(requestlog.Loss{Segment: s.number, After: lastAt, Newer: h.newer, Describe: s.err.Error()})
 			}
 			rep.Segments = append(rep.Segments, sr)
 			prev = s
@@ -91,8 +91,8 @@
 		// What the segment says of the one before: how much of it was on disk for certain.
 		known, poisoned := uint32(0), false
 		if len(s.records) > 0 {
-			switch r, _ := settles.Decode(s.records[0].payload); r := r.(type) {
-			case *settles.Follows:
+			switch r, _ := requestlog.Decode(s.records[0].payload); r := r.(type) {
+			case *requestlog.Follows:
 				known, poisoned = r.Stable, r.Poisoned
 				if prev != nil && r.Prev == prev.number && prev.err == nil && prev.count() < known { // it went on while it was read
 					if b, err := fsys.ReadFile(prev.name); err == nil {
@@ -101,10 +101,10 @@
 							if again.err != nil || r.place < prev.count() {
 								continue
 							}
-							if record, err := settles.Decode(r.payload); err == nil {
+							if record, err := requestlog.Decode(r.payload); err == nil {
 								rep.Records++
 								book.Put(prev.number<<32|uint64(r.place), record)
-								lastAt = settles.At(record)
+								lastAt = requestlog.At(record)
 							}
 						}
 						prev = again
@@ -116,7 +116,7 @@
 					}
 					rep.tail(prev, known, lastAt, r.At, lose)
 				}
-			case *settles.Start:
+			case *requestlog.Start:
 				if prev != nil && r.Prev == prev.number {
 					rep.tail(prev, r.Found, lastAt, r.At, lose)
 				}
@@ -132,10 +132,10 @@
 		}
 		holes := s.holes
 		for _, r := range s.records {
-			record, err := settles.Decode(r.payload)
+			record, err := requestlog.Decode(r.payload)
 			at := lastAt
 			if err == nil {
-				at = settles.At(record)
+				at = requestlog.At(record)
 			}
 			for len(holes) > 0 && r.place >= holes[0].to { // the record behind a hole
 				h := holes[0]
@@ -148,20 +148,20 @@
 					if sr.Damaged == 0 {
 						sr.Damaged = h.offset
 					}
-					lose(settles.Loss{Segment: s.number, Offset: h.offset, Records: n, After: lastAt, Before: at, Describe: "damaged"})
+					lose(requestlog.Loss{Segment: s.number, Offset: h.offset, Records: n, After: lastAt, Before: at, Describe: "damaged"})
 				} else {
 					sr.Torn = true
 				}
 			}
 			switch {
-			case errors.Is(err, settles.ErrNewer):
+			case errors.Is(err, requestlog.ErrNewer):
 				rep.Newer++
-				lose(settles.Loss{Segment: s.number, Offset: r.offset, Records: 1, After: lastAt, Before: lastAt, Newer: true, Describe: "a record of a newer program"})
+				lose(requestlog.Loss{Segment: s.number, Offset: r.offset, Records: 1, After: lastAt, Before: lastAt, Newer: true, Describe: "a record of a newer program"})
 			case err != nil:
 				if sr.Damaged == 0 {
 					sr.Damaged = r.offset
 				}
-				lose(settles.Loss{Segment: s.number, Offset: r.offset, Records: 1, After: lastAt, Before: lastAt, Describe: err.Error()})
+				lose(requestlog.Loss{Segment: s.number, Offset: r.offset, Records: 1, After: lastAt, Before: lastAt, Describe: err.Error()})
 			default:
 				rep.Records++
 				book.Put(s.number<<32|uint64(r.place), record)
@@ -169,7 +169,7 @@
 			}
 		}
 		if n := lost(s.count(), s.stable, s.stable); n > 0 { // can't be: a record names it that comes later
-			lose(settles.Loss{Segment: s.number, Offset: s.used, Records: n, After: lastAt, Describe: "cut off"})
+			lose(requestlog.Loss{Segment: s.number, Offset: s.used, Records: n, After: lastAt, Describe: "cut off"})
 		}
 		sr.Torn = sr.Torn || s.torn
 		if s.damaged {
@@ -177,7 +177,7 @@
 				sr.Damaged = s.used
 			}
 			if len(s.records) > 0 { // without one it was given up before it was begun
-				damagedEnd = &settles.Loss{Segment: s.number, Offset: s.used, After: lastAt, Describe: "its last record can't be read"}
+				damagedEnd = &requestlog.Loss{Segment: s.number, Offset: s.used, After: lastAt, Describe: "its last record can't be read"}
 			}
 		}
 		rep.Segments = append(rep.Segments, sr)
@@ -191,14 +191,14 @@
 }
 
 // tail tells of records at a segment's end that were on disk, as the next one says, and are not there.
-func (rep *Report) tail(prev *segment, known uint32, after, before time.Time, lose func(settles.Loss)) {
+func (rep *Report) tail(prev *segment, known uint32, after, before time.Time, lose func(requestlog.Loss)) {
 	if prev.err != nil || prev.count() >= known {
 		return
 	}
 	if last := &rep.Segments[len(rep.Segments)-1]; last.Damaged == 0 {
 		last.Damaged = prev.used
 	}
-	lose(settles.Loss{Segment: prev.number, Offset: prev.used, Records: known - prev.count(), After: after, Before: before, Describe: "cut off"})
+	lose(requestlog.Loss{Segment: prev.number, Offset: prev.used, Records: known - prev.count(), After: after, Before: before, Describe: "cut off"})
 }
 
 // lost is how many of the places from one to another were on disk for certain.
--- a/internal/settles/log/read_test.go
+++ b/internal/requestlog/log/read_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"saltmast/internal/settles"
+	"saltmast/internal/requestlog"
 )
 
 // closed is a journal of several segments that ended in order, and what is in it.
@@ -42,16 +42,16 @@
 }
 
 // holds checks that nothing false is claimed, whatever was damaged: what is not known for certain can't be told.
-func (m *model) holds(t *testing.T, book *settles.Book, what string) {
+func (m *model) holds(t *testing.T, book *requestlog.Book, what string) {
 	t.Helper()
 	for id := range m.acked {
 		f := book.Find(id, time.Time{}, time.Time{})
 		result, told := m.claimed[id]
-		proven := told && (result == settles.ConnectFailed || result == settles.NotSent)
-		if f.Answer == settles.NeverHanded && !proven {
+		proven := told && (result == requestlog.ConnectFailed || result == requestlog.NotSent)
+		if f.Answer == requestlog.NeverHanded && !proven {
 			t.Fatalf("%s: %s may have gone out, and is claimed never to have", what, id)
 		}
-		if f.Answer == settles.Answered && (!told || f.Attempt.Outcome.Result != result) {
+		if f.Answer == requestlog.Answered && (!told || f.Attempt.Outcome.Result != result) {
 			t.Fatalf("%s: %s is claimed to be answered with %v", what, id, f.Attempt.Outcome.Result)
 		}
 	}
@@ -61,7 +61,7 @@
 func TestFlippedBytes(t *testing.T) {
 	fsys, m := closed(t)
 	names, _ := segments(fsys)
-	whole := settles.NewBook(nil)
+	whole := requestlog.NewBook(nil)
 	if _, err := Read(fsys, whole); err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 		for at := 0; at < len(b); at += 23 {
 			bad := append([]byte(nil), b...)
 			bad[at] ^= 1 << (at % 8)
-			book := settles.NewBook(nil)
+			book := requestlog.NewBook(nil)
 			rep, err := Read(with(fsys, n.Name, bad), book)
 			if err != nil {
 				t.Fatal(err)
@@ -115,10 +115,10 @@
 	first := names[0].Name
 	b := fsys.names[first].data
 	next := readSegment(names[1].Name, fsys.names[names[1].Name].data)
-	follows, _ := settles.Decode(next.records[0].payload)
-	known := follows.(*settles.Follows).Stable // outcomes behind that weren't synced when it was written
+	follows, _ := requestlog.Decode(next.records[0].payload)
+	known := follows.(*requestlog.Follows).Stable // outcomes behind that weren't synced when it was written
 	for cut := headerLen; cut < len(b); cut += 40 {
-		book := settles.NewBook(nil)
+		book := requestlog.NewBook(nil)
 		rep, err := Read(with(fsys, first, b[:cut]), book)
 		if err != nil {
 			t.Fatal(err)
@@ -130,7 +130,7 @@
 	}
 	gone := with(fsys, first, b)
 	delete(gone.names, names[1].Name)
-	book := settles.NewBook(nil)
+	book := requestlog.NewBook(nil)
 	if rep, err := Read(gone, book); err != nil || rep.Certain || rep.Losses[0].Segment != 2 {
 		t.Errorf("a segment is gone: %+v, %v", rep, err)
 	}
@@ -145,10 +145,10 @@
 	s := readSegment(name, fsys.names[name].data)
 	r := s.records[3]
 	b := append([]byte(nil), fsys.names[name].data...)
-	b[r.offset+recordLen+1] = settles.Version + 1
+	b[r.offset+recordLen+1] = requestlog.Version + 1
 	head := b[r.offset : r.offset+recordLen+int64(len(r.payload))+1]
 	binary.LittleEndian.PutUint32(head[4:], sum(s.head.salt, head))
-	book := settles.NewBook(nil)
+	book := requestlog.NewBook(nil)
 	rep, err := Read(with(fsys, name, b), book)
 	if err != nil || rep.Newer != 1 || rep.Certain || !rep.Losses[0].Newer {
 		t.Errorf("a newer record: %+v, %v", rep, err)
@@ -156,7 +156,7 @@
 	m.holds(t, book, "a newer record")
 	b = append([]byte(nil), fsys.names[name].data...)
 	binary.LittleEndian.PutUint16(b[8:], version+1)
-	book = settles.NewBook(nil)
+	book = requestlog.NewBook(nil)
 	rep, err = Read(with(fsys, name, b), book)
 	if err != nil || rep.Certain || !strings.Contains(rep.Segments[0].Note, "newer") || book.Stat().Intents == 0 {
 		t.Errorf("a newer segment: %+v, %v", rep, err)
@@ -181,11 +181,11 @@
 				t.Error(err)
 				return
 			}
-			w.Outcome(ticket, settles.Served, 200)
+			w.Outcome(ticket, requestlog.Served, 200)
 		}
 	}()
 	for reads := 0; ; reads++ {
-		book := settles.NewBook(nil)
+		book := requestlog.NewBook(nil)
 		rep, err := Read(Dir(dir), book)
 		if err != nil || !rep.Certain {
 			t.Fatalf("read %d: %v, %v", reads, rep, err)
@@ -226,12 +226,12 @@
 	if n, _ := number(names[0].Name); n != 1 {
 		t.Errorf("a segment that waits for an outcome was removed: the first is %d", n)
 	}
-	w.Outcome(held, settles.Served, 200)
+	w.Outcome(held, requestlog.Served, 200)
 	for range 5 {
 		m.open = nil
 		for range 100 {
 			m.intent(w)
-			m.outcome(w, true, settles.Served)
+			m.outcome(w, true, requestlog.Served)
 		}
 	}
 	if err := w.Close(); err != nil {
@@ -266,21 +266,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one, _ := w.Intent(context.Background(), settles.Intent{Request: "one", At: now})
+	one, _ := w.Intent(context.Background(), requestlog.Intent{Request: "one", At: now})
 	mu.Lock()
 	now = now.Add(-time.Hour)
 	mu.Unlock()
-	w.Intent(context.Background(), settles.Intent{Request: "two", At: now})
-	w.Outcome(one, settles.Served, 200)
+	w.Intent(context.Background(), requestlog.Intent{Request: "two", At: now})
+	w.Outcome(one, requestlog.Served, 200)
 	w.Close()
-	book := settles.NewBook(nil)
+	book := requestlog.NewBook(nil)
 	if _, err := Read(fsys, book); err != nil {
 		t.Fatal(err)
 	}
 	if s := book.Stat(); s.ClockBack != 1 || s.Open != 1 {
 		t.Errorf("%+v", s)
 	}
-	if f := book.Find("one", time.Time{}, time.Time{}); f.Answer != settles.Answered {
+	if f := book.Find("one", time.Time{}, time.Time{}); f.Answer != requestlog.Answered {
 		t.Errorf("%v", f.Answer)
 	}
 }
--- a/internal/settles/log/write.go
+++ b/internal/requestlog/log/write.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"saltmast/internal/settles"
+	"saltmast/internal/requestlog"
 )
 
 // Options are what a journal is written with. Zero values stand for the defaults.
@@ -22,7 +22,7 @@
 	Segment int64         // bytes of one segment; 4 MiB
 	Most    int64         // bytes of all segments; 256 MiB. The oldest go first
 	Age     time.Duration // segments that ended longer ago go; 0: none for its age
-	Policy  settles.Policy
+	Policy  requestlog.Policy
 	Queue   int                       // records that may wait for the disk; 4096
 	Flush   time.Duration             // an outcome is synced by then if no intent takes it along; 50 ms
 	Now     func() time.Time          // wall clock
@@ -57,7 +57,7 @@
 	began uint64
 
 	mu      sync.Mutex
-	gate    settles.Gate
+	gate    requestlog.Gate
 	intents []*waiting
 	others  []outcome
 	closing bool
@@ -72,7 +72,7 @@
 	last   uint64    // number of the last segment that was made or begun
 	prev   prior
 	buf    []byte
-	start  *settles.Start // for the first segment
+	start  *requestlog.Start // for the first segment
 }
 
 // prior is what the next segment says of the one before.
@@ -108,7 +108,7 @@
 
 // waiting is an intent that is not on disk yet.
 type waiting struct {
-	intent *settles.Intent
+	intent *requestlog.Intent
 	done   chan struct{} // closed once it is on disk, or can't be
 	ticket *Ticket
 	err    error
@@ -118,7 +118,7 @@
 
 type outcome struct {
 	ticket *Ticket
-	rec    settles.Outcome
+	rec    requestlog.Outcome
 }
 
 // Open takes a folder's journal up: it takes the lock, makes a segment and writes that the run begins. An error means that
@@ -146,7 +146,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &Writer{o: o, lock: lock, gate: settles.Gate{Policy: o.Policy}, wake: make(chan struct{}, 1), ended: make(chan struct{})}
+	w := &Writer{o: o, lock: lock, gate: requestlog.Gate{Policy: o.Policy}, wake: make(chan struct{}, 1), ended: make(chan struct{})}
 	if err := w.takeUp(); err != nil {
 		lock.Close()
 		return nil, err
@@ -172,7 +172,7 @@
 	if err != nil {
 		return err
 	}
-	w.start = &settles.Start{Unrecorded: w.o.Policy == settles.ServeUnrecorded}
+	w.start = &requestlog.Start{Unrecorded: w.o.Policy == requestlog.ServeUnrecorded}
 	for len(names) > 0 {
 		last := names[len(names)-1]
 		b, err := w.o.FS.ReadFile(last.Name)
@@ -270,7 +270,7 @@
 		w.start.At = w.o.Now()
 		first = w.start
 	} else {
-		first = &settles.Follows{At: w.o.Now(), Prev: w.prev.number, Stable: w.prev.stable, Poisoned: w.prev.poisoned, Why: w.prev.why}
+		first = &requestlog.Follows{At: w.o.Now(), Prev: w.prev.number, Stable: w.prev.stable, Poisoned: w.prev.poisoned, Why: w.prev.why}
 	}
 	b := appendRecord(nil, s.salt, 0, 0, first)
 	if _, err := s.f.WriteAt(b, s.off); err != nil {
@@ -287,11 +287,11 @@
 
 // Admit says what becomes of a request that is to be recorded, before it is taken on: settles.TurnAway with when to come back while
 // the journal can't be written, if that is the policy.
-func (w *Writer) Admit() (settles.Verdict, time.Duration) {
+func (w *Writer) Admit() (requestlog.Verdict, time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.gate.Policy == settles.ServeUnrecorded {
-		return settles.Record, 0 // it is seen when an attempt is about to go out
+	if w.gate.Policy == requestlog.ServeUnrecorded {
+		return requestlog.Record, 0 // it is seen when an attempt is about to go out
 	}
 	return w.gate.Admit(w.o.Now())
 }
@@ -299,7 +299,7 @@
 // Intent returns once an intent is on disk, or with an error: then nothing may go out. A nil ticket without an error means
 // that the request goes out unrecorded, by the policy. ctx bounds the wait; one that ended it leaves a record that the
 // attempt was never sent.
-func (w *Writer) Intent(ctx context.Context, i settles.Intent) (*Ticket, error) {
+func (w *Writer) Intent(ctx context.Context, i requestlog.Intent) (*Ticket, error) {
 	now := w.o.Now()
 	p := &waiting{intent: &i, done: make(chan struct{})}
 	w.mu.Lock()
@@ -308,10 +308,10 @@
 		return nil, ErrClosed
 	}
 	switch v, _ := w.gate.Admit(now); v {
-	case settles.TurnAway:
+	case requestlog.TurnAway:
 		w.mu.Unlock()
 		return nil, ErrDown
-	case settles.Unrecorded:
+	case requestlog.Unrecorded:
 		w.mu.Unlock()
 		return nil, nil
 	}
@@ -340,7 +340,7 @@
 	if errors.Is(p.err, ErrDown) { // it failed while this one waited
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.gate.Policy == settles.ServeUnrecorded {
+		if w.gate.Policy == requestlog.ServeUnrecorded {
 			w.gate.Missed(w.o.Now(), p.err.Error())
 			return nil, nil
 		}
@@ -349,11 +349,11 @@
 }
 
 // Outcome records how an attempt ended. It never blocks.
-func (w *Writer) Outcome(t *Ticket, r settles.Result, status int) {
+func (w *Writer) Outcome(t *Ticket, r requestlog.Result, status int) {
 	if t == nil {
 		return
 	}
-	o := outcome{t, settles.Outcome{Intent: t.seq, Result: r, Status: status, At: w.o.Now()}}
+	o := outcome{t, requestlog.Outcome{Intent: t.seq, Result: r, Status: status, At: w.o.Now()}}
 	w.mu.Lock()
 	w.others = append(w.others, o)
 	idle := w.idle
@@ -591,7 +591,7 @@
 	w.mu.Lock()
 	for _, p := range done {
 		if p.told = true; p.left {
-			w.others = append(w.others, outcome{p.ticket, settles.Outcome{Intent: p.ticket.seq, Result: settles.NotSent, At: w.o.Now()}})
+			w.others = append(w.others, outcome{p.ticket, requestlog.Outcome{Intent: p.ticket.seq, Result: requestlog.NotSent, At: w.o.Now()}})
 		}
 	}
 	w.mu.Unlock()
@@ -676,7 +676,7 @@
 }
 
 // gap records requests that went out unrecorded.
-func (w *Writer) gap(g settles.Gap) {
+func (w *Writer) gap(g requestlog.Gap) {
 	s := w.cur
 	if s == nil {
 		return
@@ -816,7 +816,7 @@
 	}
 	for tries := 0; w.cur != nil && tries < 3; tries++ { // a sync that fails has it all told again elsewhere
 		s := w.cur
-		w.buf = appendRecord(w.buf[:0], s.salt, s.place, s.stable, &settles.Stop{At: w.o.Now()})
+		w.buf = appendRecord(w.buf[:0], s.salt, s.place, s.stable, &requestlog.Stop{At: w.o.Now()})
 		if s.room(0, len(w.buf)) {
 			s.place++
 			if err := w.write(s); err != nil {
--- a/internal/settles/record.go
+++ b/internal/requestlog/record.go
@@ -1,7 +1,7 @@
-// Package settles says what is known of requests that must not run twice: what a journal of them holds, what may be
+// Package requestlog says what is known of requests that must not run twice: what a journal of them holds, what may be
 // claimed from it after a crash, and what to do when it can't be written. It does no I/O: records come as bytes, times as
 // arguments. Package log keeps the bytes. Start reading at Book and Gate.
-package settles
+package requestlog
 
 import (
 	"crypto/sha256"
--- a/internal/testsupport/disk.go
+++ b/internal/testsupport/disk.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	settleslog "saltmast/internal/settles/log"
+	settleslog "saltmast/internal/requestlog/log"
 )
 
 // Disk is a folder of a journal that fails and hangs as the test says.
--- a/internal/upstream/record.go
+++ b/internal/upstream/record.go
@@ -8,14 +8,14 @@
 	"saltmast"
 	"saltmast/internal/core"
 	"saltmast/internal/links"
-	"saltmast/internal/settles"
+	"saltmast/internal/requestlog"
 	"saltmast/internal/sock"
 )
 
 // results are the outcomes as the journal has them.
-var results = map[saltmast.Result]settles.Result{
-	saltmast.OK: settles.Served, saltmast.Full: settles.TurnedAway, saltmast.Errored: settles.Errored, saltmast.Reset: settles.NoAnswer,
-	saltmast.TimedOut: settles.TimedOut, saltmast.Cancelled: settles.GivenUp, saltmast.ConnectFailed: settles.ConnectFailed, saltmast.NotSent: settles.NotSent,
+var results = map[saltmast.Result]requestlog.Result{
+	saltmast.OK: requestlog.Served, saltmast.Full: requestlog.TurnedAway, saltmast.Errored: requestlog.Errored, saltmast.Reset: requestlog.NoAnswer,
+	saltmast.TimedOut: requestlog.TimedOut, saltmast.Cancelled: requestlog.GivenUp, saltmast.ConnectFailed: requestlog.ConnectFailed, saltmast.NotSent: requestlog.NotSent,
 }
 
 // recorded is exchange for a request that must not run twice: its intent is on disk before the first byte leaves. The wait
@@ -26,7 +26,7 @@
 	wait, cancel := context.WithDeadline(ctx, cut)
 	defer cancel()
 	rec := q.Record
-	ticket, err := b.Journal.Intent(wait, settles.Intent{Request: q.ID, Attempt: int(rec.Attempts.Add(1)) - 1, Class: rec.Class, Account: rec.Account,
+	ticket, err := b.Journal.Intent(wait, requestlog.Intent{Request: q.ID, Attempt: int(rec.Attempts.Add(1)) - 1, Class: rec.Class, Account: rec.Account,
 		Key: rec.Key, Server: backend, Addr: c.RemoteAddr().String(), At: time.Now(), Digest: rec.Digest})
 	if err != nil {
 		b.pool.Release(c)
@@ -39,7 +39,7 @@
 	case r.message != nil:
 		status = int(r.message.Type)
 	case res == saltmast.OK && r.status == 0: // nothing came back, and nothing will
-		result = settles.OneWay
+		result = requestlog.OneWay
 	}
 	b.Journal.Outcome(ticket, result, status)
 	return res, r
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -15,8 +15,8 @@
 	"saltmast/internal/core"
 	"saltmast/internal/discovery"
 	"saltmast/internal/links"
-	"saltmast/internal/settles"
-	settleslog "saltmast/internal/settles/log"
+	"saltmast/internal/requestlog"
+	settleslog "saltmast/internal/requestlog/log"
 	"saltmast/internal/thrift"
 )
 
@@ -53,9 +53,9 @@
 type Journal interface {
 	// Intent returns once an intent is on disk; an error means that nothing may go out. A nil ticket without an error
 	// stands for an attempt that goes out unrecorded.
-	Intent(ctx context.Context, i settles.Intent) (*settleslog.Ticket, error)
+	Intent(ctx context.Context, i requestlog.Intent) (*settleslog.Ticket, error)
 	// Outcome takes note of how the attempt ended. It never blocks.
-	Outcome(t *settleslog.Ticket, r settles.Result, status int)
+	Outcome(t *settleslog.Ticket, r requestlog.Result, status int)
 }
 
 // Settle waits until the outcome of each recorded attempt is told.
