--- a/bench/settles/main.go
+++ b/bench/settles/main.go
@@ -24,13 +24,13 @@
 	"go.etcd.io/bbolt"
 	_ "modernc.org/sqlite"
 
-	"saltmast/internal/settles"
-	settleslog "saltmast/internal/settles/log"
+	"saltmast/internal/requestlog"
+	settleslog "saltmast/internal/requestlog/log"
 )
 
 // store is one that is measured: Settle makes an intent durable and then writes its outcome, which need not be.
 type store interface {
-	Settle(i settles.Intent) error
+	Settle(i requestlog.Intent) error
 	Close() error
 }
 
@@ -154,8 +154,8 @@
 	return n
 }
 
-func intent(i, k int) settles.Intent {
-	return settles.Intent{Request: fmt.Sprintf("%08x%08x", i, k), Class: "sale-settle", Account: "fleet-7731", Server: "auth-03.kol.1", Addr: "10.20.30.40:8443", At: time.Now()}
+func intent(i, k int) requestlog.Intent {
+	return requestlog.Intent{Request: fmt.Sprintf("%08x%08x", i, k), Class: "sale-settle", Account: "fleet-7731", Server: "auth-03.kol.1", Addr: "10.20.30.40:8443", At: time.Now()}
 }
 
 // openJournal is the journal itself, with the sizes that it has by default but for what it keeps.
@@ -166,10 +166,10 @@
 
 type journal struct{ w *settleslog.Writer }
 
-func (j journal) Settle(i settles.Intent) error {
+func (j journal) Settle(i requestlog.Intent) error {
 	t, err := j.w.Intent(context.Background(), i)
 	if err == nil {
-		j.w.Outcome(t, settles.Served, 200)
+		j.w.Outcome(t, requestlog.Served, 200)
 	}
 	return err
 }
@@ -194,11 +194,11 @@
 	off int64
 }
 
-func (b *bare) Settle(i settles.Intent) error {
+func (b *bare) Settle(i requestlog.Intent) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	raw := settles.Append(nil, &i)
-	raw = settles.Append(raw, &settles.Outcome{})
+	raw := requestlog.Append(nil, &i)
+	raw = requestlog.Append(raw, &requestlog.Outcome{})
 	if b.off+int64(len(raw)) > 4<<20 {
 		b.off = 0
 	}
@@ -265,13 +265,13 @@
 	}
 }
 
-func (g *grouped) Settle(i settles.Intent) error {
+func (g *grouped) Settle(i requestlog.Intent) error {
 	wait := make(chan error, 1)
-	g.put(settles.Append(nil, &i), wait)
+	g.put(requestlog.Append(nil, &i), wait)
 	if err := <-wait; err != nil {
 		return err
 	}
-	g.put(settles.Append(nil, &settles.Outcome{Result: settles.Served, Status: 200, At: time.Now()}), nil)
+	g.put(requestlog.Append(nil, &requestlog.Outcome{Result: requestlog.Served, Status: 200, At: time.Now()}), nil)
 	return nil
 }
 
@@ -375,7 +375,7 @@
 		return 0, err
 	}
 	begun := time.Now()
-	rep, err := settleslog.Read(settleslog.Dir(dir), settles.NewBook(func(*settles.Intent) bool { return false }))
+	rep, err := settleslog.Read(settleslog.Dir(dir), requestlog.NewBook(func(*requestlog.Intent) bool { return false }))
 	if err != nil {
 		return 0, err
 	}
--- a/internal/integration/proc_other.go
+++ b/internal/integration/proc_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package shakedown
+package integration
 
 import "syscall"
 
--- a/internal/integration/race.go
+++ b/internal/integration/race.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package shakedown
+package integration
 
 const race = true
--- a/internal/modelcheck/race.go
+++ b/internal/modelcheck/race.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package explore
+package modelcheck
 
 // Slow reports whether the race detector is on. It makes a walk ten times as long and has nothing to find there.
 const Slow = true
--- a/internal/simulation/race_on_test.go
+++ b/internal/simulation/race_on_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package drydock
+package simulation
 
 const raceOn = true
