--- a/check.sh
+++ b/check.sh
@@ -34,22 +34,22 @@
 
 # The whole spaces of claims, ballots and connections, all of drydock's days and its flawed worlds go without the race detector: it plays a few
 # of the days below.
-go test -count=1 "${skip[@]}" . ./internal/ballot ./internal/tally ./internal/dataplane ./internal/signal ./internal/drydock
+go test -count=1 "${skip[@]}" . ./internal/consensus ./internal/idempotency ./internal/dataplane ./internal/rpc ./internal/simulation
 # What a proxy takes of memory with 10,000 routes is only true without it.
-go test -count=1 -run TestManyRoutes ./internal/shakedown
+go test -count=1 -run TestManyRoutes ./internal/integration
 # A short run of the fuzzer, bounded by its count; what it ever found stands in testdata and is part of the tests.
 go test -run='^$' -fuzz=FuzzScan -fuzztime=20000x ./internal/thrift
 go test -run='^$' -fuzz=FuzzReaders -fuzztime=20000x ./internal/recording
 go test -run='^$' -fuzz=FuzzHead -fuzztime=20000x ./internal/http1
 go test -run='^$' -fuzz=FuzzDecode -fuzztime=20000x ./internal/maintenance
 go test -run='^$' -fuzz=FuzzDecode -fuzztime=20000x ./internal/shared
-go test -run='^$' -fuzz=FuzzReceive -fuzztime=20000x ./internal/roster
-go test -run='^$' -fuzz=FuzzFrame -fuzztime=20000x ./internal/signal
+go test -run='^$' -fuzz=FuzzReceive -fuzztime=20000x ./internal/membership
+go test -run='^$' -fuzz=FuzzFrame -fuzztime=20000x ./internal/rpc
 go test -run='^$' -fuzz=FuzzHop -fuzztime=20000x ./internal/dataplane
 # Rehearsals watch their own lateness and play again what the machine was too busy for, and whole agents take a standstill of
 # the machine for one of their backends, and a mesh of real processes waits for its disks: they get it to themselves.
-go test -count=1 -race "${skip[@]}" $(go list ./internal/... ./cmd/... | grep -v -e /rehearsal$ -e /latchkit$ -e /agent$ -e /shakedown$)
-go test -count=1 -race -p 1 "${skip[@]}" ./internal/agent ./internal/rehearsal ./internal/shakedown ./cmd/latchkit
+go test -count=1 -race "${skip[@]}" $(go list ./internal/... ./cmd/... | grep -v -e /rehearsal$ -e /latchkit$ -e /agent$ -e /integration$)
+go test -count=1 -race -p 1 "${skip[@]}" ./internal/agent ./internal/rehearsal ./internal/integration ./cmd/latchkit
 
 build=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/balancer.toml)
 [ -n "$build" ] || { echo "deploy/balancer.toml: no build command" >&2; exit 1; }
