--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -57,7 +57,7 @@
 	LinkMbps    float64       // of this machine's link, in 10^6 bits a second; 0: not known
 
 	Net     sock.Net // nil: the system's
-	Council *quorum.Council
+	Council *quorum.Client
 	Heard   func(addr string)                 // another proxy answered; nil: nobody asks
 	News    func(call []byte) ([]byte, error) // answers a PullCall of another proxy; nil: none are
 	Report  func(call []byte) ([]byte, error) // answers a ReportCall; nil: none are
--- a/internal/dataplane/keyed.go
+++ b/internal/dataplane/keyed.go
@@ -94,9 +94,9 @@
 // free tells all members that a claim is void.
 func (v *voyage) free(id idempotency.ID) {
 	msg := rpc.Encode(messages.ReleaseCall{Key: v.key, ID: id})
-	roll := v.g.o.Council.Roll()
+	roll := v.g.o.Council.VoterSet()
 	for i := range roll.Voters {
-		if c := v.g.o.Council.Client(i); c != nil {
+		if c := v.g.o.Council.VoterClient(i); c != nil {
 			c.Go(messages.Release, msg, func([]byte, error) {})
 		}
 	}
@@ -227,17 +227,17 @@
 // id.
 func (g *DataPlane) vote(key string, id idempotency.ID, wait time.Duration) (verdict idempotency.Verdict, holder idempotency.ID) {
 	for end := time.Now().Add(wait); ; {
-		roll := g.o.Council.Roll()
+		roll := g.o.Council.VoterSet()
 		n := len(roll.Voters)
 		vote := idempotency.Vote{Voters: n}
 		msg := rpc.Encode(messages.ClaimCall{Key: key, ID: id, Epoch: roll.Epoch})
 		gone := 0
-		g.o.Council.Gather(messages.Claim, func(int) []byte { return msg }, time.Until(end), func(t quorum.Told) bool {
+		g.o.Council.Broadcast(messages.Claim, func(int) []byte { return msg }, time.Until(end), func(t quorum.Response) bool {
 			var gr idempotency.Grant
 			if t.Err != nil || rpc.Decode(t.Body, &gr) != nil {
 				if vote.Missed(); errcode.Of(t.Err) == errcode.Gone {
 					if gone++; gone == 1 {
-						g.o.Council.Learn(t.Place, roll.Epoch)
+						g.o.Council.FetchVoterSet(t.Voter, roll.Epoch)
 					}
 				}
 			} else {
@@ -246,7 +246,7 @@
 			verdict, holder = vote.Verdict()
 			return verdict != idempotency.Open || gone > n-consensus.Majority(n)
 		})
-		if verdict != idempotency.Open || gone == 0 || !g.o.Council.Await(roll.Epoch, end) {
+		if verdict != idempotency.Open || gone == 0 || !g.o.Council.AwaitNewer(roll.Epoch, end) {
 			return verdict, holder
 		}
 	}
--- a/internal/dataplane/way_test.go
+++ b/internal/dataplane/way_test.go
@@ -213,7 +213,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWay(t, lookup, func(io.Writer, *http.Request) {})
 		w.sea.Machine("10.0.0.9", "north") // nobody listens there
-		w.o.Council.Take(messages.Roll{Epoch: 1, Voters: []messages.Voter{{Addr: "10.0.0.9:1"}, {Addr: "10.0.0.9:2"}, {Addr: "10.0.0.9:3"}}})
+		w.o.Council.Update(messages.Roll{Epoch: 1, Voters: []messages.Voter{{Addr: "10.0.0.9:1"}, {Addr: "10.0.0.9:2"}, {Addr: "10.0.0.9:3"}}})
 		m := w.sea.Machine("10.0.0.2", "north").Start()
 		l, err := m.Listen("10.0.0.2:82", 0)
 		if err != nil {
--- a/internal/lease/duty_test.go
+++ b/internal/lease/duty_test.go
@@ -24,20 +24,20 @@
 			asked         time.Duration
 			answer        bool
 		}
-		agents := []*agent{{lease: Lease{Members: 3}, rate: 0.99}, {lease: Lease{Members: 3}, rate: 1.01}}
-		var members []*Ledger
+		agents := []*agent{{lease: Lease{Voters: 3}, rate: 0.99}, {lease: Lease{Voters: 3}, rate: 1.01}}
+		var members []*Granter
 		rates := []float64{1.01, 1, 0.99}
 		for range 3 {
-			members = append(members, NewLedger(-Span))
+			members = append(members, NewGranter(-Span))
 		}
 		var sea []message
 		for tick := range 6000 {
 			now := time.Duration(tick) * step
 			for i, m := range members {
 				if rng.IntN(1500) == 0 {
-					*m = *NewLedger(time.Duration(float64(now) * rates[i]))
+					*m = *NewGranter(time.Duration(float64(now) * rates[i]))
 					if noQuiet {
-						m.began -= Span
+						m.startedAt -= Span
 					}
 				}
 			}
@@ -54,14 +54,14 @@
 			for _, m := range due {
 				if m.answer {
 					a := agents[m.agent]
-					before := a.lease.until
-					a.lease.Granted(m.asked, m.member)
-					if late && a.lease.until > before {
-						a.lease.until = time.Duration(float64(now)*a.rate) + Span
+					before := a.lease.expiresAt
+					a.lease.RecordGrant(m.asked, m.member)
+					if late && a.lease.expiresAt > before {
+						a.lease.expiresAt = time.Duration(float64(now)*a.rate) + Span
 					}
 					continue
 				}
-				if members[m.member].Grant(time.Duration(float64(now)*rates[m.member]), Teach, uint64(m.agent+1)) && rng.IntN(8) > 0 {
+				if members[m.member].Grant(time.Duration(float64(now)*rates[m.member]), CatchUp, uint64(m.agent+1)) && rng.IntN(8) > 0 {
 					sea = append(sea, message{at: tick + 1 + rng.IntN(20), agent: m.agent, member: m.member, asked: m.asked, answer: true})
 				}
 			}
@@ -75,16 +75,16 @@
 					continue
 				}
 				own := time.Duration(float64(now) * a.rate)
-				if a.lease.Due(own) {
+				if a.lease.BeginRenewal(own) {
 					for m := range members {
 						for range 1 + rng.IntN(2) { // some are repeated
 							if rng.IntN(8) > 0 {
-								sea = append(sea, message{at: tick + 1 + rng.IntN(20), agent: i, member: m, asked: a.lease.Asked()})
+								sea = append(sea, message{at: tick + 1 + rng.IntN(20), agent: i, member: m, asked: a.lease.RequestedAt()})
 							}
 						}
 					}
 				}
-				if a.lease.Holds(own) {
+				if a.lease.Held(own) {
 					holds++
 				}
 			}
--- a/internal/lease/explore_test.go
+++ b/internal/lease/explore_test.go
@@ -62,7 +62,7 @@
 }
 
 func (h *holder) lease() Lease {
-	l := Lease{Members: members, asked: h.asked, until: h.until}
+	l := Lease{Voters: members, requestedAt: h.asked, expiresAt: h.until}
 	if h.asks[0] > 0 {
 		l.grants = map[int]bool{}
 		for i := range members {
@@ -75,7 +75,7 @@
 }
 
 func (h *holder) take(l *Lease) {
-	h.asked, h.until, h.grants = l.asked, l.until, 0
+	h.asked, h.until, h.grants = l.requestedAt, l.expiresAt, 0
 	for i := range l.grants {
 		h.grants |= 1 << i
 	}
@@ -99,11 +99,11 @@
 		if s.restarts < k.restarts {
 			n := s
 			n.restarts++
-			l := NewLedger(theirs)
+			l := NewGranter(theirs)
 			if k.eager {
-				l.began -= Span
+				l.startedAt -= Span
 			}
-			n.g[i] = granter{began: l.began}
+			n.g[i] = granter{began: l.startedAt}
 			emit(n, "granter %d restarts", i)
 		}
 		for j := range holders {
@@ -111,13 +111,13 @@
 				if asked == 0 || s.h[j].told[a]&(1<<i) != 0 && g.by == uint8(j+1) && g.until == theirs+Span {
 					continue
 				}
-				l := &Ledger{began: g.began, held: map[Name]held{}}
+				l := &Granter{startedAt: g.began, grants: map[Name]grant{}}
 				if g.by > 0 {
-					l.held[Teach] = held{uint64(g.by), g.until}
+					l.grants[CatchUp] = grant{uint64(g.by), g.until}
 				}
-				if l.Grant(theirs, Teach, uint64(j+1)) {
+				if l.Grant(theirs, CatchUp, uint64(j+1)) {
 					n := s
-					n.g[i].by, n.g[i].until = uint8(j+1), l.held[Teach].until
+					n.g[i].by, n.g[i].until = uint8(j+1), l.grants[CatchUp].expiresAt
 					if k.delay {
 						n.h[j].told[a] |= 1 << i
 					} else if n := n; k.hear(&n, j, a, i) {
@@ -134,7 +134,7 @@
 		if s.at == 0 && j == 1 && s.h[0].asks[0] == 0 {
 			continue
 		}
-		if free := bits.TrailingZeros8(^(uint8(min(h.asks[0], 1)) | uint8(min(h.asks[1], 1))<<1)); (free == 0 || free < most-j && !k.once && !k.delay) && l.Due(own) {
+		if free := bits.TrailingZeros8(^(uint8(min(h.asks[0], 1)) | uint8(min(h.asks[1], 1))<<1)); (free == 0 || free < most-j && !k.once && !k.delay) && l.BeginRenewal(own) {
 			n := s
 			n.h[j].take(&l)
 			n.h[j].asks[free] = s.at + 1
@@ -158,15 +158,15 @@
 func (k rules) hear(s *world, j, a, i int) bool {
 	h := s.h[j]
 	l := h.lease()
-	l.Granted(k.ownNow(h.asks[a]-1), i)
-	if l.until > h.until {
+	l.RecordGrant(k.ownNow(h.asks[a]-1), i)
+	if l.expiresAt > h.until {
 		switch {
 		case k.late:
-			l.until = k.ownNow(s.at) + Span - Margin
+			l.expiresAt = k.ownNow(s.at) + Span - Margin
 		case k.theirs:
-			l.until = k.theirNow(h.asks[a]-1) + Span - Margin
+			l.expiresAt = k.theirNow(h.asks[a]-1) + Span - Margin
 		case k.noMargin:
-			l.until += Margin
+			l.expiresAt += Margin
 		}
 	}
 	s.h[j].take(&l)
@@ -211,7 +211,7 @@
 func (k rules) broken(s world) string {
 	n := 0
 	for j := range s.h {
-		if l := s.h[j].lease(); l.Holds(k.ownNow(s.at)) {
+		if l := s.h[j].lease(); l.Held(k.ownNow(s.at)) {
 			n++
 		}
 	}
--- a/internal/loadline/phases.go
+++ b/internal/loadline/phases.go
@@ -242,7 +242,7 @@
 	if err := c.Call(messages.Watch, messages.WatchCall{Have: configuration.Ballot{N: 1 << 62}}, &w, 2*time.Second); err != nil {
 		return Phase{}, err
 	}
-	co.Take(w.Roll)
+	co.Update(w.Roll)
 	took := newTimes()
 	var mu sync.Mutex
 	lost := 0
@@ -257,7 +257,7 @@
 					begun := time.Now()
 					call := rpc.Encode(messages.ClaimCall{Key: fmt.Sprintf("scale-key-%012d", k), ID: idempotency.ID{Life: 1, N: k, At: x.l.Addr(0, free)}, Epoch: w.Roll.Epoch})
 					votes := 0
-					co.Gather(messages.Claim, func(int) []byte { return call }, time.Second, func(t quorum.Told) bool {
+					co.Broadcast(messages.Claim, func(int) []byte { return call }, time.Second, func(t quorum.Response) bool {
 						if t.Err == nil {
 							votes++
 						}
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -23,7 +23,7 @@
 			return nil, err
 		}
 	}
-	s, roll := t.s.Load(), t.council.Roll()
+	s, roll := t.s.Load(), t.council.VoterSet()
 	r := messages.Reported{Program: messages.TheTug, Version: process.Version, Node: s.NodeName, Zone: s.Zone, Addr: s.Port(messages.GatePort),
 		Life: t.life, UpMs: uint64(t.way.Up().Milliseconds()), Epoch: roll.Epoch, Voters: roll.Voters, Counts: t.Counts()}
 	own := &messages.TugReport{Ready: t.ready() == nil, Stopping: t.stopping.Load(), FromMs: messages.Never, FreshMs: messages.Never}
--- a/internal/proxy/tug.go
+++ b/internal/proxy/tug.go
@@ -34,7 +34,7 @@
 	log     func(event, text string)
 	net     sock.Net
 	way     *dataplane.DataPlane
-	council *quorum.Council
+	council *quorum.Client
 	head    *transport.Masthead
 	life    uint64
 
@@ -259,7 +259,7 @@
 	for _, x := range s.Seeds {
 		add(messages.Beside(x, s.Ports[0], messages.HarbourPort), "")
 	}
-	for _, v := range t.council.Roll().Voters { // a harbourmaster that has just begun knows of no other, but it knows who counts
+	for _, v := range t.council.VoterSet().Voters { // a harbourmaster that has just begun knows of no other, but it knows who counts
 		add(messages.Beside(v.Addr, s.Ports[0], messages.HarbourPort), "")
 	}
 	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
@@ -349,7 +349,7 @@
 	for !t.over() {
 		b := t.way.Gate.Berth()
 		t.mu.Lock()
-		call.Self, call.Have, call.Epoch = &b, t.chosen, t.council.Roll().Epoch
+		call.Self, call.Have, call.Epoch = &b, t.chosen, t.council.VoterSet().Epoch
 		t.anew(&got)
 		got.goOn(&call)
 		call.Others = slices.Clone(t.others)
@@ -437,7 +437,7 @@
 	for !t.over() {
 		b := t.way.Gate.Berth()
 		t.mu.Lock()
-		call := messages.PullCall{Self: &b, Have: t.chosen, Epoch: t.council.Roll().Epoch}
+		call := messages.PullCall{Self: &b, Have: t.chosen, Epoch: t.council.VoterSet().Epoch}
 		t.anew(&got)
 		got.goOn(&call)
 		t.mu.Unlock()
@@ -471,7 +471,7 @@
 	}
 	n := messages.News{Life: t.life, FreshMs: messages.Never, Partial: !t.full}
 	n.Tell(call, t.table, t.chosen, t.stands, t.bare)
-	if r := t.council.Roll(); r.Epoch != call.Epoch && r.Epoch > 0 {
+	if r := t.council.VoterSet(); r.Epoch != call.Epoch && r.Epoch > 0 {
 		n.Roll = &r
 	}
 	if !t.heard.IsZero() {
@@ -512,7 +512,7 @@
 
 // take takes news. A configuration of one who hears no majority is left there while another may have a newer one: seek.
 func (t *Tug) take(n messages.News) (seek bool) {
-	if n.Roll != nil && t.council.Take(*n.Roll) {
+	if n.Roll != nil && t.council.Update(*n.Roll) {
 		t.log("roll", fmt.Sprintf("epoch %d, %d count", n.Roll.Epoch, len(n.Roll.Voters)))
 	}
 	var news []backends.Berth
--- a/internal/quorum/council.go
+++ b/internal/quorum/council.go
@@ -15,39 +15,39 @@
 	"saltmast/internal/sock"
 )
 
-// Council is the clients to the pursers of the newest roll that was heard of.
-type Council struct {
-	net     sock.Net
-	mu      sync.Mutex
-	roll    messages.Roll
-	clients []*rpc.Client
-	newer   chan struct{} // closed when a newer roll is taken
+// Client is the clients to the pursers of the newest roll that was heard of.
+type Client struct {
+	net      sock.Net
+	mu       sync.Mutex
+	voterSet messages.Roll
+	clients  []*rpc.Client
+	updated  chan struct{} // closed when a newer roll is taken
 
-	learning atomic.Bool
+	fetching atomic.Bool
 }
 
 // New returns one that knows of nobody. n: nil for the system's network.
-func New(n sock.Net) *Council { return &Council{net: n, newer: make(chan struct{})} }
+func New(n sock.Net) *Client { return &Client{net: n, updated: make(chan struct{})} }
 
-// Roll is the newest roll.
-func (c *Council) Roll() messages.Roll {
+// VoterSet is the newest roll.
+func (c *Client) VoterSet() messages.Roll {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.roll
+	return c.voterSet
 }
 
-// Take takes a roll if it is newer, and reports whether it was.
-func (c *Council) Take(r messages.Roll) bool {
+// Update takes a roll if it is newer, and reports whether it was.
+func (c *Client) Update(r messages.Roll) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if r.Epoch <= c.roll.Epoch {
+	if r.Epoch <= c.voterSet.Epoch {
 		return false
 	}
 	old := map[string]*rpc.Client{}
 	for _, cl := range c.clients {
 		old[cl.Addr()] = cl
 	}
-	c.roll, c.clients = r, nil
+	c.voterSet, c.clients = r, nil
 	for _, v := range r.Voters {
 		cl := old[v.Addr]
 		if cl == nil {
@@ -59,59 +59,59 @@
 	for _, cl := range old {
 		cl.Close()
 	}
-	close(c.newer)
-	c.newer = make(chan struct{})
+	close(c.updated)
+	c.updated = make(chan struct{})
 	return true
 }
 
-// Newer is closed once there is a newer roll than that of epoch.
-func (c *Council) Newer(epoch uint64) <-chan struct{} {
+// NewerThan is closed once there is a newer roll than that of epoch.
+func (c *Client) NewerThan(epoch uint64) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.roll.Epoch > epoch {
+	if c.voterSet.Epoch > epoch {
 		over := make(chan struct{})
 		close(over)
 		return over
 	}
-	return c.newer
+	return c.updated
 }
 
 const (
-	learnTime = 250 * time.Millisecond
-	againTime = 20 * time.Millisecond
+	fetchWait  = 250 * time.Millisecond
+	retryDelay = 20 * time.Millisecond
 )
 
-// Learn asks the voter of a place, which said that an epoch has ended, who counts now. It holds the call until it knows. One
+// FetchVoterSet asks the voter of a place, which said that an epoch has ended, who counts now. It holds the call until it knows. One
 // such call is under way at a time.
-func (c *Council) Learn(place int, epoch uint64) {
-	cl := c.Client(place)
-	if cl == nil || !c.learning.CompareAndSwap(false, true) {
+func (c *Client) FetchVoterSet(place int, epoch uint64) {
+	cl := c.VoterClient(place)
+	if cl == nil || !c.fetching.CompareAndSwap(false, true) {
 		return
 	}
-	call := messages.WatchCall{Have: configuration.Ballot{N: 1 << 62}, HoldMs: uint32(learnTime.Milliseconds()), Epoch: epoch}
+	call := messages.WatchCall{Have: configuration.Ballot{N: 1 << 62}, HoldMs: uint32(fetchWait.Milliseconds()), Epoch: epoch}
 	go func() {
-		defer c.learning.Store(false)
+		defer c.fetching.Store(false)
 		var w messages.Watched
-		if cl.Call(messages.Watch, call, &w, 2*learnTime) == nil {
-			c.Take(w.Roll)
+		if cl.Call(messages.Watch, call, &w, 2*fetchWait) == nil {
+			c.Update(w.Roll)
 		}
 	}()
 }
 
-// Await waits after a vote that failed since an epoch had ended, until a newer roll is known or for a moment: members of the
+// AwaitNewer waits after a vote that failed since an epoch had ended, until a newer roll is known or for a moment: members of the
 // newest may have yet to take their office over. It reports whether to ask again before end.
-func (c *Council) Await(epoch uint64, end time.Time) bool {
-	t := time.NewTimer(min(againTime, time.Until(end)))
+func (c *Client) AwaitNewer(epoch uint64, end time.Time) bool {
+	t := time.NewTimer(min(retryDelay, time.Until(end)))
 	defer t.Stop()
 	select {
-	case <-c.Newer(epoch):
+	case <-c.NewerThan(epoch):
 	case <-t.C:
 	}
 	return time.Now().Before(end)
 }
 
-// Client is the client to the voter of a place; nil: there is none.
-func (c *Council) Client(place int) *rpc.Client {
+// VoterClient is the client to the voter of a place; nil: there is none.
+func (c *Client) VoterClient(place int) *rpc.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if place >= len(c.clients) {
@@ -121,7 +121,7 @@
 }
 
 // Close ends all clients.
-func (c *Council) Close() {
+func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, cl := range c.clients {
@@ -129,16 +129,16 @@
 	}
 }
 
-// Told is what one member answered.
-type Told struct {
-	Place int
+// Response is what one member answered.
+type Response struct {
+	Voter int
 	Body  []byte
 	Err   error
 }
 
-// Gather sends one call to all members and hands their answers to each, one by one, until that says enough, all have answered
+// Broadcast sends one call to all members and hands their answers to each, one by one, until that says enough, all have answered
 // or wait is over. message gives it for a member; nil: it gets none. Answers that come later are dropped.
-func (c *Council) Gather(kind uint8, message func(place int) []byte, wait time.Duration, each func(Told) (enough bool)) error {
+func (c *Client) Broadcast(kind uint8, message func(place int) []byte, wait time.Duration, each func(Response) (enough bool)) error {
 	c.mu.Lock()
 	clients := c.clients
 	c.mu.Unlock()
@@ -148,12 +148,12 @@
 	if wait <= 0 {
 		return errcode.New(errcode.CoreOut, "no time is left")
 	}
-	ch := make(chan Told, len(clients))
+	ch := make(chan Response, len(clients))
 	ids := map[int]uint32{}
 	why := "" // of the last that failed
 	for i, cl := range clients {
 		if body := message(i); body != nil {
-			ids[i] = cl.Go(kind, body, func(b []byte, err error) { ch <- Told{i, b, err} })
+			ids[i] = cl.Go(kind, body, func(b []byte, err error) { ch <- Response{i, b, err} })
 		}
 	}
 	t := time.NewTimer(wait)
@@ -161,9 +161,9 @@
 	for len(ids) > 0 {
 		select {
 		case told := <-ch:
-			delete(ids, told.Place)
+			delete(ids, told.Voter)
 			if told.Err != nil {
-				why = fmt.Sprintf(": %s: %v", clients[told.Place].Addr(), told.Err)
+				why = fmt.Sprintf(": %s: %v", clients[told.Voter].Addr(), told.Err)
 			}
 			if each(told) {
 				return nil // the others' answers are dropped as they come; a peer that says nothing is noticed by its own link
--- a/internal/registry/contact_test.go
+++ b/internal/registry/contact_test.go
@@ -40,7 +40,7 @@
 		} {
 			h, b := ashore(t)
 			roll := messages.Roll{Epoch: 2, Voters: make([]messages.Voter, 3)}
-			h.council.Take(roll)
+			h.council.Update(roll)
 			b.leases = map[lease.Name]*lease.Lease{}
 			b.heard, b.vouched, b.pending, b.behind, b.shut = make([]time.Time, 3), make([]time.Time, 3), make([]time.Time, 3), make([]int, 3), make([]time.Time, 3)
 			b.marks, b.upto, b.taught, b.answered = make([]messages.Mark, 3), make([]configuration.Ballot, 3), make([]bool, 3), make([]time.Time, 3)
@@ -69,13 +69,13 @@
 		h, b := ashore(t)
 		h.o.Lost = 10 * time.Second
 		b.begun, b.since = time.Now(), time.Now()
-		held := &lease.Lease{Members: 1}
-		b.leases = map[lease.Name]*lease.Lease{lease.Roll: held}
+		held := &lease.Lease{Voters: 1}
+		b.leases = map[lease.Name]*lease.Lease{lease.VoterChange: held}
 		n := func() []time.Time { return []time.Time{time.Now(), time.Now(), time.Now()} }
 		b.heard, b.vouched, b.answered = n(), n(), n()
 		lost := func() bool {
-			held.Due(time.Since(b.begun))
-			held.Granted(held.Asked(), 0)
+			held.BeginRenewal(time.Since(b.begun))
+			held.RecordGrant(held.RequestedAt(), 0)
 			b.tend(time.Now())
 			return !b.sought.IsZero()
 		}
@@ -108,7 +108,7 @@
 		defer h.council.Close()
 		h.o.Lost = 2 * time.Second
 		roll := messages.Roll{Epoch: 2, Voters: make([]messages.Voter, 3)}
-		h.council.Take(roll)
+		h.council.Update(roll)
 		b.adopted(roll)
 		for _, sleep := range []time.Duration{0, 500 * time.Millisecond, 500 * time.Millisecond, time.Minute} {
 			time.Sleep(sleep)
@@ -157,7 +157,7 @@
 		h, b = ashore(t)
 		h.council = quorum.New(p)
 		defer h.council.Close()
-		h.council.Take(messages.Roll{Epoch: 1, Voters: voters})
+		h.council.Update(messages.Roll{Epoch: 1, Voters: voters})
 		h.own = rpc.Own(b, 16)
 		defer h.own.End()
 		items := []configuration.Item{{Key: configuration.Key{Kind: configuration.Services, Name: "s"}, Version: 1, Spec: []byte("{}")}}
@@ -191,7 +191,7 @@
 		p := network.New(1).Machine("10.0.0.1", "north").Start()
 		h, b := ashore(t)
 		h.council = quorum.New(p)
-		h.council.Take(messages.Roll{Epoch: 1, Voters: []messages.Voter{{Addr: "10.0.0.2:80"}, {Addr: "10.0.0.3:80"}, {Addr: "10.0.0.4:80"}}})
+		h.council.Update(messages.Roll{Epoch: 1, Voters: []messages.Voter{{Addr: "10.0.0.2:80"}, {Addr: "10.0.0.3:80"}, {Addr: "10.0.0.4:80"}}})
 		h.own = rpc.Own(b, 16)
 		for _, c := range []struct {
 			name   string
@@ -230,15 +230,15 @@
 			name := string(rune('a' + i))
 			roll.Voters = append(roll.Voters, messages.Voter{Name: name, Addr: name + ":1", Zone: zone})
 		}
-		h.council.Take(roll)
+		h.council.Update(roll)
 		close(h.ended) // no change is begun
 		time.Sleep(time.Minute)
 		now := time.Now()
 		b.begun, b.since, b.epoch = now.Add(-time.Minute), now.Add(-time.Minute), 2
 		b.heard, b.answered = []time.Time{now, now, now}, []time.Time{now, now, now}
-		held := &lease.Lease{Members: 3}
-		b.leases = map[lease.Name]*lease.Lease{lease.Roll: held}
-		held.Due(time.Since(b.begun)) // asked just now, and nobody has answered
+		held := &lease.Lease{Voters: 3}
+		b.leases = map[lease.Name]*lease.Lease{lease.VoterChange: held}
+		held.BeginRenewal(time.Since(b.begun)) // asked just now, and nobody has answered
 		if b.tend(now) {
 			t.Error("soon, with nobody who could take a place")
 		}
--- a/internal/registry/harbour.go
+++ b/internal/registry/harbour.go
@@ -61,7 +61,7 @@
 type Harbour struct {
 	o       Options
 	own     *rpc.Owner[books]
-	council *quorum.Council
+	council *quorum.Client
 	server  *rpc.Server
 	http    *http.Server
 	port    *controlapi.Port
@@ -210,7 +210,7 @@
 // Status tells how it stands.
 func (h *Harbour) Status() (s Status) {
 	h.own.Ask(func(b *books) {
-		s = Status{Chosen: b.chosen, Items: b.stands.Len(), Berths: b.berths.All(), Roll: h.council.Roll(), FreshMs: b.fresh()}
+		s = Status{Chosen: b.chosen, Items: b.stands.Len(), Berths: b.berths.All(), Roll: h.council.VoterSet(), FreshMs: b.fresh()}
 		for _, m := range b.masters {
 			s.Masters = append(s.Masters, m)
 		}
@@ -229,7 +229,7 @@
 
 // enrol asks about until it knows who counts, then watches each of them, whatever roll there is.
 func (h *Harbour) enrol() {
-	for h.council.Roll().Epoch == 0 {
+	for h.council.VoterSet().Epoch == 0 {
 		addrs := []string{h.o.Purser}
 		for _, s := range h.o.Seeds() {
 			if a := messages.Beside(s, h.o.First, messages.PurserPort); a != h.o.Purser {
@@ -244,7 +244,7 @@
 			}
 			c.Close()
 		}
-		if h.council.Roll().Epoch == 0 && !h.pause(100*time.Millisecond) {
+		if h.council.VoterSet().Epoch == 0 && !h.pause(100*time.Millisecond) {
 			return
 		}
 	}
@@ -252,12 +252,12 @@
 
 // adopt takes a roll if it is newer than what is known, and watches those who count there. It is called by what runs.
 func (h *Harbour) adopt(roll messages.Roll) {
-	if roll.Epoch == 0 || !h.council.Take(roll) {
+	if roll.Epoch == 0 || !h.council.Update(roll) {
 		return
 	}
 	h.o.Log("roll", fmt.Sprintf("epoch %d, %d count", roll.Epoch, len(roll.Voters)))
 	h.own.Ask(func(b *books) {
-		if h.council.Roll().Epoch != roll.Epoch {
+		if h.council.VoterSet().Epoch != roll.Epoch {
 			return
 		}
 		b.adopted(roll)
@@ -288,8 +288,8 @@
 func (h *Harbour) watch(place int, roll messages.Roll) {
 	anew := true // how it stands is to be known at once
 	for !h.over() {
-		c := h.council.Client(place)
-		if c == nil || h.council.Roll().Epoch != roll.Epoch {
+		c := h.council.VoterClient(place)
+		if c == nil || h.council.VoterSet().Epoch != roll.Epoch {
 			return
 		}
 		var call messages.WatchCall
@@ -320,7 +320,7 @@
 			return
 		}
 		h.own.Ask(func(b *books) {
-			if h.council.Roll().Epoch == roll.Epoch {
+			if h.council.VoterSet().Epoch == roll.Epoch {
 				b.watched(place, w, asked.Add(time.Duration(w.HeldMs)*time.Millisecond))
 			}
 		})
@@ -370,13 +370,13 @@
 	}
 	// Of a majority that vouches, nobody is sealed, so that no other epoch had begun; nobody is of another epoch; and nobody has
 	// accepted what is not known here to be chosen, or knows of more: all that was chosen when the first of them spoke is known here.
-	if !w.Shut && w.Roll.Epoch == b.h.council.Roll().Epoch && !b.chosen.Less(w.Accepted) && !b.chosen.Less(w.Known) {
+	if !w.Shut && w.Roll.Epoch == b.h.council.VoterSet().Epoch && !b.chosen.Less(w.Accepted) && !b.chosen.Less(w.Known) {
 		later(&b.vouched[place])
 	}
 	switch {
 	case catches, w.Accepted.Less(b.chosen):
 		b.behind[place]++
-		if (catches || b.behind[place] >= 2 || consensus.Beyond(b.stands, w.Chosen, farBehind)) && b.may(lease.Teach) {
+		if (catches || b.behind[place] >= 2 || consensus.Beyond(b.stands, w.Chosen, farBehind)) && b.may(lease.CatchUp) {
 			b.behind[place] = 0
 			b.teach(place)
 		}
@@ -433,30 +433,30 @@
 		held = &lease.Lease{}
 		b.leases[d] = held
 	}
-	if held.Holds(now) {
+	if held.Held(now) {
 		return true
 	}
-	roll := b.h.council.Roll()
-	if held.Members = len(roll.Voters); rand.IntN(2) > 0 || !held.Due(now) {
+	roll := b.h.council.VoterSet()
+	if held.Voters = len(roll.Voters); rand.IntN(2) > 0 || !held.BeginRenewal(now) {
 		return false
 	}
-	asked := held.Asked()
+	asked := held.RequestedAt()
 	call := messages.LeaseCall{Duty: d, By: b.h.o.Life, Epoch: roll.Epoch}
 	go func() {
 		given := 0
 		ask := rpc.Encode(call)
-		b.h.council.Gather(messages.Lease, func(int) []byte { return ask }, phaseTime, func(t quorum.Told) bool {
+		b.h.council.Broadcast(messages.Lease, func(int) []byte { return ask }, phaseTime, func(t quorum.Response) bool {
 			var l messages.Leased
 			if t.Err == nil && rpc.Decode(t.Body, &l) == nil && l.Given {
 				given++
-				b.h.own.Send(func(*books) { held.Granted(asked, t.Place) })
+				b.h.own.Send(func(*books) { held.RecordGrant(asked, t.Voter) })
 			}
 			return false
 		})
 		if given < consensus.Majority(len(roll.Voters)) { // parts of it would keep others from it
 			call.Give = true
 			give := rpc.Encode(call)
-			b.h.council.Gather(messages.Lease, func(int) []byte { return give }, phaseTime, func(quorum.Told) bool { return false })
+			b.h.council.Broadcast(messages.Lease, func(int) []byte { return give }, phaseTime, func(quorum.Response) bool { return false })
 		}
 	}()
 	return false
@@ -467,7 +467,7 @@
 	var held []lease.Name
 	h.own.Ask(func(b *books) {
 		for d, l := range b.leases {
-			if l.Holds(time.Since(b.begun)) {
+			if l.Held(time.Since(b.begun)) {
 				held = append(held, d)
 			}
 		}
@@ -475,20 +475,20 @@
 	})
 	for _, d := range held {
 		give := rpc.Encode(messages.LeaseCall{Duty: d, By: h.o.Life, Give: true})
-		h.council.Gather(messages.Lease, func(int) []byte { return give }, resignTime, func(quorum.Told) bool { return false })
+		h.council.Broadcast(messages.Lease, func(int) []byte { return give }, resignTime, func(quorum.Response) bool { return false })
 	}
 }
 
 // teach tells a member that missed it what was chosen, in pages. While they come, others may teach it as well.
 func (b *books) teach(place int) {
-	h, c := b.h, b.h.council.Client(place)
+	h, c := b.h, b.h.council.VoterClient(place)
 	if c == nil || b.taught[place] || b.chosen.IsZero() || h.over() {
 		return
 	}
 	h.Counts.Taught.Add(1)
 	taught := b.taught
 	taught[place] = true
-	of, value, from, epoch := b.chosen, b.stands, b.upto[place], h.council.Roll().Epoch
+	of, value, from, epoch := b.chosen, b.stands, b.upto[place], h.council.VoterSet().Epoch
 	h.begin(func() {
 		for turns := 0; from.Less(of) && turns < maxTurns && !h.over(); turns++ {
 			p := consensus.PageOf(value, of, from)
@@ -507,7 +507,7 @@
 
 // learn tells a member that what it accepted was chosen.
 func (h *Harbour) learn(place int, of configuration.Ballot) {
-	if c := h.council.Client(place); c != nil {
+	if c := h.council.VoterClient(place); c != nil {
 		c.Go(messages.Learn, rpc.Encode(messages.LearnCall{B: of}), func([]byte, error) {})
 	}
 }
@@ -553,7 +553,7 @@
 		}
 		h.own.Send(func(b *books) {
 			var known messages.Mark
-			if at := h.council.Roll().Place(m.Addr); at >= 0 && at < len(b.marks) {
+			if at := h.council.VoterSet().Place(m.Addr); at >= 0 && at < len(b.marks) {
 				known = b.marks[at]
 			}
 			c.Reply(known, nil)
@@ -591,14 +591,14 @@
 
 func (b *books) hasNews(p *puller) bool {
 	return p.m.Life != b.h.o.Life || p.m.At != b.berths.At() || p.m.Have.Less(b.chosen) ||
-		p.m.Epoch < b.h.council.Roll().Epoch || p.m.Sum != b.sum || p.waits && b.full
+		p.m.Epoch < b.h.council.VoterSet().Epoch || p.m.Sum != b.sum || p.waits && b.full
 }
 
 func (b *books) news(m messages.PullCall) messages.News {
 	n := messages.News{Life: b.h.o.Life, FreshMs: b.fresh(), Sum: b.sum, Partial: !b.full}
 	n.Tell(m, b.berths, b.chosen, b.stands, configuration.Ballot{})
 	n.Items = configuration.Plain(n.Items)
-	if r := b.h.council.Roll(); r.Epoch > m.Epoch {
+	if r := b.h.council.VoterSet(); r.Epoch > m.Epoch {
 		n.Roll = &r
 	}
 	if m.Sum != b.sum {
@@ -657,7 +657,7 @@
 
 // print is the answer to a call that was held. Its times are bounds: it may be older than it is by an editionTime, and held for less.
 func (b *books) print(m messages.PullCall, held time.Duration) printed {
-	now, of := time.Now(), lack{at: b.berths.At(), have: b.chosen, epoch: b.h.council.Roll().Epoch, sum: b.sum, full: b.full}
+	now, of := time.Now(), lack{at: b.berths.At(), have: b.chosen, epoch: b.h.council.VoterSet().Epoch, sum: b.sum, full: b.full}
 	if e := &b.edition; e.of != of || now.Sub(e.at) >= editionTime || e.bytes > editionBytes {
 		*e = edition{at: now, of: of, answers: map[lack]printed{}}
 	}
@@ -897,7 +897,7 @@
 				anew, call.Life = b.anew, 0
 			}
 		})
-		call.Epoch = h.council.Roll().Epoch
+		call.Epoch = h.council.VoterSet().Epoch
 		var n messages.News
 		if err := c.Call(messages.Pull, call, &n, pullHold+callTime); err != nil {
 			if errcode.Of(err) == errcode.Away {
@@ -1029,7 +1029,7 @@
 		return errLate
 	}
 	h.Counts.Rounds.Add(1)
-	roll := h.council.Roll()
+	roll := h.council.VoterSet()
 	n := len(roll.Voters)
 	if n == 0 {
 		return errcode.New(errcode.CoreOut, "nobody known that counts")
@@ -1055,7 +1055,7 @@
 	at := make(map[int]consensus.Promise, n) // of each that promised, without items
 	prepare := rpc.Encode(messages.PrepareCall{B: b, Epoch: roll.Epoch, Have: r.Have})
 	ph := phase{voters: n}
-	err := h.council.Gather(messages.Prepare, func(int) []byte { return prepare }, min(phaseTime, time.Until(end)), func(t quorum.Told) bool {
+	err := h.council.Broadcast(messages.Prepare, func(int) []byte { return prepare }, min(phaseTime, time.Until(end)), func(t quorum.Response) bool {
 		var p consensus.Promise
 		if t.Err != nil || rpc.Decode(t.Body, &p) != nil {
 			return ph.failed(t.Err)
@@ -1065,7 +1065,7 @@
 			return ph.refused()
 		}
 		p.Items = nil
-		at[t.Place] = p
+		at[t.Voter] = p
 		base, of, stands, ok = r.Base()
 		return ok
 	})
@@ -1210,7 +1210,7 @@
 	if able < consensus.Majority(n) { // of those that answer; whoever else lags is found out by its watch
 		h.own.Ask(func(t *books) {
 			for _, i := range lag {
-				if _, ok := at[i]; ok && h.council.Roll().Epoch == roll.Epoch {
+				if _, ok := at[i]; ok && h.council.VoterSet().Epoch == roll.Epoch {
 					t.upto[i] = holds[i]
 					t.teach(i)
 				}
@@ -1223,9 +1223,9 @@
 	var vs []consensus.Vouch
 	var higher configuration.Ballot
 	taken, ph := false, phase{voters: n}
-	err := h.council.Gather(messages.Accept, func(place int) []byte {
+	err := h.council.Broadcast(messages.Accept, func(place int) []byte {
 		return bodies[holds[place]]
-	}, min(phaseTime, time.Until(end)), func(t quorum.Told) bool {
+	}, min(phaseTime, time.Until(end)), func(t quorum.Response) bool {
 		var a messages.Accepted
 		if t.Err != nil || rpc.Decode(t.Body, &a) != nil {
 			return ph.failed(t.Err)
--- a/internal/registry/harbour_test.go
+++ b/internal/registry/harbour_test.go
@@ -34,7 +34,7 @@
 	if wants(messages.PullCall{Epoch: 1, Sum: b.sum, Have: configuration.Ballot{N: 1}}) {
 		t.Error("news for one who knows more")
 	}
-	h.council.Take(messages.Roll{Epoch: 2})
+	h.council.Update(messages.Roll{Epoch: 2})
 	b.berths.Join(backends.Berth{Node: "n", Version: 1})
 	b.whole(configuration.Ballot{N: 1}, configuration.Set{})
 	b.enter(messages.Master{Name: "m"})
@@ -176,7 +176,7 @@
 			voters, servers = append(voters, v), append(servers, rpc.Serve(l, v.handle))
 			roll.Voters = append(roll.Voters, messages.Voter{Addr: addr})
 		}
-		h.council.Take(roll)
+		h.council.Update(roll)
 		voters[0].mute = true
 		if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(ours, configuration.Set{}))); k != errcode.Invalid {
 			t.Errorf("beside theirs: %v", k)
--- a/internal/registry/lag_test.go
+++ b/internal/registry/lag_test.go
@@ -89,7 +89,7 @@
 		voters, servers = append(voters, v), append(servers, rpc.Serve(l, v.handle))
 		roll.Voters = append(roll.Voters, messages.Voter{Addr: addr})
 	}
-	h.council.Take(roll)
+	h.council.Update(roll)
 	return h, voters, func() {
 		h.council.Close()
 		for _, s := range servers {
--- a/internal/registry/number_test.go
+++ b/internal/registry/number_test.go
@@ -47,7 +47,7 @@
 			voters, servers = append(voters, v), append(servers, rpc.Serve(l, v.handle))
 			roll.Voters = append(roll.Voters, messages.Voter{Addr: addr})
 		}
-		h.council.Take(roll)
+		h.council.Update(roll)
 		b.upto, b.taught = make([]configuration.Ballot, 3), make([]bool, 3)
 		do(t, h, voters)
 		h.council.Close()
--- a/internal/registry/report.go
+++ b/internal/registry/report.go
@@ -23,11 +23,11 @@
 		}
 	}
 	h.own.Send(func(b *books) {
-		roll := h.council.Roll()
+		roll := h.council.VoterSet()
 		r := messages.Reported{Program: messages.TheHarbour, Version: process.Version, Node: h.o.Self.Name, Zone: h.o.Self.Zone, Addr: h.o.Self.Addr,
 			Life: h.o.Life, UpMs: uint64(time.Since(b.begun).Milliseconds()), Chosen: b.chosen, Epoch: roll.Epoch, Voters: roll.Voters}
 		own := &messages.HarbourReport{Masters: slices.Collect(maps.Values(b.masters)), FreshMs: b.fresh(),
-			Teaches: b.holds(lease.Teach)}
+			Teaches: b.holds(lease.CatchUp)}
 		own.HeardMs, own.AnsweredMs = sinceMs(b.heard), sinceMs(b.answered)
 		var pullers []string
 		for p := range b.pullers {
@@ -65,7 +65,7 @@
 
 func (b *books) holds(d lease.Name) bool {
 	l := b.leases[d]
-	return l != nil && l.Holds(time.Since(b.begun))
+	return l != nil && l.Held(time.Since(b.begun))
 }
 
 func reports(all []backends.Berth) []messages.BerthReport {
--- a/internal/registry/rolls.go
+++ b/internal/registry/rolls.go
@@ -44,7 +44,7 @@
 		b.alone = haltTime + rand.N(2*haltTime)
 		return
 	}
-	if since := now.Sub(b.shut[place]); since > haltTime && (b.may(lease.Roll) || since > b.alone) {
+	if since := now.Sub(b.shut[place]); since > haltTime && (b.may(lease.VoterChange) || since > b.alone) {
 		b.shut[place] = now
 		b.alone = haltTime + rand.N(2*haltTime)
 		b.turn("an interrupted change", nil)
@@ -65,7 +65,7 @@
 	begun := h.begin(func() {
 		defer func() { <-h.turning }()
 		var wish []messages.Voter
-		roll, err := h.council.Roll(), error(nil)
+		roll, err := h.council.VoterSet(), error(nil)
 		if voters != nil {
 			wish, err = voters(roll)
 		}
@@ -95,7 +95,7 @@
 	if b.gap(now); b.since.Equal(now) {
 		return false
 	}
-	wanted, roll := reconfig.Wanted(b.h.o.Losses), b.h.council.Roll()
+	wanted, roll := reconfig.Wanted(b.h.o.Losses), b.h.council.VoterSet()
 	if roll.Epoch != b.epoch { // what is noted by place is of another
 		return false
 	}
@@ -103,7 +103,7 @@
 	zoned(&roll, known)
 	if now.Sub(b.grown) >= growEvery && (len(b.heard) < wanted || b.h.o.Bears.Excess(roll.Voters) > 0) &&
 		reconfig.Next(roll, nil, wanted, b.h.o.Bears, known) != nil {
-		if b.may(lease.Roll) {
+		if b.may(lease.VoterChange) {
 			b.grown = now
 			b.turn("voters for all losses", func(roll messages.Roll) ([]messages.Voter, error) {
 				zoned(&roll, known)
@@ -120,13 +120,13 @@
 		unwell[i] = min(now.Sub(b.heard[i]), now.Sub(b.since)) >= VoterLost
 		if silent >= lost/2 && silent < 4*lost { // then nobody is there to take its place
 			soon, every = true, lost/seekPart
-			b.may(lease.Roll) // whoever is to replace it has the duty by then
+			b.may(lease.VoterChange) // whoever is to replace it has the duty by then
 		}
 		if silent >= lost || unwell[i] {
 			gone = append(gone, i)
 		}
 	}
-	if len(gone) == 0 || now.Sub(b.sought) < every || !b.may(lease.Roll) {
+	if len(gone) == 0 || now.Sub(b.sought) < every || !b.may(lease.VoterChange) {
 		return soon
 	}
 	b.sought = now
@@ -331,8 +331,8 @@
 				return next, holds, errcode.New(errcode.Preempted, "another change was under way")
 			}
 			return next, holds, nil
-		case h.council.Roll().Epoch != roll.Epoch:
-			return h.council.Roll(), 0, errcode.New(errcode.Preempted, "another change came first")
+		case h.council.VoterSet().Epoch != roll.Epoch:
+			return h.council.VoterSet(), 0, errcode.New(errcode.Preempted, "another change came first")
 		case errcode.Of(err) != errcode.Preempted && errcode.Of(err) != errcode.CoreOut, time.Now().After(end):
 			return roll, 0, err
 		}
@@ -352,11 +352,11 @@
 	})
 	r := reconfig.Round{Voters: n}
 	gather := func(call messages.SucceedCall, take func(reconfig.Answer) bool) error {
-		if h.council.Roll().Epoch != roll.Epoch {
+		if h.council.VoterSet().Epoch != roll.Epoch {
 			return errcode.New(errcode.Gone, "epoch %d", roll.Epoch)
 		}
 		ask := rpc.Encode(call)
-		return h.council.Gather(messages.Succeed, func(int) []byte { return ask }, phaseTime, func(t quorum.Told) bool {
+		return h.council.Broadcast(messages.Succeed, func(int) []byte { return ask }, phaseTime, func(t quorum.Response) bool {
 			var a reconfig.Answer
 			return t.Err == nil && rpc.Decode(t.Body, &a) == nil && take(a)
 		})
@@ -430,7 +430,7 @@
 
 // dismiss tells the purser beside this one that it does not count, until it knows: it may have slept through the change.
 func (h *Harbour) dismiss(roll messages.Roll) {
-	for h.council.Roll().Epoch == roll.Epoch {
+	for h.council.VoterSet().Epoch == roll.Epoch {
 		var r messages.Relieved
 		if h.call(h.o.Purser, messages.Relieve, messages.RelieveCall{Roll: roll}, &r, relieveTime) == nil && r.Epoch >= roll.Epoch {
 			return
@@ -457,7 +457,7 @@
 		known, silent := b.pursers(), majorityMs(b.heard) // the sealed too: a change may be left in the middle
 		h.begin(func() {
 			begun := time.Now()
-			roll := h.council.Roll()
+			roll := h.council.VoterSet()
 			t := messages.RollsTold{Was: roll, Roll: roll}
 			voters, err := wished(roll, known, call)
 			if silent > contactMs { // nothing is refused by what may be old here
--- a/internal/simulation/epochs.go
+++ b/internal/simulation/epochs.go
@@ -22,7 +22,7 @@
 	c.m = w.sea.Machine(fmt.Sprintf("10.3.0.%d", n), "south")
 	w.must(c.start())
 	w.core = append(w.core, c)
-	w.becomes(c, store.Apart, 1, 5*time.Second)
+	w.becomes(c, store.NonVoter, 1, 5*time.Second)
 	return c
 }
 
@@ -30,11 +30,11 @@
 func (w *World) becomes(c *coreMachine, s store.State, epoch uint64, most time.Duration) {
 	var is store.Status
 	for end := w.now() + most; w.now() < end; w.pause(20 * time.Millisecond) {
-		if is = c.pr.P.Status(); is.State == s && is.Roll.Epoch == epoch {
+		if is = c.pr.Server.Status(); is.State == s && is.VoterSet.Epoch == epoch {
 			return
 		}
 	}
-	w.must(fmt.Errorf("%8.3f %s is %s in epoch %d, not %s in %d", w.now().Seconds(), c.name, is.State, is.Roll.Epoch, s, epoch))
+	w.must(fmt.Errorf("%8.3f %s is %s in epoch %d, not %s in %d", w.now().Seconds(), c.name, is.State, is.VoterSet.Epoch, s, epoch))
 }
 
 // replace asks a harbourmaster to have one core machine take another's place among those that count.
@@ -84,7 +84,7 @@
 		w.must(lost.wipe())
 	}
 	w.must(lost.powerOn())
-	w.becomes(lost, store.Apart, 2, 5*time.Second)
+	w.becomes(lost, store.NonVoter, 2, 5*time.Second)
 	op.changed(9, at, "pump")
 }
 
@@ -104,7 +104,7 @@
 		w.must(fmt.Errorf("the roll was not changed: %v, %s", err, t.Why))
 	}
 	w.becomes(d, store.Serving, 2, time.Second)
-	w.becomes(old, store.Apart, 2, time.Second)
+	w.becomes(old, store.NonVoter, 2, time.Second)
 	op.changed(7, r.IntN(4), "ledger")
 	w.must(down.start())
 	over()
@@ -143,7 +143,7 @@
 	other()
 	<-done
 	<-done
-	if d.pr.P.Status().Roll.Epoch == 1 { // both were killed before anybody was sealed
+	if d.pr.Server.Status().VoterSet.Epoch == 1 { // both were killed before anybody was sealed
 		w.pause(1500 * time.Millisecond) // they have yet to hear of each other's names
 		op.replace(second, first, d)
 	}
--- a/internal/simulation/interrupted_test.go
+++ b/internal/simulation/interrupted_test.go
@@ -34,14 +34,14 @@
 			}
 			w.pause(20 * time.Millisecond)
 			for _, c := range rest {
-				if is := c.pr.P.Status(); is.Roll.Epoch != 1 {
-					t.Errorf("seed %d: %s is in epoch %d: the change was not interrupted", seed, c.name, is.Roll.Epoch)
+				if is := c.pr.Server.Status(); is.VoterSet.Epoch != 1 {
+					t.Errorf("seed %d: %s is in epoch %d: the change was not interrupted", seed, c.name, is.VoterSet.Epoch)
 				}
 				w.must(c.start())
 			}
 			speaks := func(c *coreMachine) bool {
-				is := c.pr.P.Status()
-				return is.State == store.Serving && !is.Shut && is.Roll.Epoch == 2
+				is := c.pr.Server.Status()
+				return is.State == store.Serving && !is.EpochEnded && is.VoterSet.Epoch == 2
 			}
 			for w.now() < begun+6*time.Second && !slices.ContainsFunc(rest, speaks) {
 				w.pause(10 * time.Millisecond)
--- a/internal/simulation/loss.go
+++ b/internal/simulation/loss.go
@@ -15,7 +15,7 @@
 // instant waits, by tenths of a millisecond, until a core machine's purser is in a state, in an epoch.
 func (w *World) instant(c *coreMachine, s store.State, epoch uint64, most time.Duration) {
 	for end := w.now() + most; w.now() < end; time.Sleep(100 * time.Microsecond) {
-		if is := c.pr.P.Status(); is.State == s && is.Roll.Epoch == epoch {
+		if is := c.pr.Server.Status(); is.State == s && is.VoterSet.Epoch == epoch {
 			return
 		}
 	}
@@ -141,7 +141,7 @@
 // sealed reports whether a change of the roll has begun.
 func (w *World) sealed() bool {
 	for _, c := range w.core {
-		if is := c.pr.P.Status(); is.Shut || is.Roll.Epoch > 1 {
+		if is := c.pr.Server.Status(); is.EpochEnded || is.VoterSet.Epoch > 1 {
 			return true
 		}
 	}
--- a/internal/simulation/successors.go
+++ b/internal/simulation/successors.go
@@ -73,10 +73,10 @@
 // rolls is the highest epoch that the core machines speak in, and how many speak in it.
 func (w *World) rolls() (epoch uint64, speak int) {
 	for _, c := range w.core {
-		switch is := c.pr.P.Status(); {
-		case is.State != store.Serving || is.Roll.Epoch < epoch:
-		case is.Roll.Epoch > epoch:
-			epoch, speak = is.Roll.Epoch, 1
+		switch is := c.pr.Server.Status(); {
+		case is.State != store.Serving || is.VoterSet.Epoch < epoch:
+		case is.VoterSet.Epoch > epoch:
+			epoch, speak = is.VoterSet.Epoch, 1
 		default:
 			speak++
 		}
@@ -104,7 +104,7 @@
 	for n := range 3 {
 		epoch, _ := w.rolls()
 		c := w.core[r.IntN(4)]
-		for c.pr.P.Status().State != store.Serving {
+		for c.pr.Server.Status().State != store.Serving {
 			c = w.core[r.IntN(4)]
 		}
 		most, took := epoch+1, time.Duration(r.IntN(5000))*time.Millisecond
--- a/internal/simulation/syncs_test.go
+++ b/internal/simulation/syncs_test.go
@@ -26,7 +26,7 @@
 func (q *quay) grants(id idempotency.ID) (given, of int) {
 	var roll messages.Roll
 	for _, c := range q.core {
-		if r := c.pr.P.Status().Roll; r.Epoch > roll.Epoch {
+		if r := c.pr.Server.Status().VoterSet; r.Epoch > roll.Epoch {
 			roll = r
 		}
 	}
@@ -151,7 +151,7 @@
 func (q *quay) silent(why string) bool {
 	serving := 0
 	for _, c := range q.core {
-		if c.pr.P.Status().State == store.Serving {
+		if c.pr.Server.Status().State == store.Serving {
 			serving++
 		}
 	}
@@ -180,7 +180,7 @@
 	}()
 	came := q.struck(hit, back, func() { <-done }, s)
 	for range 10 { // its proposer may have ended before anybody was sealed
-		if d.pr.P.Status().Roll.Epoch == 2 {
+		if d.pr.Server.Status().VoterSet.Epoch == 2 {
 			break
 		}
 		q.pause(500 * time.Millisecond)
@@ -297,7 +297,7 @@
 		}
 		w.until(2800 * time.Millisecond)
 		came = play(q, t, s)
-		if s.what == "wiped" && w.core[0].pr.P.Status().Roll.Epoch == 1 && q.silent("two disks lost") {
+		if s.what == "wiped" && w.core[0].pr.Server.Status().VoterSet.Epoch == 1 && q.silent("two disks lost") {
 			q.end(t, s)
 			return
 		}
--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -10,14 +10,14 @@
 	"testing"
 )
 
-func cpu() float64 {
+func cpuNanos() float64 {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return float64(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// written is how many bytes the process has had written to disks, by what the kernel counts.
-func written() float64 {
+// writtenBytes is how many bytes the process has had written to disks, by what the kernel counts.
+func writtenBytes() float64 {
 	b, _ := os.ReadFile("/proc/self/io")
 	for l := range strings.SplitSeq(string(b), "\n") {
 		var n float64
@@ -41,16 +41,16 @@
 func BenchmarkTransaction(b *testing.B) {
 	const n = 20
 	report := func(b *testing.B, n int, c, w float64) {
-		b.ReportMetric((cpu()-c)/float64(b.N*n)/1e3, "cpu-µs/put")
-		b.ReportMetric((written()-w)/float64(b.N*n), "disk-B/put")
+		b.ReportMetric((cpuNanos()-c)/float64(b.N*n)/1e3, "cpu-µs/put")
+		b.ReportMetric((writtenBytes()-w)/float64(b.N*n), "disk-B/put")
 	}
 	for _, n := range []int{n, 1} {
 		b.Run(fmt.Sprint("hold-", n), func(b *testing.B) {
-			h := mustOpen(b, b.TempDir(), Empty)
+			h := openDB(b, b.TempDir(), Empty)
 			defer h.Close()
-			c, w := cpu(), written()
+			c, w := cpuNanos(), writtenBytes()
 			for i := range b.N {
-				if err := write(h, benchPuts(n, i)...); err != nil {
+				if err := writePuts(h, benchPuts(n, i)...); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -73,7 +73,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		c, w := cpu(), written()
+		c, w := cpuNanos(), writtenBytes()
 		for i := range b.N {
 			tx, err := db.Begin()
 			if err != nil {
@@ -96,21 +96,21 @@
 // BenchmarkOpen opens a hold with 10,000 rows of 116 bytes, checks it and loads them.
 func BenchmarkOpen(b *testing.B) {
 	dir := b.TempDir()
-	h := mustOpen(b, dir, Empty)
+	h := openDB(b, dir, Empty)
 	for i := range 500 {
-		if err := write(h, benchPuts(20, i)...); err != nil {
+		if err := writePuts(h, benchPuts(20, i)...); err != nil {
 			b.Fatal(err)
 		}
 	}
 	h.Close()
-	c := cpu()
+	c := cpuNanos()
 	b.ResetTimer()
 	for range b.N {
-		h := mustOpen(b, dir, Whole)
+		h := openDB(b, dir, Intact)
 		h.Load(1, func(k, v []byte) error { return nil })
 		h.Close()
 	}
-	b.ReportMetric((cpu()-c)/float64(b.N)/1e6, "cpu-ms/open")
+	b.ReportMetric((cpuNanos()-c)/float64(b.N)/1e6, "cpu-ms/open")
 	if info, err := os.Stat(dir + "/hold.db"); err == nil {
 		b.ReportMetric(float64(info.Size()), "file-B")
 	}
--- a/internal/storage/hold_test.go
+++ b/internal/storage/hold_test.go
@@ -31,7 +31,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-func mustOpen(t testing.TB, dir string, want Start) *Hold {
+func openDB(t testing.TB, dir string, want Condition) *DB {
 	t.Helper()
 	h, start, err := Open(Options{Dir: dir})
 	if err != nil || start != want {
@@ -40,17 +40,17 @@
 	return h
 }
 
-// write writes and waits.
-func write(h *Hold, puts ...Put) error {
+// writePuts writes and waits.
+func writePuts(h *DB, puts ...Put) error {
 	answer := make(chan error, 1)
 	h.Write(puts, func(err error) { answer <- err })
 	return <-answer
 }
 
-// state is what a hold has: values by table and key.
-type state map[string]string
+// contents is what a hold has: values by table and key.
+type contents map[string]string
 
-func (s state) with(puts []Put) state {
+func (s contents) with(puts []Put) contents {
 	s = maps.Clone(s)
 	for _, p := range puts {
 		if k := string(append([]byte{byte(p.Table)}, p.Key...)); p.Value == nil {
@@ -62,9 +62,9 @@
 	return s
 }
 
-func load(t testing.TB, h *Hold) state {
+func loadAll(t testing.TB, h *DB) contents {
 	t.Helper()
-	s := state{}
+	s := contents{}
 	for table := range Table(3) {
 		var last []byte
 		if err := h.Load(table, func(k, v []byte) error {
@@ -81,8 +81,8 @@
 	return s
 }
 
-// somePuts are a few, of which some delete, some are empty and some take several pages.
-func somePuts(rng *rand.Rand) []Put {
+// randomPuts are a few, of which some delete, some are empty and some take several pages.
+func randomPuts(rng *rand.Rand) []Put {
 	puts := make([]Put, 1+rng.IntN(6))
 	for i := range puts {
 		puts[i] = Put{Table: Table(rng.IntN(3)), Key: fmt.Append(nil, rng.IntN(40))}
@@ -99,12 +99,12 @@
 	return puts
 }
 
-// files are those of a folder, by name.
-type files map[string][]byte
+// fileSet are those of a folder, by name.
+type fileSet map[string][]byte
 
-func read(t testing.TB, dir string) files {
+func readFiles(t testing.TB, dir string) fileSet {
 	t.Helper()
-	f := files{}
+	f := fileSet{}
 	for _, s := range suffixes {
 		if b, err := os.ReadFile(filepath.Join(dir, fileName+s)); err == nil {
 			f[fileName+s] = b
@@ -113,7 +113,7 @@
 	return f
 }
 
-func (f files) write(t testing.TB) (dir string) {
+func (f fileSet) write(t testing.TB) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
 	for name, b := range f {
@@ -124,31 +124,31 @@
 	return dir
 }
 
-// found is what a hold finds in files that power's loss, or worse, has left.
-func (f files) found(t testing.TB) (state, Start) {
+// reopen is what a hold finds in files that power's loss, or worse, has left.
+func (f fileSet) reopen(t testing.TB) (contents, Condition) {
 	t.Helper()
 	h, start, err := Open(Options{Dir: f.write(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer h.Close()
-	s := load(t, h)
-	if err := write(h, Put{Key: []byte("after")}); err != nil {
+	s := loadAll(t, h)
+	if err := writePuts(h, Put{Key: []byte("after")}); err != nil {
 		t.Error("not written again:", err)
 	}
 	return s, start
 }
 
-// filled is a folder with some transactions in the log of an open hold, and the states behind each.
-func filled(t testing.TB, n int) (h *Hold, dir string, states []state) {
+// filledDB is a folder with some transactions in the log of an open hold, and the states behind each.
+func filledDB(t testing.TB, n int) (h *DB, dir string, states []contents) {
 	rng := rand.New(rand.NewPCG(1, uint64(n)))
 	dir = filepath.Join(t.TempDir(), "a?b%20", "c") // made when missing, and no name is too strange
-	h = mustOpen(t, dir, Empty)
+	h = openDB(t, dir, Empty)
 	t.Cleanup(func() { h.Close() })
-	states = []state{{}}
+	states = []contents{{}}
 	for range n {
-		puts := somePuts(rng)
-		if err := write(h, puts...); err != nil {
+		puts := randomPuts(rng)
+		if err := writePuts(h, puts...); err != nil {
 			t.Fatal(err)
 		}
 		states = append(states, states[len(states)-1].with(puts))
@@ -160,8 +160,8 @@
 // that the log has in full.
 func TestLogCutAnywhere(t *testing.T) {
 	t.Parallel()
-	_, dir, states := filled(t, 25)
-	whole := read(t, dir)
+	_, dir, states := filledDB(t, 25)
+	whole := readFiles(t, dir)
 	log := whole[fileName+"-wal"]
 	if len(whole) != 2 || len(whole[fileName]) != chunkPages*pageSize {
 		t.Fatal("files", len(whole), len(whole[fileName]))
@@ -176,8 +176,8 @@
 		t.Fatal(len(ends), "transactions in the log")
 	}
 	check := func(name string, cut []byte, want int) {
-		s, start := files{fileName: whole[fileName], fileName + "-wal": cut}.found(t)
-		if start != Whole || !maps.Equal(s, states[want]) {
+		s, start := fileSet{fileName: whole[fileName], fileName + "-wal": cut}.reopen(t)
+		if start != Intact || !maps.Equal(s, states[want]) {
 			t.Errorf("%s: %v, not the first %d transactions", name, start, want)
 		}
 	}
@@ -199,15 +199,15 @@
 // Power is lost while the log is moved: any pages of the database are old, new or torn.
 func TestMoveTornAnywhere(t *testing.T) {
 	t.Parallel()
-	h, dir, states := filled(t, 25)
-	before := read(t, dir)
-	if err := write(h); err != nil { // the goroutine has come to rest
+	h, dir, states := filledDB(t, 25)
+	before := readFiles(t, dir)
+	if err := writePuts(h); err != nil { // the goroutine has come to rest
 		t.Fatal(err)
 	}
 	if err := h.Close(); err != nil {
 		t.Fatal(err)
 	}
-	after := read(t, dir)
+	after := readFiles(t, dir)
 	if len(after) != 1 {
 		t.Fatal("a log after Close")
 	}
@@ -222,7 +222,7 @@
 				copy(mix[at:at+512], after[fileName][at:])
 			}
 		}
-		if s, start := (files{fileName: mix, fileName + "-wal": before[fileName+"-wal"]}).found(t); start != Whole || !maps.Equal(s, states[25]) {
+		if s, start := (fileSet{fileName: mix, fileName + "-wal": before[fileName+"-wal"]}).reopen(t); start != Intact || !maps.Equal(s, states[25]) {
 			t.Errorf("seed %d: %v, %d of %d", seed, start, len(s), len(states[25]))
 		}
 	}
@@ -231,20 +231,20 @@
 // The file is cut at a page, or one is overwritten: it is known as damage, or nothing is missing.
 func TestDamage(t *testing.T) {
 	t.Parallel()
-	h, dir, states := filled(t, 60)
+	h, dir, states := filledDB(t, 60)
 	h.Close()
-	db := read(t, dir)[fileName]
+	db := readFiles(t, dir)[fileName]
 	db = db[:int(binary.BigEndian.Uint32(db[28:]))*pageSize] // without the room to grow
-	if s, start := (files{fileName: db}).found(t); start != Whole || !maps.Equal(s, states[60]) {
+	if s, start := (fileSet{fileName: db}).reopen(t); start != Intact || !maps.Equal(s, states[60]) {
 		t.Fatal(start)
 	}
 	damaged, tried := 0, 0
-	check := func(name string, f files) {
+	check := func(name string, f fileSet) {
 		tried++
-		switch s, start := f.found(t); {
+		switch s, start := f.reopen(t); {
 		case start == Damaged && len(s) == 0:
 			damaged++
-		case start == Whole && maps.Equal(s, states[60]):
+		case start == Intact && maps.Equal(s, states[60]):
 		case start == Empty && len(f[fileName]) == 0:
 		default:
 			t.Errorf("%s: %v with %d rows", name, start, len(s))
@@ -252,7 +252,7 @@
 	}
 	rng := rand.New(rand.NewPCG(5, 5))
 	for at := 0; at < len(db); at += pageSize {
-		check(fmt.Sprint("cut at ", at), files{fileName: db[:at]})
+		check(fmt.Sprint("cut at ", at), fileSet{fileName: db[:at]})
 		for name, spoil := range map[string]func([]byte){
 			"noise": func(page []byte) {
 				for i := range page {
@@ -265,27 +265,27 @@
 		} {
 			bad := bytes.Clone(db)
 			spoil(bad[at : at+pageSize])
-			check(fmt.Sprint(name, " at ", at), files{fileName: bad})
+			check(fmt.Sprint(name, " at ", at), fileSet{fileName: bad})
 		}
 	}
-	check("text", files{fileName: []byte(strings.Repeat("no database ", 999))})
-	check("a log alone", files{fileName + "-wal": make([]byte, 9999)})
+	check("text", fileSet{fileName: []byte(strings.Repeat("no database ", 999))})
+	check("a log alone", fileSet{fileName + "-wal": make([]byte, 9999)})
 	if damaged < tried/2 {
 		t.Errorf("%d of %d were known as damage", damaged, tried)
 	}
 	// The files stand aside, one of each, and the new one lives.
-	dir = files{fileName: db[:pageSize], fileName + "-wal": []byte("x")}.write(t)
+	dir = fileSet{fileName: db[:pageSize], fileName + "-wal": []byte("x")}.write(t)
 	for range 2 {
-		h := mustOpen(t, dir, Damaged)
-		if err := write(h, Put{Value: []byte("new")}); err != nil {
+		h := openDB(t, dir, Damaged)
+		if err := writePuts(h, Put{Value: []byte("new")}); err != nil {
 			t.Fatal(err)
 		}
 		h.Close()
-		if b, err := os.ReadFile(filepath.Join(dir, fileName+aside)); err != nil || len(b) == 0 {
+		if b, err := os.ReadFile(filepath.Join(dir, fileName+damagedSuffix)); err != nil || len(b) == 0 {
 			t.Error(err)
 		}
-		h = mustOpen(t, dir, Whole)
-		if s := load(t, h); len(s) != 1 {
+		h = openDB(t, dir, Intact)
+		if s := loadAll(t, h); len(s) != 1 {
 			t.Error(s)
 		}
 		h.Close()
@@ -301,7 +301,7 @@
 		t.Fatal(err)
 	}
 	defer h.Close()
-	want := state{}
+	want := contents{}
 	value := bytes.Repeat([]byte("x"), 700)
 	rng := rand.New(rand.NewPCG(8, 8))
 	key := func() []byte { return binary.BigEndian.AppendUint64(nil, rng.Uint64()) }
@@ -309,7 +309,7 @@
 	for round := range 3 {
 		for {
 			p := Put{1, key(), value}
-			if err := write(h, p); err != nil {
+			if err := writePuts(h, p); err != nil {
 				if !errors.Is(err, ErrFull) {
 					t.Fatal(err)
 				}
@@ -329,30 +329,30 @@
 		for i, puts := range group {
 			commands = append(commands, command{puts: puts, done: func(err error) { answers[i] = err }})
 		}
-		h.onGoroutine(func() { h.write(commands) })
+		h.onGoroutine(func() { h.writeGroup(commands) })
 		if answers[0] != nil || !errors.Is(answers[1], ErrFull) || !errors.Is(answers[2], ErrFull) || answers[3] != nil {
 			t.Fatal(answers)
 		}
 		want = want.with(group[0]).with(group[3])
-		if s := load(t, h); !maps.Equal(s, want) {
+		if s := loadAll(t, h); !maps.Equal(s, want) {
 			t.Fatalf("%d rows, not %d", len(s), len(want))
 		}
 		rng.Shuffle(len(keys), func(i, j int) { keys[i], keys[j] = keys[j], keys[i] })
 		for _, k := range keys[round:] {
-			if err := write(h, Put{Table: 1, Key: k}); err != nil {
+			if err := writePuts(h, Put{Table: 1, Key: k}); err != nil {
 				t.Fatal(err)
 			}
 			want = want.with([]Put{{Table: 1, Key: k}})
 		}
 		keys = keys[:round]
 	}
-	if err := write(h, Put{Value: make([]byte, MaxWrite+1)}); !errors.Is(err, ErrFull) {
+	if err := writePuts(h, Put{Value: make([]byte, MaxWrite+1)}); !errors.Is(err, ErrFull) {
 		t.Error(err)
 	}
 }
 
 // onGoroutine has f called on the hold's goroutine.
-func (h *Hold) onGoroutine(f func()) {
+func (h *DB) onGoroutine(f func()) {
 	h.Load(0, func(k, v []byte) error { return nil }) // what was queued is done
 	ended := make(chan struct{})
 	h.send(command{each: nil, puts: nil, done: func(error) { f(); close(ended) }})
@@ -383,13 +383,13 @@
 		t.Fatal(err)
 	}
 	os.Remove(other)
-	h := mustOpen(t, filepath.Join(dir, "a"), Empty)
+	h := openDB(t, filepath.Join(dir, "a"), Empty)
 	defer func() { h.Close() }()
 	rng := rand.New(rand.NewPCG(9, 9))
-	want, refused := state{}, 0
+	want, refused := contents{}, 0
 	step := func() error {
-		puts := somePuts(rng)
-		err := write(h, puts...)
+		puts := randomPuts(rng)
+		err := writePuts(h, puts...)
 		switch {
 		case err == nil:
 			want = want.with(puts)
@@ -402,7 +402,7 @@
 	}
 	same := func(when string) {
 		t.Helper()
-		if s := load(t, h); !maps.Equal(s, want) {
+		if s := loadAll(t, h); !maps.Equal(s, want) {
 			t.Fatalf("%s: %d rows, not %d", when, len(s), len(want))
 		}
 	}
@@ -418,7 +418,7 @@
 	}
 	for i := 0; refused == 0 && i < 1000; i++ { // until there is none
 		p := Put{2, fmt.Append(nil, "more", i), make([]byte, 9000)}
-		if err := write(h, p); err == nil {
+		if err := writePuts(h, p); err == nil {
 			want = want.with([]Put{p})
 		} else if refused++; !errors.Is(err, ErrFull) {
 			t.Fatal(err)
@@ -429,22 +429,22 @@
 	}
 	for i := range 1000 { // the log is moved meanwhile
 		p := Put{Table: 2, Key: fmt.Append(nil, "more", i)}
-		if err := write(h, p); err != nil {
+		if err := writePuts(h, p); err != nil {
 			t.Fatal("not deleted while full:", err)
 		}
 		want = want.with([]Put{p})
 	}
 	same("while full")
-	if s, start := read(t, filepath.Join(dir, "a")).found(t); start != Whole || !maps.Equal(s, want) {
+	if s, start := readFiles(t, filepath.Join(dir, "a")).reopen(t); start != Intact || !maps.Equal(s, want) {
 		t.Errorf("power is lost while full: %v, %d rows, not %d", start, len(s), len(want))
 	}
 	h.Close()
-	h = mustOpen(t, filepath.Join(dir, "a"), Whole)
+	h = openDB(t, filepath.Join(dir, "a"), Intact)
 	same("opened while full")
 	step()
 	os.Remove(other)
 	h.Close()
-	h = mustOpen(t, filepath.Join(dir, "a"), Whole)
+	h = openDB(t, filepath.Join(dir, "a"), Intact)
 	refused = 0
 	for range 50 {
 		step()
@@ -457,41 +457,41 @@
 
 var errSync = sqlite3.Error{Code: sqlite3.ErrIoErr, ExtendedCode: sqlite3.ErrIoErrFsync, SystemErrno: syscall.EIO}
 
-// faulty is a store on a disk that fails.
-type faulty struct {
-	store
+// faultyEngine is a store on a disk that fails.
+type faultyEngine struct {
+	engine
 	t     testing.TB
 	dir   string
 	fails func(oneIn int) error // the next call; nil: it does not
 	puts  []Put
 }
 
-func (f *faulty) begin() error {
+func (f *faultyEngine) begin() error {
 	f.puts = nil
 	if err := f.fails(3); err != nil {
 		return err
 	}
-	return f.store.begin()
+	return f.engine.begin()
 }
 
-func (f *faulty) put(p *Put) error {
+func (f *faultyEngine) put(p *Put) error {
 	if err := f.fails(20); err != nil {
 		return err
 	}
 	f.puts = append(f.puts, *p)
-	return f.store.put(p)
+	return f.engine.put(p)
 }
 
 // commit fails as one does whose sync failed: all of the transaction, or a part, stands in the log.
-func (f *faulty) commit() error {
+func (f *faultyEngine) commit() error {
 	failed := f.fails(3)
 	if failed == nil {
-		return f.store.commit()
+		return f.engine.commit()
 	}
-	if err := f.store.rollback(); err != nil {
+	if err := f.engine.rollback(); err != nil {
 		f.t.Fatal(err)
 	}
-	dir := read(f.t, f.dir).write(f.t)
+	dir := readFiles(f.t, f.dir).write(f.t)
 	shadow, err := connect(filepath.Join(dir, fileName), 9999, "FULL")
 	if err != nil {
 		f.t.Fatal(err)
@@ -507,48 +507,48 @@
 	if err := shadow.commit(); err != nil {
 		f.t.Fatal(err)
 	}
-	log := read(f.t, dir)[fileName+"-wal"]
+	log := readFiles(f.t, dir)[fileName+"-wal"]
 	if err := os.WriteFile(filepath.Join(f.dir, fileName+"-wal"), log, 0o600); err != nil {
 		f.t.Fatal(err)
 	}
 	return failed
 }
 
-func (f *faulty) rollback() error {
+func (f *faultyEngine) rollback() error {
 	if err := f.fails(3); err != nil {
 		return err // and the transaction stays open
 	}
-	return f.store.rollback()
+	return f.engine.rollback()
 }
 
-func (f *faulty) checkpoint(move bool) (int, int, error) {
+func (f *faultyEngine) checkpoint(move bool) (int, int, error) {
 	if move { // counting doesn't touch the disk
 		if err := f.fails(3); err != nil {
 			return 0, 0, err
 		}
 	}
-	return f.store.checkpoint(move)
+	return f.engine.checkpoint(move)
 }
 
-func (f *faulty) each(t Table, each func(key, value []byte) error) error {
+func (f *faultyEngine) each(t Table, each func(key, value []byte) error) error {
 	if err := f.fails(3); err != nil {
 		return err
 	}
-	return f.store.each(t, each)
+	return f.engine.each(t, each)
 }
 
-// on is a hold on such a disk, without its goroutine: the test takes its steps.
-func (f *faulty) on(t *testing.T) (h *Hold, opened *int) {
+// openDB is a hold on such a disk, without its goroutine: the test takes its steps.
+func (f *faultyEngine) openDB(t *testing.T) (h *DB, opened *int) {
 	f.t, f.dir = t, t.TempDir()
-	o := Options{Dir: f.dir, MaxBytes: defaultMax, Log: func(string) {}}
-	db, _, err := begin(&o)
+	o := Options{Dir: f.dir, MaxBytes: defaultMaxBytes, Log: func(string) {}}
+	db, _, err := openFolder(&o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, opened = newHold(o, f), new(int)
-	f.store = db
+	h, opened = newDB(o, f), new(int)
+	f.engine = db
 	reopen := h.reopen
-	h.reopen = func() (store, error) {
+	h.reopen = func() (engine, error) {
 		if err := f.fails(2); err != nil {
 			return nil, err
 		}
@@ -557,7 +557,7 @@
 			return nil, err
 		}
 		*opened++
-		f.store = s
+		f.engine = s
 		return f, nil
 	}
 	return h, opened
@@ -569,22 +569,22 @@
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		ill := false
-		f := &faulty{fails: func(oneIn int) error {
+		f := &faultyEngine{fails: func(oneIn int) error {
 			if ill && rng.IntN(oneIn) == 0 {
 				return errSync
 			}
 			return nil
 		}}
-		h, reopens := f.on(t)
-		want := state{}
+		h, reopens := f.openDB(t)
+		want := contents{}
 		failed := 0
 		// The steps of the goroutine, one at a time.
 		for i := range 60 {
 			ill = i%20 < 15
-			puts := somePuts(rng)
+			puts := randomPuts(rng)
 			var answer error
-			h.write([]command{{puts: puts, done: func(err error) { answer = err }}})
-			h.tidy()
+			h.writeGroup([]command{{puts: puts, done: func(err error) { answer = err }}})
+			h.checkpointIfDue()
 			switch {
 			case answer == nil:
 				want = want.with(puts)
@@ -596,7 +596,7 @@
 				failed++
 			}
 			if i%4 == 0 || answer != nil {
-				if s, start := read(t, f.dir).found(t); start != Whole || !maps.Equal(s, want) {
+				if s, start := readFiles(t, f.dir).reopen(t); start != Intact || !maps.Equal(s, want) {
 					t.Fatalf("seed %d, %d: %v, %d rows, not %d", seed, i, start, len(s), len(want))
 				}
 			}
@@ -604,7 +604,7 @@
 		if failed == 0 || *reopens == 0 {
 			t.Errorf("seed %d: %d failed, %d times opened again", seed, failed, *reopens)
 		}
-		h.end()
+		h.shutDown()
 	}
 }
 
@@ -618,24 +618,24 @@
 		for turn := 1; ; turn++ {
 			rng := rand.New(rand.NewPCG(7, 7)) // the same steps in each turn
 			calls := 0
-			f := &faulty{fails: func(int) error {
+			f := &faultyEngine{fails: func(int) error {
 				if calls++; calls == turn {
 					return failure
 				}
 				return nil
 			}}
-			h, _ := f.on(t)
-			want, troubled := state{}, 0
+			h, _ := f.openDB(t)
+			want, troubled := contents{}, 0
 			for step := range 6 {
 				before := calls
 				var group []command
 				var answers [4]error
 				for i := range answers {
-					group = append(group, command{puts: somePuts(rng), done: func(err error) { answers[i] = err }})
+					group = append(group, command{puts: randomPuts(rng), done: func(err error) { answers[i] = err }})
 				}
-				h.moveAt = 20 // the log is moved now and then
-				h.write(slices.Clone(group))
-				h.tidy()
+				h.checkpointAt = 20 // the log is moved now and then
+				h.writeGroup(slices.Clone(group))
+				h.checkpointIfDue()
 				for i, err := range answers {
 					if err == nil {
 						want = want.with(group[i].puts)
@@ -647,11 +647,11 @@
 					t.Errorf("call %d: step %d fails on a disk that is well: %v", turn, step, answers)
 				} else if hit {
 					troubled++
-					if s, start := read(t, f.dir).found(t); start != Whole || !maps.Equal(s, want) {
+					if s, start := readFiles(t, f.dir).reopen(t); start != Intact || !maps.Equal(s, want) {
 						t.Errorf("call %d, step %d, %v: %v, %d rows, not %d", turn, step, answers, start, len(s), len(want))
 					}
 				}
-				got := state{}
+				got := contents{}
 				for table := range Table(3) {
 					before = calls
 					err := h.load(command{table: table, each: func(k, v []byte) error {
@@ -669,8 +669,8 @@
 					t.Errorf("call %d, step %d: %d rows loaded, not %d", turn, step, len(got), len(want))
 				}
 			}
-			h.end()
-			if s, start := read(t, f.dir).found(t); start != Whole || !maps.Equal(s, want) {
+			h.shutDown()
+			if s, start := readFiles(t, f.dir).reopen(t); start != Intact || !maps.Equal(s, want) {
 				t.Errorf("call %d, behind the end: %v, %d rows, not %d", turn, start, len(s), len(want))
 			}
 			if calls < turn {
@@ -683,31 +683,31 @@
 	}
 }
 
-// hanging is a store whose commits wait.
-type hanging struct {
-	store
-	in, out chan struct{}
-	n       int
+// hangingEngine is a store whose commits wait.
+type hangingEngine struct {
+	engine
+	entered, released chan struct{}
+	commits           int
 }
 
-func (s *hanging) commit() error {
-	s.n++
-	s.in <- struct{}{}
-	<-s.out
-	return s.store.commit()
+func (s *hangingEngine) commit() error {
+	s.commits++
+	s.entered <- struct{}{}
+	<-s.released
+	return s.engine.commit()
 }
 
 // The disk hangs: nobody waits for it, what queued meanwhile goes with one sync, and Close leaves.
 func TestHangingDisk(t *testing.T) {
 	t.Parallel()
-	o := Options{Dir: t.TempDir(), MaxBytes: defaultMax, Log: func(string) {}}
-	db, _, err := begin(&o)
+	o := Options{Dir: t.TempDir(), MaxBytes: defaultMaxBytes, Log: func(string) {}}
+	db, _, err := openFolder(&o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &hanging{store: db, in: make(chan struct{}), out: make(chan struct{})}
-	h := newHold(o, s)
-	h.hung = time.Hour
+	s := &hangingEngine{engine: db, entered: make(chan struct{}), released: make(chan struct{})}
+	h := newDB(o, s)
+	h.stallLimit = time.Hour
 	go h.run()
 	answers := make(chan error, 2*MaxQueue)
 	put := func(n int) {
@@ -727,23 +727,23 @@
 		t.Error("stalled with nothing to do")
 	}
 	put(1)
-	<-s.in
+	<-s.entered
 	put(200)
 	if h.Stalled() <= 0 {
 		t.Error("not stalled")
 	}
-	s.out <- struct{}{}
-	<-s.in
-	s.out <- struct{}{}
+	s.released <- struct{}{}
+	<-s.entered
+	s.released <- struct{}{}
 	all(201, nil)
-	if s.n != 2 {
-		t.Errorf("%d commits", s.n)
+	if s.commits != 2 {
+		t.Errorf("%d commits", s.commits)
 	}
 	put(1)
-	<-s.in
+	<-s.entered
 	put(MaxQueue + 7)
 	all(7, ErrBusy)
-	h.hung = 1
+	h.stallLimit = 1
 	put(1)
 	all(1, ErrStalled)
 	late := make(chan time.Time, 1)
@@ -751,18 +751,18 @@
 	if err := h.close(late); !errors.Is(err, ErrStalled) {
 		t.Error(err)
 	}
-	h.hung = time.Hour
+	h.stallLimit = time.Hour
 	put(1)
 	all(1, ErrDisk)
-	s.out <- struct{}{}
+	s.released <- struct{}{}
 	all(1, nil) // it was under way
 	all(MaxQueue, ErrStalled)
 	if err := h.Close(); err != nil {
 		t.Error(err)
 	}
-	h = mustOpen(t, o.Dir, Whole)
+	h = openDB(t, o.Dir, Intact)
 	defer h.Close()
-	if s := load(t, h); len(s) != 200 {
+	if s := loadAll(t, h); len(s) != 200 {
 		t.Error(len(s))
 	}
 }
@@ -777,14 +777,14 @@
 	}
 	t.Parallel()
 	dir := t.TempDir()
-	h := mustOpen(t, dir, Empty)
+	h := openDB(t, dir, Empty)
 	defer h.Close()
 	other := exec.Command(os.Args[0], "-test.run=TestRefused")
 	other.Env = append(os.Environ(), "HOLD_OF_ANOTHER="+dir)
 	if out, err := other.CombinedOutput(); err != nil {
 		t.Errorf("%v\n%s", err, out)
 	}
-	if err := write(h, Put{Value: []byte("undisturbed")}); err != nil {
+	if err := writePuts(h, Put{Value: []byte("undisturbed")}); err != nil {
 		t.Error(err)
 	}
 	dir = t.TempDir()
@@ -803,22 +803,22 @@
 		t.Fatal(err)
 	}
 	for _, q := range []string{"CREATE TABLE later(x)", "PRAGMA user_version=7"} {
-		if _, err := l.c.Exec(q, nil); err != nil {
+		if _, err := l.conn.Exec(q, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
 	l.close()
-	before := read(t, dir)
+	before := readFiles(t, dir)
 	if _, start, err := Open(Options{Dir: dir}); !errors.Is(err, ErrDisk) || start == Damaged || !strings.Contains(err.Error(), "version 7") {
 		t.Error(start, err)
 	}
-	if !maps.EqualFunc(before, read(t, dir), bytes.Equal) {
+	if !maps.EqualFunc(before, readFiles(t, dir), bytes.Equal) {
 		t.Error("it was changed")
 	}
 	// Its making was cut short at any page.
 	for n := range 2 {
-		h := mustOpen(t, files{fileName: nil}.write(t), Empty)
-		if err := write(h, Put{Value: []byte{byte(n)}}); err != nil {
+		h := openDB(t, fileSet{fileName: nil}.write(t), Empty)
+		if err := writePuts(h, Put{Value: []byte{byte(n)}}); err != nil {
 			t.Error(err)
 		}
 		h.Close()
--- a/internal/storage/lite.go
+++ b/internal/storage/lite.go
@@ -14,13 +14,13 @@
 	sqlite3 "github.com/mattn/go-sqlite3"
 )
 
-// store is what the hold asks of its database. Tests put one between that fails.
-type store interface {
+// engine is what the hold asks of its database. Tests put one between that fails.
+type engine interface {
 	begin() error
 	put(p *Put) error // in force with the commit
 	commit() error
 	rollback() error
-	open() bool // a transaction is open
+	inTransaction() bool // a transaction is open
 	each(t Table, f func(key, value []byte) error) error
 	// checkpoint moves what the log (the -wal file) holds into the database, or only counts: frames of the log that are in
 	// force, and those of them that the database has for certain.
@@ -38,13 +38,13 @@
 	pageSize      = 4096
 	walHeader     = 32
 	walFrame      = 24 + pageSize
-	sumLen        = 4
+	checksumBytes = 4
 	chunkPages    = 64 // hold.db grows by so many: 256 KiB
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func sumOf(t Table, key, value []byte) uint32 {
+func checksum(t Table, key, value []byte) uint32 {
 	head := [5]byte{byte(t)}
 	binary.LittleEndian.PutUint32(head[1:], uint32(len(key)))
 	c := crc32.Update(0, castagnoli, head[:])
@@ -56,41 +56,41 @@
 
 func (e *damageError) Error() string { return e.why }
 
-// lite is the store: a connection of the driver, without database/sql, which costs a lock and a few allocations per call.
-type lite struct {
-	c                                                               *sqlite3.SQLiteConn
-	sBegin, sCommit, sRollback, sPut, sDelete, sEach, sMove, sCount *sqlite3.SQLiteStmt
-	args                                                            [3]driver.NamedValue
-	tables                                                          [256]driver.Value // boxed once
-	buf                                                             []byte
-	path                                                            string
-	pages, most                                                     int64 // that the file may have now, and ever
+// sqliteEngine is the store: a connection of the driver, without database/sql, which costs a lock and a few allocations per call.
+type sqliteEngine struct {
+	conn                                                                                          *sqlite3.SQLiteConn
+	beginStmt, commitStmt, rollbackStmt, putStmt, deleteStmt, eachStmt, checkpointStmt, countStmt *sqlite3.SQLiteStmt
+	args                                                                                          [3]driver.NamedValue
+	tableArgs                                                                                     [256]driver.Value // boxed once
+	buf                                                                                           []byte
+	path                                                                                          string
+	maxPages, maxPagesEver                                                                        int64 // that the file may have now, and ever
 }
 
 var background = context.Background()
 
 // connect opens the file, or makes an empty one. Nothing of the schema is looked at.
-func connect(path string, maxPages int64, sync string) (*lite, error) {
+func connect(path string, maxPages int64, sync string) (*sqliteEngine, error) {
 	// EXCLUSIVE before the first access to the log keeps its index on the heap: no -shm file, nothing mapped.
 	u := url.URL{Scheme: "file", Path: path, RawQuery: "_busy_timeout=0&_mutex=no&_locking_mode=EXCLUSIVE&_synchronous=" + sync}
 	conn, err := (&sqlite3.SQLiteDriver{}).Open(u.String())
 	if err != nil {
 		return nil, err
 	}
-	l := &lite{c: conn.(*sqlite3.SQLiteConn), path: path, pages: maxPages, most: maxPages}
+	l := &sqliteEngine{conn: conn.(*sqlite3.SQLiteConn), path: path, maxPages: maxPages, maxPagesEver: maxPages}
 	for _, q := range []string{
 		fmt.Sprintf("PRAGMA page_size=%d", pageSize),
 		"PRAGMA temp_store=MEMORY", "PRAGMA mmap_size=0", "PRAGMA cache_size=-1024", "PRAGMA cell_size_check=ON",
 		"PRAGMA wal_autocheckpoint=0", fmt.Sprintf("PRAGMA max_page_count=%d", maxPages),
 	} {
-		if _, err := l.c.Exec(q, nil); err != nil {
+		if _, err := l.conn.Exec(q, nil); err != nil {
 			l.close()
 			return nil, err
 		}
 	}
-	mode, err := l.ask("PRAGMA journal_mode=WAL")
+	mode, err := l.queryRow("PRAGMA journal_mode=WAL")
 	if err == nil {
-		err = l.c.SetFileControlInt("main", sqlite3.SQLITE_FCNTL_CHUNK_SIZE, chunkPages*pageSize)
+		err = l.conn.SetFileControlInt("main", sqlite3.SQLITE_FCNTL_CHUNK_SIZE, chunkPages*pageSize)
 	}
 	if err == nil && mode[0] != "wal" {
 		err = fmt.Errorf("the journal's mode is %v, not wal", mode[0])
@@ -103,24 +103,24 @@
 }
 
 // prepare keeps the statements, once the schema is there.
-func (l *lite) prepare() error {
+func (l *sqliteEngine) prepare() error {
 	for _, p := range []struct {
 		to  **sqlite3.SQLiteStmt
 		sql string
 	}{
-		{&l.sBegin, "BEGIN IMMEDIATE"}, {&l.sCommit, "COMMIT"}, {&l.sRollback, "ROLLBACK"},
-		{&l.sPut, "INSERT OR REPLACE INTO kv(t,k,v) VALUES(?,?,?)"}, {&l.sDelete, "DELETE FROM kv WHERE t=? AND k=?"},
-		{&l.sEach, "SELECT k,v FROM kv WHERE t=? ORDER BY k"},
-		{&l.sMove, "PRAGMA wal_checkpoint(PASSIVE)"}, {&l.sCount, "PRAGMA wal_checkpoint(NOOP)"},
+		{&l.beginStmt, "BEGIN IMMEDIATE"}, {&l.commitStmt, "COMMIT"}, {&l.rollbackStmt, "ROLLBACK"},
+		{&l.putStmt, "INSERT OR REPLACE INTO kv(t,k,v) VALUES(?,?,?)"}, {&l.deleteStmt, "DELETE FROM kv WHERE t=? AND k=?"},
+		{&l.eachStmt, "SELECT k,v FROM kv WHERE t=? ORDER BY k"},
+		{&l.checkpointStmt, "PRAGMA wal_checkpoint(PASSIVE)"}, {&l.countStmt, "PRAGMA wal_checkpoint(NOOP)"},
 	} {
-		s, err := l.c.Prepare(p.sql)
+		s, err := l.conn.Prepare(p.sql)
 		if err != nil {
 			return err
 		}
 		*p.to = s.(*sqlite3.SQLiteStmt)
 	}
-	for i := range l.tables {
-		l.tables[i] = int64(i)
+	for i := range l.tableArgs {
+		l.tableArgs[i] = int64(i)
 	}
 	for i := range l.args {
 		l.args[i].Ordinal = i + 1
@@ -128,36 +128,36 @@
 	return nil
 }
 
-func run(s *sqlite3.SQLiteStmt, args []driver.NamedValue) error {
+func execStmt(s *sqlite3.SQLiteStmt, args []driver.NamedValue) error {
 	_, err := s.ExecContext(background, args)
 	return err
 }
 
-func (l *lite) begin() error    { return run(l.sBegin, nil) }
-func (l *lite) commit() error   { return run(l.sCommit, nil) }
-func (l *lite) rollback() error { return run(l.sRollback, nil) }
-func (l *lite) open() bool      { return !l.c.AutoCommit() }
+func (l *sqliteEngine) begin() error        { return execStmt(l.beginStmt, nil) }
+func (l *sqliteEngine) commit() error       { return execStmt(l.commitStmt, nil) }
+func (l *sqliteEngine) rollback() error     { return execStmt(l.rollbackStmt, nil) }
+func (l *sqliteEngine) inTransaction() bool { return !l.conn.AutoCommit() }
 
 var noKey = []byte{}
 
-func (l *lite) put(p *Put) error {
+func (l *sqliteEngine) put(p *Put) error {
 	key := p.Key
 	if key == nil {
 		key = noKey // nil would be NULL
 	}
-	l.args[0].Value, l.args[1].Value = l.tables[p.Table], key
+	l.args[0].Value, l.args[1].Value = l.tableArgs[p.Table], key
 	if p.Value == nil {
-		return run(l.sDelete, l.args[:2])
+		return execStmt(l.deleteStmt, l.args[:2])
 	}
-	l.buf = binary.LittleEndian.AppendUint32(l.buf[:0], sumOf(p.Table, key, p.Value))
+	l.buf = binary.LittleEndian.AppendUint32(l.buf[:0], checksum(p.Table, key, p.Value))
 	l.buf = append(l.buf, p.Value...)
 	l.args[2].Value = l.buf
-	return run(l.sPut, l.args[:])
+	return execStmt(l.putStmt, l.args[:])
 }
 
-func (l *lite) each(t Table, f func(key, value []byte) error) error {
-	l.args[0].Value = l.tables[t]
-	rows, err := l.sEach.QueryContext(background, l.args[:1])
+func (l *sqliteEngine) each(t Table, f func(key, value []byte) error) error {
+	l.args[0].Value = l.tableArgs[t]
+	rows, err := l.eachStmt.QueryContext(background, l.args[:1])
 	if err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 		case err != nil:
 			return err
 		}
-		key, value, err := unseal(t, row[0], row[1])
+		key, value, err := verifyRow(t, row[0], row[1])
 		if err != nil {
 			return err
 		}
@@ -180,26 +180,26 @@
 	}
 }
 
-// unseal is a row's key and value as they were put.
-func unseal(t Table, k, v driver.Value) (key, value []byte, err error) {
+// verifyRow is a row's key and value as they were put.
+func verifyRow(t Table, k, v driver.Value) (key, value []byte, err error) {
 	key, ok := k.([]byte)
 	sealed, ok2 := v.([]byte)
-	if !ok || !ok2 || len(sealed) < sumLen || binary.LittleEndian.Uint32(sealed) != sumOf(t, key, sealed[sumLen:]) {
+	if !ok || !ok2 || len(sealed) < checksumBytes || binary.LittleEndian.Uint32(sealed) != checksum(t, key, sealed[checksumBytes:]) {
 		return nil, nil, &damageError{fmt.Sprintf("table %d: the sum of a row is wrong", t)}
 	}
-	return key, sealed[sumLen:len(sealed):len(sealed)], nil
+	return key, sealed[checksumBytes:len(sealed):len(sealed)], nil
 }
 
-// checkAll looks at the structure of the file and at the sum of each row.
-func (l *lite) checkAll() error {
-	found, err := l.ask("PRAGMA quick_check(1)")
+// verify looks at the structure of the file and at the sum of each row.
+func (l *sqliteEngine) verify() error {
+	found, err := l.queryRow("PRAGMA quick_check(1)")
 	if err != nil {
 		return err
 	}
 	if s, _ := found[0].(string); s != "ok" {
 		return &damageError{fmt.Sprint("quick_check: ", found[0])}
 	}
-	rows, err := l.c.Query("SELECT t,k,v FROM kv", nil)
+	rows, err := l.conn.Query("SELECT t,k,v FROM kv", nil)
 	if err != nil {
 		return err
 	}
@@ -216,15 +216,15 @@
 		if !ok || t < 0 || t > 255 {
 			return &damageError{fmt.Sprintf("a row of table %v", row[0])}
 		}
-		if _, _, err := unseal(Table(t), row[1], row[2]); err != nil {
+		if _, _, err := verifyRow(Table(t), row[1], row[2]); err != nil {
 			return err
 		}
 	}
 }
 
-// ask is the first row of a query's answer.
-func (l *lite) ask(query string) ([]driver.Value, error) {
-	rows, err := l.c.Query(query, nil)
+// queryRow is the first row of a query's answer.
+func (l *sqliteEngine) queryRow(query string) ([]driver.Value, error) {
+	rows, err := l.conn.Query(query, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -236,10 +236,10 @@
 	return row, nil
 }
 
-func (l *lite) checkpoint(move bool) (frames, moved int, err error) {
-	s := l.sCount
+func (l *sqliteEngine) checkpoint(move bool) (frames, moved int, err error) {
+	s := l.countStmt
 	if move {
-		s = l.sMove
+		s = l.checkpointStmt
 	}
 	rows, err := s.QueryContext(background, nil)
 	if err != nil {
@@ -252,7 +252,7 @@
 	}
 	rows.Close()
 	if move {
-		if err := l.fit(); err != nil {
+		if err := l.limitToAllocated(); err != nil {
 			return 0, 0, err
 		}
 	}
@@ -261,50 +261,50 @@
 	return int(max(a, 0)), int(max(b, 0)), nil
 }
 
-// fit lets the file have the pages that it has room for on the disk, so that moving the log never needs more. SQLite cuts
+// limitToAllocated lets the file have the pages that it has room for on the disk, so that moving the log never needs more. SQLite cuts
 // it to a whole number of chunks with each moving.
-func (l *lite) fit() error {
+func (l *sqliteEngine) limitToAllocated() error {
 	info, err := os.Stat(l.path)
 	if err != nil {
 		return err
 	}
-	return l.bound(min(info.Size()/pageSize, l.most))
+	return l.setMaxPages(min(info.Size()/pageSize, l.maxPagesEver))
 }
 
-func (l *lite) bound(pages int64) error {
-	if pages == l.pages {
+func (l *sqliteEngine) setMaxPages(pages int64) error {
+	if pages == l.maxPages {
 		return nil
 	}
-	_, err := l.c.Exec(fmt.Sprintf("PRAGMA max_page_count=%d", max(pages, 1)), nil)
+	_, err := l.conn.Exec(fmt.Sprintf("PRAGMA max_page_count=%d", max(pages, 1)), nil)
 	if err == nil {
-		l.pages = pages
+		l.maxPages = pages
 	}
 	return err
 }
 
-func (l *lite) grow() error {
-	if l.pages >= l.most {
+func (l *sqliteEngine) grow() error {
+	if l.maxPages >= l.maxPagesEver {
 		return errors.New("the file's bound is reached")
 	}
 	// SQLite writes a byte to each block. Its error doesn't reach the driver: what counts is how far it came.
-	before := l.pages
-	if err := l.c.SetFileControlInt64("main", sqlite3.SQLITE_FCNTL_SIZE_HINT, (l.pages+1)*pageSize); err != nil {
+	before := l.maxPages
+	if err := l.conn.SetFileControlInt64("main", sqlite3.SQLITE_FCNTL_SIZE_HINT, (l.maxPages+1)*pageSize); err != nil {
 		return err
 	}
-	if err := l.fit(); err != nil {
+	if err := l.limitToAllocated(); err != nil {
 		return err
 	}
-	if l.pages <= before {
+	if l.maxPages <= before {
 		return errors.New("the disk has no room for more pages")
 	}
 	return nil
 }
 
-func (l *lite) close() error {
-	for _, s := range []*sqlite3.SQLiteStmt{l.sBegin, l.sCommit, l.sRollback, l.sPut, l.sDelete, l.sEach, l.sMove, l.sCount} {
+func (l *sqliteEngine) close() error {
+	for _, s := range []*sqlite3.SQLiteStmt{l.beginStmt, l.commitStmt, l.rollbackStmt, l.putStmt, l.deleteStmt, l.eachStmt, l.checkpointStmt, l.countStmt} {
 		if s != nil {
 			s.Close()
 		}
 	}
-	return l.c.Close()
+	return l.conn.Close()
 }
--- a/internal/storage/names_test.go
+++ b/internal/storage/names_test.go
@@ -10,8 +10,8 @@
 // Whatever comes of that, a database is never found without its log and taken for whole.
 func TestPutAsideCutAnywhere(t *testing.T) {
 	t.Parallel()
-	_, dir, states := filled(t, 25)
-	whole := read(t, dir)
+	_, dir, states := filledDB(t, 25)
+	whole := readFiles(t, dir)
 	if len(whole[fileName+"-wal"]) == 0 {
 		t.Fatal("no log to lose")
 	}
@@ -20,7 +20,7 @@
 		var sure, open []change
 		steps := 0
 		step := func() bool { steps++; return steps <= stop }
-		quarantine(filepath.Join(dir, fileName), names{
+		quarantine(filepath.Join(dir, fileName), fileOps{
 			rename: func(from, to string) error {
 				if _, ok := whole[filepath.Base(from)]; ok && step() {
 					open = append(open, change{filepath.Base(from), filepath.Base(to)})
@@ -36,7 +36,7 @@
 			},
 		})
 		for kept := range 1 << len(open) {
-			f := files{}
+			f := fileSet{}
 			for name, b := range whole {
 				f[name] = b
 			}
@@ -46,8 +46,8 @@
 					delete(f, c.from)
 				}
 			}
-			got, start := f.found(t)
-			if start == Whole && !maps.Equal(got, states[len(states)-1]) {
+			got, start := f.reopen(t)
+			if start == Intact && !maps.Equal(got, states[len(states)-1]) {
 				t.Errorf("after %d steps, %d of %d changes kept (%b): found whole with %d of %d rows", stop, len(sure), len(sure)+len(open), kept, len(got), len(states[len(states)-1]))
 			}
 		}
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -15,13 +15,13 @@
 const (
 	fileName       = "hold.db"
 	fallocKeepSize = 1          // FALLOC_FL_KEEP_SIZE
-	aside          = ".damaged" // behind the name of a file that was damaged; one of each is kept
+	damagedSuffix  = ".damaged" // behind the name of a file that was damaged; one of each is kept
 )
 
 var suffixes = []string{"", "-wal", "-journal"}
 
-// begin opens what stands in the folder, and begins anew where it is damaged.
-func begin(o *Options) (store, Start, error) {
+// openFolder opens what stands in the folder, and begins anew where it is damaged.
+func openFolder(o *Options) (engine, Condition, error) {
 	if err := makeDir(o.Dir); err != nil {
 		return nil, Empty, wrap(err)
 	}
@@ -30,7 +30,7 @@
 	var damage *damageError
 	if errors.As(err, &damage) {
 		o.Log(fmt.Sprintf("%s is damaged and put aside: %v", path, err))
-		if err := quarantine(path, diskNames); err != nil {
+		if err := quarantine(path, osFileOps); err != nil {
 			return nil, Damaged, wrap(fmt.Errorf("put aside what is damaged: %w", err))
 		}
 		start = Damaged
@@ -38,7 +38,7 @@
 		if err = wrap(err); errors.Is(err, ErrFull) {
 			o.Log("no room for a new file: the damaged ones are removed")
 			for _, s := range suffixes {
-				os.Remove(path + aside + s)
+				os.Remove(path + damagedSuffix + s)
 				os.Remove(path + s) // what was begun
 			}
 			l, _, err = openFile(path, o)
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, start, wrap(err)
 	}
-	if err := o.settle(o.Dir); err != nil { // before anything is told to be written, its files must have their names for certain
+	if err := o.syncNames(o.Dir); err != nil { // before anything is told to be written, its files must have their names for certain
 		l.close()
 		return nil, start, wrap(err)
 	}
@@ -55,8 +55,8 @@
 }
 
 // openFile opens the file and looks at all of it, or makes one. Damage is a damageError.
-func openFile(path string, o *Options) (l *lite, start Start, err error) {
-	start, err = look(path)
+func openFile(path string, o *Options) (l *sqliteEngine, start Condition, err error) {
+	start, err = inspect(path)
 	if err != nil {
 		return nil, start, err
 	}
@@ -73,14 +73,14 @@
 			err = &damageError{e.Error()}
 		}
 	}()
-	if l, err = connect(path, max((o.MaxBytes+chunkPages*pageSize-1)/(chunkPages*pageSize), 1)*chunkPages, o.syncs()); err != nil {
+	if l, err = connect(path, max((o.MaxBytes+chunkPages*pageSize-1)/(chunkPages*pageSize), 1)*chunkPages, o.synchronousMode()); err != nil {
 		return l, start, err
 	}
-	version, err := l.ask("PRAGMA user_version")
+	version, err := l.queryRow("PRAGMA user_version")
 	if err != nil {
 		return l, start, err
 	}
-	tables, err := l.ask("SELECT count(*), total(sql=" + "'" + schema + "') FROM sqlite_schema")
+	tables, err := l.queryRow("SELECT count(*), total(sql=" + "'" + schema + "') FROM sqlite_schema")
 	if err != nil {
 		return l, start, err
 	}
@@ -88,12 +88,12 @@
 	case v == int64(0) && n == int64(0): // new, or its making was cut short
 		start = Empty
 		for _, q := range []string{"BEGIN IMMEDIATE", schema, fmt.Sprintf("PRAGMA user_version=%d", schemaVersion), "COMMIT"} {
-			if _, err = l.c.Exec(q, nil); err != nil {
+			if _, err = l.conn.Exec(q, nil); err != nil {
 				return l, start, err
 			}
 		}
 	case v != int64(schemaVersion):
-		if found, err := l.ask("PRAGMA quick_check(1)"); err != nil {
+		if found, err := l.queryRow("PRAGMA quick_check(1)"); err != nil {
 			return l, start, err
 		} else if found[0] != "ok" {
 			return l, start, &damageError{fmt.Sprint("quick_check: ", found[0])}
@@ -102,7 +102,7 @@
 	case n != int64(1) || tables[1] != float64(1):
 		return l, start, &damageError{fmt.Sprintf("the schema is not that of version %d", schemaVersion)}
 	default:
-		if err = l.checkAll(); err != nil {
+		if err = l.verify(); err != nil {
 			return l, start, err
 		}
 	}
@@ -116,15 +116,15 @@
 			return l, start, err
 		}
 	}
-	reserve(path + "-wal")
+	reserveLog(path + "-wal")
 	return l, start, nil
 }
 
-// reserve takes the room that the log needs until it is moved, so that a disk that others fill doesn't stop the hold. Its
+// reserveLog takes the room that the log needs until it is moved, so that a disk that others fill doesn't stop the hold. Its
 // size stays as it is. Where that can't be had, the hold does without.
-func reserve(path string) {
+func reserveLog(path string) {
 	if f, err := os.OpenFile(path, os.O_WRONLY, 0); err == nil {
-		syscall.Fallocate(int(f.Fd()), fallocKeepSize, 0, walHeader+moveFrames*walFrame+groupBytes)
+		syscall.Fallocate(int(f.Fd()), fallocKeepSize, 0, walHeader+checkpointFrames*walFrame+maxGroupBytes)
 		f.Close()
 	}
 }
@@ -138,8 +138,8 @@
 	return f.Sync()
 }
 
-// look reads what can be told without SQLite: whether there is a file, and whether its first page can be one of a hold.
-func look(path string) (Start, error) {
+// inspect reads what can be told without SQLite: whether there is a file, and whether its first page can be one of a hold.
+func inspect(path string) (Condition, error) {
 	log, err := os.Stat(path + "-wal")
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return Empty, err
@@ -167,24 +167,24 @@
 		int(head[16])<<8|int(head[17]) != pageSize, head[20] != 0, head[21] != 64, head[22] != 32, head[23] != 32:
 		return Damaged, &damageError{"the header of the file is not a hold's"}
 	}
-	return Whole, nil
+	return Intact, nil
 }
 
-// names changes the names of files in a folder. A change lasts for certain once the folder is synced; before that each may
+// fileOps changes the names of files in a folder. A change lasts for certain once the folder is synced; before that each may
 // be kept or lost by itself at a loss of power.
-type names struct {
+type fileOps struct {
 	rename func(from, to string) error
 	remove func(path string) error
 	sync   func(dir string) error
 }
 
-var diskNames = names{os.Rename, os.Remove, syncDir}
+var osFileOps = fileOps{os.Rename, os.Remove, syncDir}
 
 // quarantine puts the files aside, in the place of those of the time before. The database goes first, and for certain: a log
 // without one is known as damage, while a database without its log would be taken for whole.
-func quarantine(path string, n names) error {
+func quarantine(path string, n fileOps) error {
 	for _, s := range suffixes {
-		if err := n.rename(path+s, path+aside+s); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if err := n.rename(path+s, path+damagedSuffix+s); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			if err := n.remove(path + s); err != nil {
 				return err
 			}
@@ -210,17 +210,17 @@
 	return syncDir(filepath.Dir(dir))
 }
 
-// syncs is SQLite's word for how surely a commit is on the disk.
-func (o Options) syncs() string {
-	if o.Disk != nil {
+// synchronousMode is SQLite's word for how surely a commit is on the disk.
+func (o Options) synchronousMode() string {
+	if o.SimulatedDisk != nil {
 		return "OFF"
 	}
 	return "FULL"
 }
 
-// settle is syncDir for a disk that is one.
-func (o Options) settle(dir string) error {
-	if o.Disk != nil {
+// syncNames is syncDir for a disk that is one.
+func (o Options) syncNames(dir string) error {
+	if o.SimulatedDisk != nil {
 		return nil
 	}
 	return syncDir(dir)
@@ -235,8 +235,8 @@
 	return d.Sync()
 }
 
-// cut ends the log behind so many bytes, for certain. SQLite has no locks on it that would go with the file's closing.
-func cut(path string, size int64) error {
+// truncateFile ends the log behind so many bytes, for certain. SQLite has no locks on it that would go with the file's closing.
+func truncateFile(path string, size int64) error {
 	f, err := os.OpenFile(path, os.O_WRONLY, 0)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
--- a/internal/store/amid_test.go
+++ b/internal/store/amid_test.go
@@ -11,8 +11,8 @@
 	"saltmast/internal/storage"
 )
 
-// much is books that come to disk in several parts.
-func much() (items []configuration.Item, claims []messages.ClaimCall) {
+// largeState is books that come to disk in several parts.
+func largeState() (items []configuration.Item, claims []messages.ClaimCall) {
 	for i := range 2500 {
 		claims = append(claims, messages.ClaimCall{Key: fmt.Sprint("key ", i), ID: id(uint64(i + 1))})
 	}
@@ -23,66 +23,66 @@
 	return items, claims
 }
 
-// dies lets n syncs of a desk pass; then the next fails, or the purser dies and begins again on what is on disk. done reports
+// failAfter lets n syncs of a desk pass; then the next fails, or the purser dies and begins again on what is on disk. done reports
 // whether there were as many.
-func (d *desk) dies(t *testing.T, n int, fails bool) (again *desk, done bool) {
+func (d *testVoter) failAfter(t *testing.T, n int, fails bool) (again *testVoter, done bool) {
 	for range n {
-		d.catchUp()
-		if len(d.paper.waits) == 0 {
+		d.runQueue()
+		if len(d.fake.pending) == 0 {
 			return nil, true
 		}
-		d.paper.sync(nil)
+		d.fake.sync(nil)
 	}
-	d.catchUp()
-	if len(d.paper.waits) == 0 {
+	d.runQueue()
+	if len(d.fake.pending) == 0 {
 		return nil, true
 	}
 	if fails {
-		d.paper.sync(storage.ErrDisk)
-		for len(d.later) > 0 {
-			d.catchUp()
+		d.fake.sync(storage.ErrDisk)
+		for len(d.queue) > 0 {
+			d.runQueue()
 		}
 		return d, false
 	}
-	again = newDesk(t, Options{})
-	again.as, again.paper = storage.Whole, d.paper
-	again.paper.waits = nil
-	again.open()
-	again.mustering = true // no test here waits for a repair
+	again = newTestVoter(t, Options{})
+	again.condition, again.fake = storage.Intact, d.fake
+	again.fake.pending = nil
+	again.openDisk()
+	again.recovering = true // no test here waits for a repair
 	return again, false
 }
 
 // A repair that dies, or whose sync fails, at whatever part: the member says nothing until all that it took is on disk, and the
 // next repair makes up for all.
 func TestRepairThatDiesAtEachSync(t *testing.T) {
-	items, claims := much()
-	m := mustered{m: messages.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: configuration.Ballot{N: 9},
+	items, claims := largeState()
+	m := recoveredState{last: messages.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: configuration.Ballot{N: 9},
 		Chosen: configuration.Ballot{N: 9}}, claims: claims, base: configuration.SetOf(items...)}
 	for _, fails := range []bool{false, true} {
 		n, done := 0, false
 		for ; !done; n++ {
-			d := newDesk(t, Options{})
-			d.open()
-			d.roll = messages.Roll{Epoch: 1, Voters: voters}
-			d.place()
-			d.paper.rows[tableMeta] = map[string][]byte{"roll": d.putRoll().Value, "incs": d.putIncs().Value}
-			d.set(Repairing)
-			d.restore(2, []mustered{m}, nil)
-			var again *desk
-			if again, done = d.dies(t, n, fails); done {
+			d := newTestVoter(t, Options{})
+			d.openDisk()
+			d.voterSet = messages.Roll{Epoch: 1, Voters: voters}
+			d.locate()
+			d.fake.rows[tableMeta] = map[string][]byte{"roll": d.putVoterSet().Value, "incs": d.putIncarnations().Value}
+			d.setState(Repairing)
+			d.restore(2, []recoveredState{m}, nil)
+			var again *testVoter
+			if again, done = d.failAfter(t, n, fails); done {
 				if d.state != Serving {
 					t.Errorf("%s after %d syncs", d.state, n)
 				}
 				break
 			}
 			if again.state != Repairing {
-				t.Errorf("%s after %d syncs, %d claims and %d items", again.state, n, again.ledger.Len(), again.acc.Value.Len())
+				t.Errorf("%s after %d syncs, %d claims and %d items", again.state, n, again.claims.Len(), again.acceptor.Value.Len())
 			}
-			again.mustering = false
-			again.restore(3, []mustered{m}, again.left(t))
+			again.recovering = false
+			again.restore(3, []recoveredState{m}, again.staleRows(t))
 			again.settle()
-			if again.state != Serving || again.incs[0] != 3 || len(again.paper.rows[tableClaims]) != len(claims) || len(again.paper.rows[tableItems]) != len(items) {
-				t.Errorf("%s after %d syncs and another repair, incarnations %v", again.state, n, again.incs)
+			if again.state != Serving || again.incarnations[0] != 3 || len(again.fake.rows[tableClaims]) != len(claims) || len(again.fake.rows[tableItems]) != len(items) {
+				t.Errorf("%s after %d syncs and another repair, incarnations %v", again.state, n, again.incarnations)
 			}
 		}
 		if n < 3 {
@@ -94,9 +94,9 @@
 // A taking over that dies, or whose sync fails, at whatever part: a new voter stands apart as before, and one of both rolls has its
 // own books whole for those that need them.
 func TestTakingOverThatDiesAtEachSync(t *testing.T) {
-	items, claims := much()
+	items, claims := largeState()
 	next := messages.Roll{Epoch: 2, Voters: voters, Was: voters}
-	h := handed{base: configuration.SetOf(items...), claims: claims, h: messages.Handed{Estate: reconfig.Estate{Vouch: consensus.Vouch{By: 1, Incs: []uint64{1, 1, 1}},
+	h := handedState{base: configuration.SetOf(items...), claims: claims, last: messages.Handed{Estate: reconfig.Estate{Vouch: consensus.Vouch{By: 1, Incs: []uint64{1, 1, 1}},
 		Promised: configuration.Ballot{N: 9}, Accepted: configuration.Ballot{N: 9}, Chosen: configuration.Ballot{N: 9}}}}
 	older := items[0]
 	older.Version, older.Ballot.N = 1, 3
@@ -104,48 +104,48 @@
 		for _, fails := range []bool{false, true} {
 			n, done := 0, false
 			for ; !done; n++ {
-				d := newDesk(t, Options{Bootstrap: kept, Found: voters})
-				d.as = storage.Empty
-				d.open()
+				d := newTestVoter(t, Options{Bootstrap: kept, InitialVoters: voters})
+				d.condition = storage.Empty
+				d.openDisk()
 				d.settle()
-				state, own := Apart, 0
+				state, own := NonVoter, 0
 				if kept {
 					state, own = Serving, 1
 					d.write([]storage.Put{putClaim("own", id(99)), putItem(older), putBallot("accepted", older.Ballot), putBallot("chosen", older.Ballot)}, func(error) {})
-					d.seal.Closed, d.sealed = true, true
+					d.seal.Closed, d.sealDurable = true, true
 					d.write([]storage.Put{d.putSeal()}, func(error) {})
 					d.settle()
-					d.ledger.Claim(0, "own", id(99))
+					d.claims.Claim(0, "own", id(99))
 				} else {
-					d.roll = messages.Roll{Epoch: 1, Voters: []messages.Voter{{Addr: "x:1"}, {Addr: "b:1"}, {Addr: "c:1"}}}
-					d.place()
-					d.paper.rows[tableMeta] = map[string][]byte{"roll": d.putRoll().Value, "incs": d.putIncs().Value}
-					d.set(Apart)
+					d.voterSet = messages.Roll{Epoch: 1, Voters: []messages.Voter{{Addr: "x:1"}, {Addr: "b:1"}, {Addr: "c:1"}}}
+					d.locate()
+					d.fake.rows[tableMeta] = map[string][]byte{"roll": d.putVoterSet().Value, "incs": d.putIncarnations().Value}
+					d.setState(NonVoter)
 				}
-				d.taking = true
-				d.inherit(next, []handed{h, h}, kept, nil)
-				var again *desk
-				if again, done = d.dies(t, n, fails); done {
-					if d.state != Serving || d.roll.Epoch != 2 || !d.inherited() {
-						t.Errorf("kept %v: %s in epoch %d after %d syncs", kept, d.state, d.roll.Epoch, n)
+				d.takingOver = true
+				d.installHandover(next, []handedState{h, h}, kept, nil)
+				var again *testVoter
+				if again, done = d.failAfter(t, n, fails); done {
+					if d.state != Serving || d.voterSet.Epoch != 2 || !d.valueInherited() {
+						t.Errorf("kept %v: %s in epoch %d after %d syncs", kept, d.state, d.voterSet.Epoch, n)
 					}
 					break
 				}
-				if again.state != state || again.roll.Epoch != 1 || again.taking {
-					t.Errorf("kept %v: %s in epoch %d after %d syncs", kept, again.state, again.roll.Epoch, n)
+				if again.state != state || again.voterSet.Epoch != 1 || again.takingOver {
+					t.Errorf("kept %v: %s in epoch %d after %d syncs", kept, again.state, again.voterSet.Epoch, n)
 				}
-				if rows := again.paper.rows; kept && (!again.sealed || len(rows[tableItems]) != 1 || rows[tableClaims]["own"] == nil || again.counts(1) == nil) {
-					t.Errorf("%d items on disk, sealed %v, after %d syncs", len(rows[tableItems]), again.sealed, n)
+				if rows := again.fake.rows; kept && (!again.sealDurable || len(rows[tableItems]) != 1 || rows[tableClaims]["own"] == nil || again.requireVoting(1) == nil) {
+					t.Errorf("%d items on disk, sealed %v, after %d syncs", len(rows[tableItems]), again.sealDurable, n)
 				}
-				again.taking = true
-				left := again.left(t)
+				again.takingOver = true
+				left := again.staleRows(t)
 				if kept {
 					left = nil
 				}
-				again.inherit(next, []handed{h, h}, kept, left)
+				again.installHandover(next, []handedState{h, h}, kept, left)
 				again.settle()
-				if rows := again.paper.rows; again.state != Serving || again.roll.Epoch != 2 || len(rows[tableItems]) != len(items) || len(rows[tableClaims]) != len(claims)+own {
-					t.Errorf("kept %v: %s in epoch %d after %d syncs and another try, %d items, %d claims", kept, again.state, again.roll.Epoch, n, len(rows[tableItems]), len(rows[tableClaims]))
+				if rows := again.fake.rows; again.state != Serving || again.voterSet.Epoch != 2 || len(rows[tableItems]) != len(items) || len(rows[tableClaims]) != len(claims)+own {
+					t.Errorf("kept %v: %s in epoch %d after %d syncs and another try, %d items, %d claims", kept, again.state, again.voterSet.Epoch, n, len(rows[tableItems]), len(rows[tableClaims]))
 				}
 			}
 			if n < 3 {
--- a/internal/store/close_test.go
+++ b/internal/store/close_test.go
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		opening, on := make(chan struct{}), make(chan struct{})
 		p, err := Start(Options{Net: network.New(1).Machine("10.0.0.1", "east").Start(), Addr: "10.0.0.1:7000", Dir: dir, Window: time.Minute,
-			Seeds: func() []string { return nil }, Disk: func() error { return nil },
+			Seeds: func() []string { return nil }, SimulatedDisk: func() error { return nil },
 			Log: func(event, text string) {
 				if event == "disk" && strings.HasPrefix(text, "found") {
 					close(opening)
--- a/internal/store/program.go
+++ b/internal/store/program.go
@@ -23,44 +23,44 @@
 
 // Running is a purser that was started by settings.
 type Running struct {
-	P *Purser
-	s *atomic.Pointer[settings.Settings]
+	Server   *Server
+	settings *atomic.Pointer[settings.Settings]
 }
 
 // Launch starts by settings. on: nil for the system's network. disk: that of Options.
 func Launch(s *settings.Settings, log func(event, text string), on sock.Net, disk func() error) (Running, error) {
-	r := Running{s: &atomic.Pointer[settings.Settings]{}}
-	r.s.Store(s)
+	r := Running{settings: &atomic.Pointer[settings.Settings]{}}
+	r.settings.Store(s)
 	if s.DataDir == "" || s.Port(messages.GatePort) == "" {
 		return r, fmt.Errorf("%s: data-directory and %d ephemeral-ports wanted", s.Path, messages.GatePort+1)
 	}
-	o := Options{Addr: s.Port(messages.PurserPort), Dir: s.DataDir, Zone: s.Zone, Bootstrap: s.Bootstrap, Quorum: s.QuorumMember,
-		Window: s.Bounds.DedupWindow + keyMargin, MaxBytes: int64(s.DiskMB * (1 << 20) / 2), First: s.Ports[0],
-		Net: on, Disk: disk, Log: log,
+	o := Options{Addr: s.Port(messages.PurserPort), Dir: s.DataDir, Zone: s.Zone, Bootstrap: s.Bootstrap, QuorumMember: s.QuorumMember,
+		Window: s.Bounds.DedupWindow + keyMargin, MaxBytes: int64(s.DiskMB * (1 << 20) / 2), FirstPort: s.Ports[0],
+		Net: on, SimulatedDisk: disk, Log: log,
 		Seeds: func() (out []string) {
-			s := r.s.Load()
+			s := r.settings.Load()
 			for _, x := range s.Seeds {
 				out = append(out, messages.Beside(x, s.Ports[0], messages.PurserPort))
 			}
 			return out
 		}}
 	for _, a := range o.Seeds() {
-		o.Found = append(o.Found, messages.Voter{Name: a, Addr: a})
+		o.InitialVoters = append(o.InitialVoters, messages.Voter{Name: a, Addr: a})
 	}
 	var err error
-	r.P, err = Start(o)
+	r.Server, err = Start(o)
 	return r, err
 }
 
 // Reload takes other settings: seeds alone may change while it runs.
-func (r Running) Reload(s *settings.Settings) { r.s.Store(s) }
+func (r Running) Reload(s *settings.Settings) { r.settings.Store(s) }
 
 // Stop ends it.
-func (r Running) Stop(time.Duration) { r.P.Close() }
+func (r Running) Stop(time.Duration) { r.Server.Close() }
 
 // Counts are for the log.
 func (r Running) Counts() map[string]int64 {
-	c, s := &r.P.Counts, r.P.Status()
+	c, s := &r.Server.Counts, r.Server.Status()
 	return map[string]int64{"claims": c.Claims.Load(), "denied": c.Denied.Load(), "released": c.Released.Load(), "refused": c.Refused.Load(),
 		"accepts": c.Accepts.Load(), "prepares": c.Prepares.Load(), "commits": storage.Commits(), "watches": c.Watches.Load(), "keys": int64(s.Keys), "chosen": int64(s.Chosen.N)}
 }
--- a/internal/store/purser_test.go
+++ b/internal/store/purser_test.go
@@ -18,35 +18,35 @@
 )
 
 // A paper is a disk whose syncs the test times: what was written waits for sync, which brings it into force or fails it.
-type paper struct {
-	rows   map[storage.Table]map[string][]byte
-	waits  []writing
-	broken error // of Load
-	stall  time.Duration
+type fakeDisk struct {
+	rows    map[storage.Table]map[string][]byte
+	pending []pendingWrite
+	loadErr error // of Load
+	stall   time.Duration
 }
 
-type writing struct {
+type pendingWrite struct {
 	puts []storage.Put
 	done func(error)
 }
 
-func newPaper() *paper { return &paper{rows: map[storage.Table]map[string][]byte{}} }
+func newFakeDisk() *fakeDisk { return &fakeDisk{rows: map[storage.Table]map[string][]byte{}} }
 
-func (p *paper) Load(t storage.Table, each func(k, v []byte) error) error {
+func (p *fakeDisk) Load(t storage.Table, each func(k, v []byte) error) error {
 	for _, k := range slices.Sorted(maps.Keys(p.rows[t])) {
 		if err := each([]byte(k), p.rows[t][k]); err != nil {
 			return err
 		}
 	}
-	return p.broken
+	return p.loadErr
 }
 
-func (p *paper) Write(puts []storage.Put, done func(error)) {
+func (p *fakeDisk) Write(puts []storage.Put, done func(error)) {
 	size, waiting := 0, 0
 	for _, x := range puts {
 		size += len(x.Key) + len(x.Value)
 	}
-	for _, w := range p.waits {
+	for _, w := range p.pending {
 		for _, x := range w.puts {
 			waiting += len(x.Key) + len(x.Value)
 		}
@@ -57,16 +57,16 @@
 	case waiting+size > storage.MaxQueueBytes:
 		done(storage.ErrBusy)
 	default:
-		p.waits = append(p.waits, writing{puts, done})
+		p.pending = append(p.pending, pendingWrite{puts, done})
 	}
 }
 
-func (p *paper) Stalled() time.Duration { return p.stall }
-func (p *paper) Close() error           { return nil }
+func (p *fakeDisk) Stalled() time.Duration { return p.stall }
+func (p *fakeDisk) Close() error           { return nil }
 
-func (p *paper) sync(err error) {
-	w := p.waits[0]
-	p.waits = p.waits[1:]
+func (p *fakeDisk) sync(err error) {
+	w := p.pending[0]
+	p.pending = p.pending[1:]
 	for _, x := range w.puts {
 		switch {
 		case err != nil:
@@ -83,34 +83,34 @@
 }
 
 // A desk is the books of one purser without goroutines: what is done later waits in a queue.
-type desk struct {
-	*books
-	paper *paper
-	as    storage.Start // it is found
-	later []func(*books)
-	told  []messages.Mark // what harbourmasters know
+type testVoter struct {
+	*voterState
+	fake      *fakeDisk
+	condition storage.Condition // it is found
+	queue     []func(*voterState)
+	marks     []messages.Mark // what harbourmasters know
 }
 
 var voters = []messages.Voter{{Addr: "a:1"}, {Addr: "b:1"}, {Addr: "c:1"}}
 
-func newDesk(t *testing.T, o Options) *desk {
+func newTestVoter(t *testing.T, o Options) *testVoter {
 	o.Addr, o.Window, o.Log = "a:1", time.Minute, func(event, text string) { t.Log(event, text) }
 	o.Seeds = func() []string { return nil }
-	d := &desk{paper: newPaper()}
-	p := &Purser{o: o, later: func(f func(*books)) { d.later = append(d.later, f) }}
-	p.begin = func(storage.Options) (disk, storage.Start, error) { return d.paper, d.as, nil }
-	p.aside = func(f func() func(*books)) { f()(d.books) }
-	p.known = func(messages.Roll) []messages.Mark { return d.told }
-	p.own = rpc.Own(&books{}, 64) // hears of what a repair found, which no test here waits for
-	t.Cleanup(p.own.End)
-	d.books = &books{p: p, begun: time.Now(), state: NoDisk, me: -1}
-	d.clear()
+	d := &testVoter{fake: newFakeDisk()}
+	p := &Server{opts: o, enqueue: func(f func(*voterState)) { d.queue = append(d.queue, f) }}
+	p.openStorage = func(storage.Options) (disk, storage.Condition, error) { return d.fake, d.condition, nil }
+	p.runAsync = func(f func() func(*voterState)) { f()(d.voterState) }
+	p.fetchMarks = func(messages.Roll) []messages.Mark { return d.marks }
+	p.owner = rpc.Own(&voterState{}, 64) // hears of what a repair found, which no test here waits for
+	t.Cleanup(p.owner.End)
+	d.voterState = &voterState{srv: p, startedAt: time.Now(), state: NoDisk, index: -1}
+	d.resetContent()
 	return d
 }
 
-// left is what a repair that died has left on disk.
-func (d *desk) left(t *testing.T) []storage.Put {
-	left, err := leftovers(d.paper)
+// staleRows is what a repair that died has left on disk.
+func (d *testVoter) staleRows(t *testing.T) []storage.Put {
+	left, err := staleRows(d.fake)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,44 +118,44 @@
 }
 
 // settle syncs all that waits, and does all that is to be done later.
-func (d *desk) settle() {
-	for len(d.paper.waits)+len(d.later) > 0 {
-		d.catchUp()
-		if len(d.paper.waits) > 0 {
-			d.paper.sync(nil)
+func (d *testVoter) settle() {
+	for len(d.fake.pending)+len(d.queue) > 0 {
+		d.runQueue()
+		if len(d.fake.pending) > 0 {
+			d.fake.sync(nil)
 		}
 	}
 }
 
-// catchUp does what is to be done later.
-func (d *desk) catchUp() {
-	l := d.later
-	d.later = nil
+// runQueue does what is to be done later.
+func (d *testVoter) runQueue() {
+	l := d.queue
+	d.queue = nil
 	for _, f := range l {
-		f(d.books)
+		f(d.voterState)
 	}
 }
 
-// answered is what came of a call so far.
-type answered struct {
-	body []byte
-	err  error
-	n    int
+// callResult is what came of a call so far.
+type callResult struct {
+	body  []byte
+	err   error
+	count int
 }
 
-func (d *desk) call(kind uint8, v any) *answered {
-	r := &answered{}
-	c := rpc.Local(kind, v, func(body []byte, err error) { r.body, r.err = body, err; r.n++ })
-	if err := d.take(c); err != nil {
+func (d *testVoter) call(kind uint8, v any) *callResult {
+	r := &callResult{}
+	c := rpc.Local(kind, v, func(body []byte, err error) { r.body, r.err = body, err; r.count++ })
+	if err := d.dispatch(c); err != nil {
 		c.Reply(nil, err)
 	}
 	return r
 }
 
-func (r *answered) grant(t *testing.T) (g idempotency.Grant) {
+func (r *callResult) grant(t *testing.T) (g idempotency.Grant) {
 	t.Helper()
-	if r.n != 1 || r.err != nil {
-		t.Fatalf("%d answers, %v", r.n, r.err)
+	if r.count != 1 || r.err != nil {
+		t.Fatalf("%d answers, %v", r.count, r.err)
 	}
 	if err := rpc.Decode(r.body, &g); err != nil {
 		t.Fatal(err)
@@ -163,10 +163,10 @@
 	return g
 }
 
-// founded is a desk that counts.
-func founded(t *testing.T) *desk {
-	d := newDesk(t, Options{Bootstrap: true, Found: voters})
-	d.open()
+// newServingVoter is a desk that counts.
+func newServingVoter(t *testing.T) *testVoter {
+	d := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
+	d.openDisk()
 	d.settle()
 	if d.state != Serving {
 		t.Fatalf("%s after the founding", d.state)
@@ -178,18 +178,18 @@
 
 // What a disk told before its reading failed counts for nothing: the next one may be empty.
 func TestDiskThatFailsAmidReading(t *testing.T) {
-	d := founded(t)
-	again := newDesk(t, Options{})
-	again.paper, again.as = d.paper, storage.Whole
-	again.paper.broken = errors.New("no more")
-	again.open()
+	d := newServingVoter(t)
+	again := newTestVoter(t, Options{})
+	again.fake, again.condition = d.fake, storage.Intact
+	again.fake.loadErr = errors.New("no more")
+	again.openDisk()
 	if again.state != NoDisk || again.disk != nil {
 		t.Fatalf("%s with a disk that can't be read", again.state)
 	}
-	again.paper, again.as = newPaper(), storage.Damaged
-	again.open()
-	if again.state != NoRoll {
-		t.Errorf("%s on an empty disk, epoch %d, incarnations %v", again.state, again.roll.Epoch, again.incs)
+	again.fake, again.condition = newFakeDisk(), storage.Damaged
+	again.openDisk()
+	if again.state != NoVoterSet {
+		t.Errorf("%s on an empty disk, epoch %d, incarnations %v", again.state, again.voterSet.Epoch, again.incarnations)
 	}
 	if r := again.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(r.err) != errcode.CoreOut {
 		t.Errorf("a claim there: %v", r.err)
@@ -199,10 +199,10 @@
 // A founding that is not on disk yet is not begun again by a tick, nor is the disk opened a second time.
 func TestFoundingThatTakesLong(t *testing.T) {
 	opened := 0
-	d := newDesk(t, Options{Bootstrap: true, Found: voters})
-	begin := d.p.begin
-	d.p.begin = func(o storage.Options) (disk, storage.Start, error) { opened++; return begin(o) }
-	d.open()
+	d := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
+	begin := d.srv.openStorage
+	d.srv.openStorage = func(o storage.Options) (disk, storage.Condition, error) { opened++; return begin(o) }
+	d.openDisk()
 	d.tick()
 	d.tick()
 	if d.settle(); opened != 1 || d.state != Serving {
@@ -212,37 +212,37 @@
 
 // A repair that is on its way to disk is not overtaken by the next: its incarnation would be stale for good.
 func TestRepairThatTakesLong(t *testing.T) {
-	d := newDesk(t, Options{})
-	d.open()
-	d.roll = messages.Roll{Epoch: 1, Voters: voters}
-	d.place()
-	d.set(Repairing)
-	told := func(by int, inc uint64, claims ...messages.ClaimCall) mustered {
-		return mustered{m: messages.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{inc, 1, 1}}}, claims: claims}
-	}
-	d.mustering = true // as since it began
-	d.restore(2, []mustered{told(1, 2), told(2, 2)}, d.left(t))
-	if !d.mustering {
+	d := newTestVoter(t, Options{})
+	d.openDisk()
+	d.voterSet = messages.Roll{Epoch: 1, Voters: voters}
+	d.locate()
+	d.setState(Repairing)
+	told := func(by int, inc uint64, claims ...messages.ClaimCall) recoveredState {
+		return recoveredState{last: messages.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{inc, 1, 1}}}, claims: claims}
+	}
+	d.recovering = true // as since it began
+	d.restore(2, []recoveredState{told(1, 2), told(2, 2)}, d.staleRows(t))
+	if !d.recovering {
 		t.Fatal("the next tick would begin another repair")
 	}
 	d.settle()
-	if d.state != Serving || d.incs[0] != 2 || d.mustering {
-		t.Errorf("%s, incarnations %v, mustering %v", d.state, d.incs, d.mustering)
+	if d.state != Serving || d.incarnations[0] != 2 || d.recovering {
+		t.Errorf("%s, incarnations %v, mustering %v", d.state, d.incarnations, d.recovering)
 	}
 }
 
 // A repair passes through the disk's queue however much it is, and leaves nothing on disk of one before that died.
 func TestRepairOfMuch(t *testing.T) {
-	d := newDesk(t, Options{})
-	d.paper.rows[tableClaims] = map[string][]byte{"stale": putClaim("stale", id(1)).Value}
+	d := newTestVoter(t, Options{})
+	d.fake.rows[tableClaims] = map[string][]byte{"stale": putClaim("stale", id(1)).Value}
 	left := configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: "stale"}, Version: 3, Spec: []byte("{}")}
-	d.paper.rows[tableItems] = map[string][]byte{string(itemKey(left.Key)): putItem(left).Value}
-	d.open()
-	d.roll = messages.Roll{Epoch: 1, Voters: voters}
-	d.place()
-	d.set(Repairing)
+	d.fake.rows[tableItems] = map[string][]byte{string(itemKey(left.Key)): putItem(left).Value}
+	d.openDisk()
+	d.voterSet = messages.Roll{Epoch: 1, Voters: voters}
+	d.locate()
+	d.setState(Repairing)
 	one := configuration.Ballot{N: 1}
-	m := mustered{m: messages.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: one, Chosen: one, Base: one, Upto: one}}
+	m := recoveredState{last: messages.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: one, Chosen: one, Base: one, Upto: one}}
 	const keys, items = 60000, 1500
 	for i := range keys {
 		m.claims = append(m.claims, messages.ClaimCall{Key: fmt.Sprintf("key-of-some-length-%040d", i), ID: id(uint64(i + 1))})
@@ -250,23 +250,23 @@
 	for i := range items {
 		m.base = m.base.With(configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint(i)}, Version: 1, Ballot: one, Spec: make([]byte, 1000)})
 	}
-	d.restore(2, []mustered{m}, d.left(t))
+	d.restore(2, []recoveredState{m}, d.staleRows(t))
 	d.settle()
-	if d.state != Serving || len(d.paper.rows[tableClaims]) != keys || len(d.paper.rows[tableItems]) != items {
-		t.Errorf("%s, %d claims and %d items on disk", d.state, len(d.paper.rows[tableClaims]), len(d.paper.rows[tableItems]))
+	if d.state != Serving || len(d.fake.rows[tableClaims]) != keys || len(d.fake.rows[tableItems]) != items {
+		t.Errorf("%s, %d claims and %d items on disk", d.state, len(d.fake.rows[tableClaims]), len(d.fake.rows[tableItems]))
 	}
 }
 
 // A claim that comes again while its first write is on the way stays held when only the first fails.
 func TestClaimAgainAfterFailedWrite(t *testing.T) {
-	d := founded(t)
-	claim := func(n uint64) *answered {
+	d := newServingVoter(t)
+	claim := func(n uint64) *callResult {
 		return d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
 	}
 	first, again := claim(1), claim(1)
-	d.paper.sync(storage.ErrDisk)
-	d.paper.sync(nil)
-	d.catchUp()
+	d.fake.sync(storage.ErrDisk)
+	d.fake.sync(nil)
+	d.runQueue()
 	if errcode.Of(first.err) != errcode.DiskOut || !again.grant(t).Given {
 		t.Fatalf("the first: %v, again: %v", first.err, again.err)
 	}
@@ -279,27 +279,27 @@
 
 // A claim whose write failed after another was denied for it is free once its claimant has given it back, in order on disk.
 func TestClaimAfterFailedWrite(t *testing.T) {
-	d := founded(t)
-	claim := func(n uint64) *answered {
+	d := newServingVoter(t)
+	claim := func(n uint64) *callResult {
 		return d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
 	}
 	first, denied := claim(1), claim(2)
 	if denied.grant(t).Given {
 		t.Fatal("granted twice")
 	}
-	d.paper.sync(storage.ErrFull)
-	d.catchUp()
+	d.fake.sync(storage.ErrFull)
+	d.runQueue()
 	if claim(4).grant(t).Given {
 		t.Error("granted although the first may come again")
 	}
 	d.call(messages.Release, messages.ReleaseCall{Key: "k", ID: id(2)}) // holds nothing
 	d.call(messages.Release, messages.ReleaseCall{Key: "k", ID: id(1)})
 	third := claim(3)
-	if third.n != 0 {
+	if third.count != 0 {
 		t.Error("granted before it is on disk")
 	}
 	d.settle()
-	if got, _ := readClaim(d.paper.rows[tableClaims]["k"]); got != id(3) {
+	if got, _ := readClaim(d.fake.rows[tableClaims]["k"]); got != id(3) {
 		t.Errorf("%v on disk", got)
 	}
 	if errcode.Of(first.err) != errcode.DiskOut || !third.grant(t).Given {
@@ -312,18 +312,18 @@
 	b1, b2 := configuration.Ballot{N: 1}, configuration.Ballot{N: 2}
 	item := configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: "r"}, Version: 1, Ballot: b1, Spec: []byte("{}")}
 	for _, fails := range []bool{false, true} {
-		d := founded(t)
+		d := newServingVoter(t)
 		acc := d.call(messages.Accept, messages.AcceptCall{B: b1, Changes: []configuration.Item{item}, Epoch: 1})
 		learn := d.call(messages.Learn, messages.LearnCall{B: b1})
 		prep := d.call(messages.Prepare, messages.PrepareCall{B: b2, Epoch: 1})
 		must := d.call(messages.Muster, messages.MusterCall{Addr: "b:1", Inc: 2})
-		if acc.n+learn.n+prep.n+must.n != 0 {
+		if acc.count+learn.count+prep.count+must.count != 0 {
 			t.Fatal("answered before the disk")
 		}
 		want := b1
 		if fails {
 			want = configuration.Ballot{}
-			d.paper.sync(storage.ErrDisk)
+			d.fake.sync(storage.ErrDisk)
 		}
 		d.settle()
 		var p consensus.Promise
@@ -331,10 +331,10 @@
 		if err := errors.Join(prep.err, learn.err, must.err, rpc.Decode(prep.body, &p), rpc.Decode(must.body, &m)); err != nil {
 			t.Fatal(err)
 		}
-		if (acc.err != nil) != fails || !p.Given || p.Accepted != want || m.Accepted != want || m.Promised != b2 || m.Vouch.Incs[1] != 2 || d.acc.Chosen != want {
+		if (acc.err != nil) != fails || !p.Given || p.Accepted != want || m.Accepted != want || m.Promised != b2 || m.Vouch.Incs[1] != 2 || d.acceptor.Chosen != want {
 			t.Errorf("fails %v: %v, promise %+v, muster %+v", fails, acc.err, p, m)
 		}
-		if d.accepting || len(d.queued) > 0 {
+		if d.registerBusy || len(d.queuedCalls) > 0 {
 			t.Error("something waits on")
 		}
 	}
@@ -343,21 +343,21 @@
 // Of two claims that the others told of one key, this member may have granted either before its loss: it grants neither, nor
 // after a restart, and tells others so.
 func TestRepairBetweenTwoClaims(t *testing.T) {
-	d := newDesk(t, Options{})
-	d.open()
-	d.roll = messages.Roll{Epoch: 1, Voters: voters}
-	d.place()
-	d.set(Repairing)
-	told := func(by int, n uint64) mustered {
-		return mustered{m: messages.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{2, 1, 1}}}, claims: []messages.ClaimCall{{Key: "k", ID: id(n)}}}
-	}
-	d.restore(2, []mustered{told(1, 1), told(2, 2)}, d.left(t))
-	d.save([]storage.Put{d.putRoll()}, func(*books, error) {})
+	d := newTestVoter(t, Options{})
+	d.openDisk()
+	d.voterSet = messages.Roll{Epoch: 1, Voters: voters}
+	d.locate()
+	d.setState(Repairing)
+	told := func(by int, n uint64) recoveredState {
+		return recoveredState{last: messages.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{2, 1, 1}}}, claims: []messages.ClaimCall{{Key: "k", ID: id(n)}}}
+	}
+	d.restore(2, []recoveredState{told(1, 1), told(2, 2)}, d.staleRows(t))
+	d.writeInParts([]storage.Put{d.putVoterSet()}, func(*voterState, error) {})
 	d.settle()
-	again := newDesk(t, Options{})
-	again.paper, again.as = d.paper, storage.Whole
-	again.open()
-	for _, x := range []*desk{d, again} {
+	again := newTestVoter(t, Options{})
+	again.fake, again.condition = d.fake, storage.Intact
+	again.openDisk()
+	for _, x := range []*testVoter{d, again} {
 		x.call(messages.Release, messages.ReleaseCall{Key: "k"})
 		for n := uint64(1); n <= 3; n++ {
 			r := x.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
@@ -366,7 +366,7 @@
 				t.Errorf("%d: %+v", n, g)
 			}
 		}
-		if m := x.tell(messages.MusterCall{}); len(m.Claims) != 1 || !m.Claims[0].ID.IsZero() {
+		if m := x.recoveryReply(messages.MusterCall{}); len(m.Claims) != 1 || !m.Claims[0].ID.IsZero() {
 			t.Errorf("tells %+v", m.Claims)
 		}
 	}
@@ -375,7 +375,7 @@
 // What is known to be chosen is taken though more was promised, and the promise stays: a member that missed a change would
 // else be told of it again and again behind each reading.
 func TestChosenBehindAPromise(t *testing.T) {
-	d := founded(t)
+	d := newServingVoter(t)
 	item := func(v configuration.Version, b uint64) configuration.Item {
 		return configuration.Item{Key: configuration.Key{Kind: configuration.Limits}, Version: v, Ballot: configuration.Ballot{N: b}, Spec: []byte("{}")}
 	}
@@ -388,8 +388,8 @@
 		}
 		r := d.call(kind, v)
 		d.settle()
-		if r.n != 1 || r.err != nil || rpc.Decode(r.body, &a) != nil {
-			t.Fatalf("%d answers, %v", r.n, r.err)
+		if r.count != 1 || r.err != nil || rpc.Decode(r.body, &a) != nil {
+			t.Fatalf("%d answers, %v", r.count, r.err)
 		}
 		return a
 	}
@@ -398,11 +398,11 @@
 	if accept(7, false).Taken {
 		t.Fatal("a value below the promise was taken")
 	}
-	if !accept(7, true).Taken || d.acc.Chosen.N != 7 || d.acc.Promised.N != 9 {
-		t.Errorf("chosen %v, promised %v", d.acc.Chosen, d.acc.Promised)
+	if !accept(7, true).Taken || d.acceptor.Chosen.N != 7 || d.acceptor.Promised.N != 9 {
+		t.Errorf("chosen %v, promised %v", d.acceptor.Chosen, d.acceptor.Promised)
 	}
-	if accept(6, true).Taken || accept(8, false).Taken || d.acc.Accepted.N != 7 {
-		t.Errorf("accepted %v behind what was chosen and promised", d.acc.Accepted)
+	if accept(6, true).Taken || accept(8, false).Taken || d.acceptor.Accepted.N != 7 {
+		t.Errorf("accepted %v behind what was chosen and promised", d.acceptor.Accepted)
 	}
 	if !accept(9, false).Taken {
 		t.Error("the value that was promised for was not taken")
@@ -412,12 +412,12 @@
 // A promise whose write failed, though that of its value did not, holds after a restart: a lower ballot would overwrite what may
 // be chosen.
 func TestPromiseThatOnlyItsValueTells(t *testing.T) {
-	d := founded(t)
+	d := newServingVoter(t)
 	d.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 2}, Epoch: 1})
-	d.paper.sync(storage.ErrFull)
+	d.fake.sync(storage.ErrFull)
 	d.call(messages.Accept, messages.AcceptCall{B: configuration.Ballot{N: 2}, Epoch: 1})
 	d.settle()
-	d.open() // as after a restart
+	d.openDisk() // as after a restart
 	r := d.call(messages.Accept, messages.AcceptCall{B: configuration.Ballot{N: 1}, Epoch: 1})
 	d.settle()
 	var a messages.Accepted
@@ -428,15 +428,15 @@
 
 // While a disk is being opened, which may hang, calls are answered, and nobody opens it again.
 func TestDiskThatOpensSlowly(t *testing.T) {
-	d := newDesk(t, Options{Bootstrap: true, Found: voters})
-	var work []func() func(*books)
-	d.p.aside = func(f func() func(*books)) { work = append(work, f) }
-	d.open()
+	d := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
+	var work []func() func(*voterState)
+	d.srv.runAsync = func(f func() func(*voterState)) { work = append(work, f) }
+	d.openDisk()
 	d.tick()
 	r := d.call(messages.Watch, messages.WatchCall{})
 	var w messages.Watched
-	if r.n != 1 || r.err != nil || rpc.Decode(r.body, &w) != nil || w.State != string(NoDisk) {
-		t.Errorf("%d answers, %v, %+v", r.n, r.err, w)
+	if r.count != 1 || r.err != nil || rpc.Decode(r.body, &w) != nil || w.State != string(NoDisk) {
+		t.Errorf("%d answers, %v, %+v", r.count, r.err, w)
 	}
 	if c := d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(c.err) != errcode.CoreOut {
 		t.Errorf("a claim meanwhile: %v", c.err)
@@ -444,7 +444,7 @@
 	if len(work) != 1 {
 		t.Fatalf("opened %d times", len(work))
 	}
-	work[0]()(d.books)
+	work[0]()(d.voterState)
 	d.settle()
 	if d.state != Serving {
 		t.Errorf("%s in the end", d.state)
@@ -456,25 +456,25 @@
 func TestEachSyncFailsOnce(t *testing.T) {
 	ballots := []configuration.Ballot{{N: 1}, {N: 2}}
 	for turn := 1; ; turn++ {
-		d := newDesk(t, Options{Bootstrap: true, Found: voters})
+		d := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
 		syncs, failed := 0, 0
 		settle := func() {
-			for len(d.paper.waits)+len(d.later) > 0 {
-				d.catchUp()
-				if len(d.paper.waits) > 0 {
+			for len(d.fake.pending)+len(d.queue) > 0 {
+				d.runQueue()
+				if len(d.fake.pending) > 0 {
 					var err error
 					if syncs++; syncs == turn {
 						err = storage.ErrFull
 					}
-					d.paper.sync(err)
+					d.fake.sync(err)
 				}
 			}
 		}
 		call := func(kind uint8, v, answer any) bool {
 			r := d.call(kind, v)
 			settle()
-			if r.n != 1 {
-				t.Fatalf("sync %d: %d answers", turn, r.n)
+			if r.count != 1 {
+				t.Fatalf("sync %d: %d answers", turn, r.count)
 			}
 			if r.err == nil {
 				return answer == nil || rpc.Decode(r.body, answer) == nil
@@ -484,11 +484,11 @@
 			}
 			return false
 		}
-		d.open()
+		d.openDisk()
 		settle()
 		if turn == 1 { // the founding: it is begun again, as there may be nobody who could tell who counts
-			if d.state != NoDisk || len(d.paper.rows) > 0 {
-				t.Errorf("%s, %d tables on disk", d.state, len(d.paper.rows))
+			if d.state != NoDisk || len(d.fake.rows) > 0 {
+				t.Errorf("%s, %d tables on disk", d.state, len(d.fake.rows))
 			}
 			d.tick()
 			settle()
@@ -527,12 +527,12 @@
 		}
 		change(ballots[1])
 		claim("b", 4)
-		again := newDesk(t, Options{})
-		again.paper, again.as = d.paper, storage.Whole
-		again.open()
-		if failed > 1 || again.state != Serving || again.acc.Promised.Less(promised) || again.acc.Accepted.Less(accepted) || again.incs[1] < inc {
+		again := newTestVoter(t, Options{})
+		again.fake, again.condition = d.fake, storage.Intact
+		again.openDisk()
+		if failed > 1 || again.state != Serving || again.acceptor.Promised.Less(promised) || again.acceptor.Accepted.Less(accepted) || again.incarnations[1] < inc {
 			t.Errorf("sync %d: %d calls failed; %s, promised %v, not %v, accepted %v, not %v, incarnations %v",
-				turn, failed, again.state, again.acc.Promised, promised, again.acc.Accepted, accepted, again.incs)
+				turn, failed, again.state, again.acceptor.Promised, promised, again.acceptor.Accepted, accepted, again.incarnations)
 		}
 		for key, holder := range granted {
 			r := again.call(messages.Claim, messages.ClaimCall{Key: key, ID: id(9), Epoch: 1})
@@ -552,20 +552,20 @@
 
 // While a commit hangs, calls are refused at once, and served again behind it.
 func TestDiskThatHangs(t *testing.T) {
-	d := founded(t)
+	d := newServingVoter(t)
 	for _, stall := range []time.Duration{stalledAfter + 1, 0} {
-		d.paper.stall = stall
+		d.fake.stall = stall
 		for kind, v := range map[uint8]any{
 			messages.Claim:   messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1},
 			messages.Prepare: messages.PrepareCall{B: configuration.Ballot{N: 1}, Epoch: 1},
 			messages.Accept:  messages.AcceptCall{B: configuration.Ballot{N: 1}, Epoch: 1},
 		} {
 			r := d.call(kind, v)
-			if stall > 0 && (r.n != 1 || errcode.Of(r.err) != errcode.DiskOut || len(d.paper.waits) > 0) {
-				t.Errorf("kind %d: %d answers, %v", kind, r.n, r.err)
+			if stall > 0 && (r.count != 1 || errcode.Of(r.err) != errcode.DiskOut || len(d.fake.pending) > 0) {
+				t.Errorf("kind %d: %d answers, %v", kind, r.count, r.err)
 			}
-			if d.settle(); stall == 0 && (r.n != 1 || r.err != nil) {
-				t.Errorf("kind %d behind it: %d answers, %v", kind, r.n, r.err)
+			if d.settle(); stall == 0 && (r.count != 1 || r.err != nil) {
+				t.Errorf("kind %d behind it: %d answers, %v", kind, r.count, r.err)
 			}
 		}
 	}
@@ -575,96 +575,96 @@
 // for it, and founds nothing though it began with the very first start. One that is well again is used on.
 func TestDiskThatGoesBad(t *testing.T) {
 	for _, damaged := range []bool{true, false} {
-		d := founded(t)
-		claim := func(n uint64, err error) (a *answered) {
+		d := newServingVoter(t)
+		claim := func(n uint64, err error) (a *callResult) {
 			a = d.call(messages.Claim, messages.ClaimCall{Key: fmt.Sprint("k", n), ID: id(n), Epoch: 1})
-			if len(d.paper.waits) > 0 {
-				d.paper.sync(err)
+			if len(d.fake.pending) > 0 {
+				d.fake.sync(err)
 			}
 			return a
 		}
 		claim(1, nil)
 		for n := range uint64(4) {
 			claim(2+n, storage.ErrDisk)
-			d.begun = d.begun.Add(-ailsFor / 4)
+			d.startedAt = d.startedAt.Add(-reopenAfter / 4)
 			if n == 3 && damaged {
-				d.paper, d.as = newPaper(), storage.Damaged
+				d.fake, d.condition = newFakeDisk(), storage.Damaged
 			}
-			if d.tick(); n < 3 && (d.state != Serving || d.ledger.Len() != int(2+n)) {
-				t.Fatalf("%s with %d keys after %d failures", d.state, d.ledger.Len(), n+1)
+			if d.tick(); n < 3 && (d.state != Serving || d.claims.Len() != int(2+n)) {
+				t.Fatalf("%s with %d keys after %d failures", d.state, d.claims.Len(), n+1)
 			}
 		}
 		d.settle()
 		again := claim(1, nil)
 		switch {
-		case damaged && (d.state != NoRoll || errcode.Of(again.err) != errcode.CoreOut):
+		case damaged && (d.state != NoVoterSet || errcode.Of(again.err) != errcode.CoreOut):
 			t.Errorf("%s with a damaged disk, a claim: %v", d.state, again.err)
-		case !damaged && (d.state != Serving || d.ledger.Len() != 1 || !again.grant(t).Given):
-			t.Errorf("%s with %d keys", d.state, d.ledger.Len())
+		case !damaged && (d.state != Serving || d.claims.Len() != 1 || !again.grant(t).Given):
+			t.Errorf("%s with %d keys", d.state, d.claims.Len())
 		}
 	}
 	// Amid a taking over the file stays: the rest of the books is on its way there.
-	amid := founded(t)
-	amid.p.ailing.Store(1)
-	amid.begun, amid.taking = amid.begun.Add(-2*ailsFor), true
-	if amid.tick(); amid.disk != disk(amid.paper) || amid.state != Serving {
+	amid := newServingVoter(t)
+	amid.srv.failingSince.Store(1)
+	amid.startedAt, amid.takingOver = amid.startedAt.Add(-2*reopenAfter), true
+	if amid.tick(); amid.disk != disk(amid.fake) || amid.state != Serving {
 		t.Error("a disk was opened anew amid a taking over")
 	}
-	amid.taking, amid.paper = false, newPaper()
+	amid.takingOver, amid.fake = false, newFakeDisk()
 	amid.tick()
-	if amid.settle(); amid.disk != disk(amid.paper) {
+	if amid.settle(); amid.disk != disk(amid.fake) {
 		t.Error("a disk that fails was not opened anew behind a taking over")
 	}
 	// What was found damaged and could not be put aside is empty at the next look.
-	d := newDesk(t, Options{Bootstrap: true, Found: voters})
-	begin := d.p.begin
-	d.p.begin = func(storage.Options) (disk, storage.Start, error) { return nil, storage.Damaged, storage.ErrFull }
-	d.open()
-	d.p.begin = begin
-	if d.tick(); d.state != NoRoll {
+	d := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
+	begin := d.srv.openStorage
+	d.srv.openStorage = func(storage.Options) (disk, storage.Condition, error) { return nil, storage.Damaged, storage.ErrFull }
+	d.openDisk()
+	d.srv.openStorage = begin
+	if d.tick(); d.state != NoVoterSet {
 		t.Errorf("%s behind a damaged disk", d.state)
 	}
 }
 
 // A disk that is behind what was told from it is an older copy: whoever finds it says nothing as a member until it is made up for.
 func TestOlderCopyOfADisk(t *testing.T) {
-	d := founded(t)
-	claim := func(n uint64) *answered {
-		d.begun = d.begun.Add(-markEvery)
+	d := newServingVoter(t)
+	claim := func(n uint64) *callResult {
+		d.startedAt = d.startedAt.Add(-markInterval)
 		a := d.call(messages.Claim, messages.ClaimCall{Key: fmt.Sprint("k", n), ID: id(n), Epoch: 1})
 		d.settle()
 		return a
 	}
-	copied := newPaper()
+	copied := newFakeDisk()
 	for n := range uint64(3) {
 		if claim(n + 1); n == 0 {
-			for t, rows := range d.paper.rows {
+			for t, rows := range d.fake.rows {
 				copied.rows[t] = maps.Clone(rows)
 			}
 		}
 	}
-	told := messages.Mark{Epoch: 1, Inc: 1, N: d.watched(configuration.Ballot{}).Mark}
+	told := messages.Mark{Epoch: 1, Inc: 1, N: d.watchReply(configuration.Ballot{}).Mark}
 	if told.N != 3 {
 		t.Fatalf("mark %d after three writes that are some time apart", told.N)
 	}
 	for _, c := range []struct {
 		name string
-		disk *paper
+		disk *fakeDisk
 		told []messages.Mark
 		want State
 	}{
-		{"its own disk", d.paper, []messages.Mark{{}, told}, Serving},
+		{"its own disk", d.fake, []messages.Mark{{}, told}, Serving},
 		{"a copy, and nobody who knows better", copied, []messages.Mark{{}}, Serving},
 		{"a copy", copied, []messages.Mark{{}, told}, Repairing},
-		{"a disk of before a repair", d.paper, []messages.Mark{{Epoch: 1, Inc: 2}}, Repairing},
-		{"a disk of before a change of the roll", d.paper, []messages.Mark{{Epoch: 2, Inc: 1}}, Repairing},
+		{"a disk of before a repair", d.fake, []messages.Mark{{Epoch: 1, Inc: 2}}, Repairing},
+		{"a disk of before a change of the roll", d.fake, []messages.Mark{{Epoch: 2, Inc: 1}}, Repairing},
 	} {
-		n := newDesk(t, Options{Bootstrap: true, Found: voters})
-		n.paper, n.told = newPaper(), c.told
+		n := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
+		n.fake, n.marks = newFakeDisk(), c.told
 		for t, rows := range c.disk.rows {
-			n.paper.rows[t] = maps.Clone(rows)
+			n.fake.rows[t] = maps.Clone(rows)
 		}
-		n.open()
+		n.openDisk()
 		n.settle()
 		a := n.call(messages.Claim, messages.ClaimCall{Key: "k9", ID: id(9), Epoch: 1})
 		n.settle()
@@ -672,9 +672,9 @@
 			t.Errorf("%s: %s, a claim: %v", c.name, n.state, a.err)
 		}
 		if n.state == Repairing {
-			again := newDesk(t, Options{}) // nobody who knows is left, amid the repair
-			again.paper = n.paper
-			if again.open(); again.state != Repairing {
+			again := newTestVoter(t, Options{}) // nobody who knows is left, amid the repair
+			again.fake = n.fake
+			if again.openDisk(); again.state != Repairing {
 				t.Errorf("%s, begun again amid its repair: %s", c.name, again.state)
 			}
 		}
--- a/internal/store/relief_test.go
+++ b/internal/store/relief_test.go
@@ -16,12 +16,12 @@
 // A voter that accepted who comes next grants nothing from then on, answers once that is on disk, hands its books over only
 // then, and is as silent after a restart. The duty of changing the roll alone can still be had of it.
 func TestSealed(t *testing.T) {
-	d := newDesk(t, Options{Bootstrap: true, Found: voters})
-	d.as = storage.Empty
-	d.duties = lease.NewLedger(-lease.Span)
-	d.open()
+	d := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
+	d.condition = storage.Empty
+	d.leases = lease.NewGranter(-lease.Span)
+	d.openDisk()
 	d.settle()
-	claim := func(d *desk, key string) errcode.Kind {
+	claim := func(d *testVoter, key string) errcode.Kind {
 		r := d.call(messages.Claim, messages.ClaimCall{Key: key, ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1})
 		d.settle()
 		return errcode.Of(r.err)
@@ -31,7 +31,7 @@
 	}
 	next := messages.Roll{Epoch: 2, Voters: voters, Was: voters}
 	accept := d.call(messages.Succeed, messages.SucceedCall{Epoch: 1, B: configuration.Ballot{N: 1, By: 1}, Next: &next})
-	hand := func(d *desk) (h messages.Handed, k errcode.Kind) {
+	hand := func(d *testVoter) (h messages.Handed, k errcode.Kind) {
 		r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2})
 		if r.err == nil {
 			if err := rpc.Decode(r.body, &h); err != nil {
@@ -40,30 +40,30 @@
 		}
 		return h, errcode.Of(r.err)
 	}
-	if _, k := hand(d); accept.n != 0 || k != errcode.Gone {
-		t.Errorf("%d answers, handed over %v, before the seal is on disk", accept.n, k)
+	if _, k := hand(d); accept.count != 0 || k != errcode.Gone {
+		t.Errorf("%d answers, handed over %v, before the seal is on disk", accept.count, k)
 	}
 	if r := d.call(messages.Claim, messages.ClaimCall{Key: "amid", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
 		t.Errorf("a claim while the seal is on its way: %v", r.err)
 	}
 	d.settle()
 	var a reconfig.Answer
-	if accept.n != 1 || rpc.Decode(accept.body, &a) != nil || !a.Given {
-		t.Fatalf("%d answers, %+v", accept.n, a)
+	if accept.count != 1 || rpc.Decode(accept.body, &a) != nil || !a.Given {
+		t.Fatalf("%d answers, %+v", accept.count, a)
 	}
-	again := newDesk(t, Options{})
-	again.as, again.paper = storage.Whole, d.paper
-	again.duties = lease.NewLedger(-lease.Span)
-	again.open()
+	again := newTestVoter(t, Options{})
+	again.condition, again.fake = storage.Intact, d.fake
+	again.leases = lease.NewGranter(-lease.Span)
+	again.openDisk()
 	again.settle()
-	for name, d := range map[string]*desk{"sealed": d, "sealed and started again": again} {
+	for name, d := range map[string]*testVoter{"sealed": d, "sealed and started again": again} {
 		if k := claim(d, "after"); k != errcode.Gone {
 			t.Errorf("%s: a claim: %v", name, k)
 		}
 		if r := d.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 9}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
 			t.Errorf("%s: a promise: %v", name, r.err)
 		}
-		for of, want := range map[lease.Name]errcode.Kind{lease.Teach: errcode.Gone, lease.Roll: errcode.OK} {
+		for of, want := range map[lease.Name]errcode.Kind{lease.CatchUp: errcode.Gone, lease.VoterChange: errcode.OK} {
 			if r := d.call(messages.Lease, messages.LeaseCall{Duty: of, By: 7, Epoch: 1}); errcode.Of(r.err) != want {
 				t.Errorf("%s: the duty %s: %v", name, of, r.err)
 			}
@@ -82,14 +82,14 @@
 		next []messages.Voter
 		want State
 	}{
-		{"replaced", []messages.Voter{{Addr: "d:1"}, {Addr: "b:1"}, {Addr: "c:1"}}, Apart},
+		{"replaced", []messages.Voter{{Addr: "d:1"}, {Addr: "b:1"}, {Addr: "c:1"}}, NonVoter},
 		{"on another disk", []messages.Voter{{Addr: "a:1", Disk: 5}, {Addr: "b:1"}, {Addr: "d:1"}}, Repairing},
 	} {
-		d := newDesk(t, Options{Bootstrap: true, Found: voters})
-		d.as, d.duties = storage.Empty, lease.NewLedger(0)
-		d.open()
+		d := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
+		d.condition, d.leases = storage.Empty, lease.NewGranter(0)
+		d.openDisk()
 		d.settle()
-		d.mustering = true // no test here waits for a repair
+		d.recovering = true // no test here waits for a repair
 		d.call(messages.Relieve, messages.RelieveCall{Roll: messages.Roll{Epoch: 2, Voters: c.next, Was: voters}})
 		if r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2}); errcode.Of(r.err) != errcode.Gone {
 			t.Errorf("%s: handed over before it is on disk: %v", c.name, r.err)
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -21,73 +21,73 @@
 // the new incarnation on disk before it tells what it holds, so that answers given before and after are never counted
 // together (ballot.Sound). With three members that means both others.
 
-// mustered is what one other told.
-type mustered struct {
-	m      messages.Mustered // the last part
+// recoveredState is what one other told.
+type recoveredState struct {
+	last   messages.Mustered // the last part
 	claims []messages.ClaimCall
 	base   configuration.Set // the value of m.Base
 }
 
 const (
-	musterTime = 700 * time.Millisecond
-	claimsAt   = 2000 // claims a message
+	recoveryTimeout  = 700 * time.Millisecond
+	claimsPerMessage = 2000 // claims a message
 )
 
-// muster tells a member that lost its disk what is held here.
-func (b *books) muster(c rpc.Call, m messages.MusterCall) error {
-	b.p.Counts.Muster.Add(1)
-	if b.roll.Epoch == 0 {
+// serveRecovery tells a member that lost its disk what is held here.
+func (b *voterState) serveRecovery(c rpc.Call, m messages.MusterCall) error {
+	b.srv.Counts.Recoveries.Add(1)
+	if b.voterSet.Epoch == 0 {
 		return errcode.New(errcode.CoreOut, "%s", b.state)
 	}
-	at := b.roll.Place(m.Addr)
-	if m.Inc == 0 || at < 0 || b.me < 0 {
-		c.Reply(messages.Mustered{Vouch: b.vouch(), Roll: b.roll}, nil)
+	at := b.voterSet.Place(m.Addr)
+	if m.Inc == 0 || at < 0 || b.index < 0 {
+		c.Reply(messages.Mustered{Vouch: b.vouch(), Roll: b.voterSet}, nil)
 		return nil
 	}
 	if b.state != Serving {
 		return errcode.New(errcode.Repairing, "")
 	}
-	if b.accepting {
-		b.queued = append(b.queued, func(b *books) { b.again(c, b.muster(c, m)) })
+	if b.registerBusy {
+		b.queuedCalls = append(b.queuedCalls, func(b *voterState) { b.replyError(c, b.serveRecovery(c, m)) })
 		return nil
 	}
-	if b.incs[at] > m.Inc {
-		return errcode.New(errcode.Preempted, "incarnation %d, here %d", m.Inc, b.incs[at])
+	if b.incarnations[at] > m.Inc {
+		return errcode.New(errcode.Preempted, "incarnation %d, here %d", m.Inc, b.incarnations[at])
 	}
-	b.incs[at] = m.Inc
-	b.write([]storage.Put{b.putIncs()}, func(err error) {
+	b.incarnations[at] = m.Inc
+	b.write([]storage.Put{b.putIncarnations()}, func(err error) {
 		if err != nil {
 			reply(c, nil, err)
 			return
 		}
-		b.p.later(func(b *books) {
+		b.srv.enqueue(func(b *voterState) {
 			if b.state != Serving { // its own disk was given up meanwhile
 				c.Reply(nil, errcode.New(errcode.Repairing, ""))
 				return
 			}
-			c.Reply(b.tell(m), nil)
+			c.Reply(b.recoveryReply(m), nil)
 		})
 	})
 	return nil
 }
 
-// tell is all that is held, the claims in parts by the order of their keys.
-func (b *books) tell(m messages.MusterCall) messages.Mustered {
-	r := b.register(m.Have)
-	t := messages.Mustered{Vouch: b.vouch(), Roll: b.roll, Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: r.chosen,
-		Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta, Former: b.inherited()}
+// recoveryReply is all that is held, the claims in parts by the order of their keys.
+func (b *voterState) recoveryReply(m messages.MusterCall) messages.Mustered {
+	r := b.registerPart(m.Have)
+	t := messages.Mustered{Vouch: b.vouch(), Roll: b.voterSet, Promised: b.acceptor.Promised, Accepted: b.acceptor.Accepted, Chosen: r.chosen,
+		Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta, Former: b.valueInherited()}
 	if b.seal.Shut() || !b.seal.Promised.IsZero() {
 		s := b.seal
 		t.Seal = &s
 	}
 	if t.Upto == t.Base {
-		t.Claims, t.More = b.page(m.From)
+		t.Claims, t.More = b.claimsAfter(m.From)
 	}
 	return t
 }
 
-// register is a part of the register, as it is told to a member that takes it over.
-type register struct {
+// registerPart is a part of the register, as it is told to a member that takes it over.
+type registerPart struct {
 	chosen configuration.Ballot // of the base; zero: it was accepted alone
 	base   configuration.Ballot
 	upto   configuration.Ballot
@@ -95,28 +95,28 @@
 	delta  []configuration.Item // of the accepted value, after the base, with the last part
 }
 
-// register is the part with the items of ballots after have. A member that catches up holds no chosen value.
-func (b *books) register(have configuration.Ballot) (r register) {
-	from := b.acc.Stands
-	if r.chosen, r.base = b.acc.Chosen, b.acc.Chosen; b.acc.CatchesUp() {
-		r.chosen, r.base, from = configuration.Ballot{}, b.acc.Accepted, b.acc.Value
+// registerPart is the part with the items of ballots after have. A member that catches up holds no chosen value.
+func (b *voterState) registerPart(have configuration.Ballot) (r registerPart) {
+	from := b.acceptor.Stands
+	if r.chosen, r.base = b.acceptor.Chosen, b.acceptor.Chosen; b.acceptor.CatchesUp() {
+		r.chosen, r.base, from = configuration.Ballot{}, b.acceptor.Accepted, b.acceptor.Value
 	}
 	p := consensus.PageOf(from, r.base, have)
 	if r.items, r.upto = p.Items, p.Upto; r.upto == r.base {
-		r.delta = consensus.Since(b.acc.Value, r.base)
+		r.delta = consensus.Since(b.acceptor.Value, r.base)
 	}
 	return r
 }
 
-// pursues reports whether a part of a register goes on where the one before it has ended: of what was accepted alone, the parts
+// continues reports whether a part of a register goes on where the one before it has ended: of what was accepted alone, the parts
 // have to be of one value.
-func pursues(chosen, accepted, wasChosen, wasAccepted configuration.Ballot) bool {
+func continues(chosen, accepted, wasChosen, wasAccepted configuration.Ballot) bool {
 	return !wasChosen.IsZero() && !chosen.IsZero() || chosen == wasChosen && accepted == wasAccepted
 }
 
-// page is a part of the claims, of keys after from.
-func (b *books) page(from string) (claims []messages.ClaimCall, more bool) {
-	b.ledger.All(func(key string, id idempotency.ID) {
+// claimsAfter is a part of the claims, of keys after from.
+func (b *voterState) claimsAfter(from string) (claims []messages.ClaimCall, more bool) {
+	b.claims.All(func(key string, id idempotency.ID) {
 		if key > from {
 			claims = append(claims, messages.ClaimCall{Key: key, ID: id})
 		}
@@ -127,8 +127,8 @@
 		}
 		return 1
 	})
-	if len(claims) > claimsAt {
-		claims, more = claims[:claimsAt], true
+	if len(claims) > claimsPerMessage {
+		claims, more = claims[:claimsPerMessage], true
 	}
 	return claims, more
 }
@@ -136,12 +136,12 @@
 // repair asks others for the roll, or for all that this member has lost. One runs at a time, off the owner's goroutine, and is
 // over when what it found is on disk: one that began before would leave this member under an incarnation that others know as
 // over.
-func (b *books) repair() {
-	if b.mustering || b.disk == nil {
+func (b *voterState) repair() {
+	if b.recovering || b.disk == nil {
 		return
 	}
-	b.mustering = true
-	roll, me, state, d := b.roll, b.me, b.state, b.disk
+	b.recovering = true
+	roll, me, state, d := b.voterSet, b.index, b.state, b.disk
 	var addrs []string
 	if state == Repairing {
 		for i, v := range roll.Voters {
@@ -150,22 +150,22 @@
 			}
 		}
 	} else {
-		for _, s := range b.p.o.Seeds() {
-			if s != b.p.o.Addr {
+		for _, s := range b.srv.opts.Seeds() {
+			if s != b.srv.opts.Addr {
 				addrs = append(addrs, s)
 			}
 		}
 	}
 	go func() {
-		var f func(*books)
+		var f func(*voterState)
 		if state == Repairing {
-			f = b.p.recover(addrs, roll, me, d)
+			f = b.srv.collectRecovery(addrs, roll, me, d)
 		} else {
-			f = b.p.enrol(addrs)
+			f = b.srv.findVoterSet(addrs)
 		}
-		b.p.own.Send(func(b *books) {
+		b.srv.owner.Send(func(b *voterState) {
 			if f == nil {
-				b.mustering = false
+				b.recovering = false
 				return
 			}
 			f(b)
@@ -173,8 +173,8 @@
 	}()
 }
 
-// ask makes one call to each address, and gives the answers that came.
-func ask[T any](p *Purser, addrs []string, kind uint8, call any, wait time.Duration) (out []T, from []string) {
+// askAll makes one call to each address, and gives the answers that came.
+func askAll[T any](p *Server, addrs []string, kind uint8, call any, wait time.Duration) (out []T, from []string) {
 	type told struct {
 		v    T
 		addr string
@@ -183,7 +183,7 @@
 	ch := make(chan told, len(addrs))
 	for _, a := range addrs {
 		go func() {
-			c := rpc.NewClient(p.o.Net, a)
+			c := rpc.NewClient(p.opts.Net, a)
 			defer c.Close()
 			t := told{addr: a}
 			t.err = c.Call(kind, call, &t.v, wait)
@@ -198,9 +198,9 @@
 	return out, from
 }
 
-// enrol learns from others who counts.
-func (p *Purser) enrol(addrs []string) func(*books) {
-	told, _ := ask[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.o.Addr}, musterTime)
+// findVoterSet learns from others who counts.
+func (p *Server) findVoterSet(addrs []string) func(*voterState) {
+	told, _ := askAll[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.opts.Addr}, recoveryTimeout)
 	var roll messages.Roll
 	for _, t := range told {
 		if t.Roll.Epoch > roll.Epoch {
@@ -210,37 +210,37 @@
 	if roll.Epoch == 0 {
 		return nil
 	}
-	return func(b *books) {
-		b.mustering = false
-		if b.roll.Epoch >= roll.Epoch || b.disk == nil {
+	return func(b *voterState) {
+		b.recovering = false
+		if b.voterSet.Epoch >= roll.Epoch || b.disk == nil {
 			return
 		}
-		if b.taking { // it takes an office over, and hears of the roll by that
+		if b.takingOver { // it takes an office over, and hears of the roll by that
 			return
 		}
-		b.roll = roll
-		b.place()
-		b.write([]storage.Put{b.putRoll(), b.putIncs()}, func(error) {}) // asked for again where it is lost
-		if b.me >= 0 {
-			b.set(Repairing)
+		b.voterSet = roll
+		b.locate()
+		b.write([]storage.Put{b.putVoterSet(), b.putIncarnations()}, func(error) {}) // asked for again where it is lost
+		if b.index >= 0 {
+			b.setState(Repairing)
 			b.repair()
 		} else {
-			b.set(Apart)
+			b.setState(NonVoter)
 		}
-		b.wake()
+		b.notifyWatchers()
 	}
 }
 
-// recover makes up for a lost disk.
-func (p *Purser) recover(addrs []string, roll messages.Roll, me int, d disk) func(*books) {
+// collectRecovery makes up for a lost disk.
+func (p *Server) collectRecovery(addrs []string, roll messages.Roll, me int, d disk) func(*voterState) {
 	n := len(roll.Voters)
 	need := n - consensus.Majority(n) + 1 // with fewer others heard, a majority that held this member may have none among them
-	known, _ := ask[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.o.Addr}, musterTime)
+	known, _ := askAll[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.opts.Addr}, recoveryTimeout)
 	for _, k := range known {
 		if k.Roll.Epoch > roll.Epoch {
-			return func(b *books) {
-				b.mustering = false
-				b.hear(k.Roll, func(error) {})
+			return func(b *voterState) {
+				b.recovering = false
+				b.learnVoterSet(k.Roll, func(error) {})
 			}
 		}
 	}
@@ -254,26 +254,26 @@
 		}
 	}
 	inc++
-	var got []mustered
-	first, from := ask[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.o.Addr, Inc: inc}, musterTime)
+	var got []recoveredState
+	first, from := askAll[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.opts.Addr, Inc: inc}, recoveryTimeout)
 	for i, m := range first {
-		one := mustered{m: m, claims: m.Claims, base: configuration.SetOf(m.Items...)}
-		c := rpc.NewClient(p.o.Net, from[i])
+		one := recoveredState{last: m, claims: m.Claims, base: configuration.SetOf(m.Items...)}
+		c := rpc.NewClient(p.opts.Net, from[i])
 		for m.More || m.Upto != m.Base {
-			call := messages.MusterCall{Addr: p.o.Addr, Inc: inc, Have: m.Upto}
+			call := messages.MusterCall{Addr: p.opts.Addr, Inc: inc, Have: m.Upto}
 			if m.More {
 				call.From = m.Claims[len(m.Claims)-1].Key
 			}
 			m = messages.Mustered{}
-			if err := c.Call(messages.Muster, call, &m, musterTime); err != nil {
+			if err := c.Call(messages.Muster, call, &m, recoveryTimeout); err != nil {
 				c.Close()
 				return nil
 			}
-			if !pursues(m.Chosen, m.Accepted, one.m.Chosen, one.m.Accepted) {
+			if !continues(m.Chosen, m.Accepted, one.last.Chosen, one.last.Accepted) {
 				c.Close()
 				return nil
 			}
-			one.m, one.claims, one.base = m, append(one.claims, m.Claims...), one.base.With(m.Items...)
+			one.last, one.claims, one.base = m, append(one.claims, m.Claims...), one.base.With(m.Items...)
 		}
 		c.Close()
 		if m.Vouch.By >= 0 && m.Roll.Epoch == roll.Epoch {
@@ -283,88 +283,90 @@
 	if len(got) < need {
 		return nil
 	}
-	left, err := leftovers(d)
+	left, err := staleRows(d)
 	if err != nil {
-		p.o.Log("repair", err.Error())
+		p.opts.Log("repair", err.Error())
 		return nil
 	}
-	return func(b *books) { b.restore(inc, got, left) }
+	return func(b *voterState) { b.restore(inc, got, left) }
 }
 
 // restore takes what the others told, puts it on disk in place of what is left there, and counts again.
-func (b *books) restore(inc uint64, got []mustered, left []storage.Put) {
+func (b *voterState) restore(inc uint64, got []recoveredState, left []storage.Put) {
 	if b.state != Repairing || b.disk == nil {
-		b.mustering = false
+		b.recovering = false
 		return
 	}
-	b.clear()
-	b.seal, b.sealed, b.past, b.former = reconfig.Seal{}, false, nil, configuration.Ballot{}
-	incs := make([]uint64, len(b.roll.Voters))
-	incs[b.me] = inc
+	b.resetContent()
+	b.seal, b.sealDurable, b.formerEpoch, b.inheritedBallot = reconfig.Seal{}, false, nil, configuration.Ballot{}
+	incs := make([]uint64, len(b.voterSet.Voters))
+	incs[b.index] = inc
 	voted := false // somebody accepted the value in this epoch
 	var value configuration.Set
 	for _, g := range got {
-		for i, k := range g.m.Vouch.Incs {
-			if i < len(incs) && i != b.me {
+		for i, k := range g.last.Vouch.Incs {
+			if i < len(incs) && i != b.index {
 				incs[i] = max(incs[i], k)
 			}
 		}
-		if b.acc.Promised.Less(g.m.Promised) {
-			b.acc.Promised = g.m.Promised
+		if b.acceptor.Promised.Less(g.last.Promised) {
+			b.acceptor.Promised = g.last.Promised
 		}
-		if b.acc.Chosen.Less(g.m.Chosen) {
-			b.acc.Chosen, b.acc.Stands = g.m.Chosen, g.base
+		if b.acceptor.Chosen.Less(g.last.Chosen) {
+			b.acceptor.Chosen, b.acceptor.Stands = g.last.Chosen, g.base
 		}
-		if b.acc.Accepted.Less(g.m.Accepted) {
-			b.acc.Accepted, voted = g.m.Accepted, false
-			value = g.base.With(g.m.Delta...)
+		if b.acceptor.Accepted.Less(g.last.Accepted) {
+			b.acceptor.Accepted, voted = g.last.Accepted, false
+			value = g.base.With(g.last.Delta...)
 		}
-		voted = voted || g.m.Accepted == b.acc.Accepted && !g.m.Former
-		if g.m.Seal != nil {
-			b.seal.Learn(*g.m.Seal)
+		voted = voted || g.last.Accepted == b.acceptor.Accepted && !g.last.Former
+		if g.last.Seal != nil {
+			b.seal.Learn(*g.last.Seal)
 		}
 		for _, c := range g.claims {
-			b.ledger.Restore(b.now(), c.Key, c.ID)
+			b.claims.Restore(b.now(), c.Key, c.ID)
 		}
 	}
 	if !voted {
-		b.former = b.acc.Accepted
+		b.inheritedBallot = b.acceptor.Accepted
 	}
-	delta := consensus.Since(value, b.acc.Chosen)
-	b.acc.Value = b.acc.Stands.With(delta...)
+	delta := consensus.Since(value, b.acceptor.Chosen)
+	b.acceptor.Value = b.acceptor.Stands.With(delta...)
 	puts, bundles := b.putDelta(delta)
-	b.bundles = bundles
-	puts = append(puts, putBallots(b.acc)...)
-	for i := range b.acc.Stands.All() {
+	b.deltaRows = bundles
+	puts = append(puts, putBallots(b.acceptor)...)
+	for i := range b.acceptor.Stands.All() {
 		puts = append(puts, putItem(i))
 	}
-	b.ledger.All(func(key string, id idempotency.ID) { puts = append(puts, putClaim(key, id)) })
-	if b.roll.Epoch > 1 || b.seal.Shut() || !b.seal.Promised.IsZero() {
-		puts = append(puts, b.putChange()...)
+	b.claims.All(func(key string, id idempotency.ID) { puts = append(puts, putClaim(key, id)) })
+	if b.voterSet.Epoch > 1 || b.seal.Shut() || !b.seal.Promised.IsZero() {
+		puts = append(puts, b.putReconfig()...)
 	}
 	puts = append(left, puts...) // in one order: what shall be there comes after
-	saved := b.incs
-	b.incs = incs
-	puts = append(puts, b.putIncs()) // its incarnation comes last: before it, the repair is not done
-	b.incs = saved
-	b.save(puts, func(b *books, err error) {
-		b.mustering = false
+	saved := b.incarnations
+	b.incarnations = incs
+	puts = append(puts, b.putIncarnations()) // its incarnation comes last: before it, the repair is not done
+	b.incarnations = saved
+	b.writeInParts(puts, func(b *voterState, err error) {
+		b.recovering = false
 		if err != nil {
-			b.p.o.Log("repair", err.Error())
+			b.srv.opts.Log("repair", err.Error())
 			return
 		}
-		b.incs, b.sealed = incs, b.seal.Shut()
-		b.set(Serving)
-		b.p.o.Log("repair", fmt.Sprintf("made up for by %d others: incarnation %d, %d items, %d keys", len(got), inc, b.acc.Value.Len(), b.ledger.Len()))
-		b.wake()
+		b.incarnations, b.sealDurable = incs, b.seal.Shut()
+		b.setState(Serving)
+		b.srv.opts.Log("repair", fmt.Sprintf("made up for by %d others: incarnation %d, %d items, %d keys", len(got), inc, b.acceptor.Value.Len(), b.claims.Len()))
+		b.notifyWatchers()
 	})
 }
 
-// leftovers are the deletions of all items and claims on disk: of a repair that died. It waits for the disk, and is not for the
+// staleRows are the deletions of all items and claims on disk: of a repair that died. It waits for the disk, and is not for the
 // owner's goroutine.
-func leftovers(d disk) ([]storage.Put, error) { return load(d, tableItems, tableDelta, tableClaims) }
+func staleRows(d disk) ([]storage.Put, error) {
+	return deletions(d, tableItems, tableDelta, tableClaims)
+}
 
-func load(d disk, tables ...storage.Table) (out []storage.Put, err error) {
+func deletions(d disk, tables ...storage.Table) (out []storage.Put, err error) {
 	for _, t := range tables {
 		err = errors.Join(err, d.Load(t, func(k, _ []byte) error {
 			out = append(out, storage.Put{Table: t, Key: k})
@@ -380,19 +382,19 @@
 	partBytes = 256 << 10
 )
 
-// save writes puts in parts, each when the one before is on disk. done hears of the end in its turn.
-func (b *books) save(puts []storage.Put, done func(*books, error)) {
+// writeInParts writes puts in parts, each when the one before is on disk. done hears of the end in its turn.
+func (b *voterState) writeInParts(puts []storage.Put, done func(*voterState, error)) {
 	n := 0
 	for size := 0; n < len(puts) && n < partPuts && size < partBytes; n++ {
 		size += len(puts[n].Key) + len(puts[n].Value)
 	}
 	b.write(puts[:n], func(err error) {
-		b.p.later(func(b *books) {
+		b.srv.enqueue(func(b *voterState) {
 			if err != nil || n == len(puts) {
 				done(b, err)
 				return
 			}
-			b.save(puts[n:], done)
+			b.writeInParts(puts[n:], done)
 		})
 	})
 }
