--- a/internal/lease/duty_test.go
+++ b/internal/lease/lease_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Two agents ask three members over a network that loses, delays and repeats; members restart, agents freeze, and each has a
-// clock that runs up to 1 % fast or slow. Never do both hold the duty, and mostly somebody does. The same world whose
-// holder counts from the answer, or with members that grant right after a restart, must show both.
-func TestOneAtATime(t *testing.T) {
-	play := func(seed uint64, late, noQuiet bool) (both, some int) {
+// Two agents request a lease from three voters over a network that loses, delays and duplicates messages; voters restart,
+// agents freeze, and clocks run up to 1 % fast or slow. Both agents never hold the lease at once, and most of the time one does.
+// Two mutants must show both holding it: a holder that counts from the answer, and voters that grant right after a restart.
+func TestOneHolderAtATime(t *testing.T) {
+	play := func(seed uint64, countFromAnswer, grantAfterRestart bool) (twoHeld, oneHeld int) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		const step = 10 * time.Millisecond
 		type agent struct {
@@ -30,39 +30,39 @@
 		for range 3 {
 			members = append(members, NewGranter(-Span))
 		}
-		var sea []message
+		var inFlight []message
 		for tick := range 6000 {
 			now := time.Duration(tick) * step
 			for i, m := range members {
 				if rng.IntN(1500) == 0 {
 					*m = *NewGranter(time.Duration(float64(now) * rates[i]))
-					if noQuiet {
+					if grantAfterRestart {
 						m.startedAt -= Span
 					}
 				}
 			}
 			var due []message
-			rest := sea[:0]
-			for _, m := range sea {
+			waiting := inFlight[:0]
+			for _, m := range inFlight {
 				if m.at <= tick {
 					due = append(due, m)
 				} else {
-					rest = append(rest, m)
+					waiting = append(waiting, m)
 				}
 			}
-			sea = rest
+			inFlight = waiting
 			for _, m := range due {
 				if m.answer {
 					a := agents[m.agent]
 					before := a.lease.expiresAt
 					a.lease.RecordGrant(m.asked, m.member)
-					if late && a.lease.expiresAt > before {
+					if countFromAnswer && a.lease.expiresAt > before {
 						a.lease.expiresAt = time.Duration(float64(now)*a.rate) + Span
 					}
 					continue
 				}
 				if members[m.member].Grant(time.Duration(float64(now)*rates[m.member]), CatchUp, uint64(m.agent+1)) && rng.IntN(8) > 0 {
-					sea = append(sea, message{at: tick + 1 + rng.IntN(20), agent: m.agent, member: m.member, asked: m.asked, answer: true})
+					inFlight = append(inFlight, message{at: tick + 1 + rng.IntN(20), agent: m.agent, member: m.member, asked: m.asked, answer: true})
 				}
 			}
 			holds := 0
@@ -77,9 +77,9 @@
 				own := time.Duration(float64(now) * a.rate)
 				if a.lease.BeginRenewal(own) {
 					for m := range members {
-						for range 1 + rng.IntN(2) { // some are repeated
+						for range 1 + rng.IntN(2) { // some requests are duplicated
 							if rng.IntN(8) > 0 {
-								sea = append(sea, message{at: tick + 1 + rng.IntN(20), agent: i, member: m, asked: a.lease.RequestedAt()})
+								inFlight = append(inFlight, message{at: tick + 1 + rng.IntN(20), agent: i, member: m, asked: a.lease.RequestedAt()})
 							}
 						}
 					}
@@ -89,30 +89,30 @@
 				}
 			}
 			if holds > 1 {
-				both++
+				twoHeld++
 			}
-			some += min(holds, 1)
+			oneHeld += min(holds, 1)
 		}
-		return both, some
+		return twoHeld, oneHeld
 	}
-	some, mutants := 0, [2]int{}
+	oneHeld, mutants := 0, [2]int{}
 	for seed := range uint64(40) {
-		both, s := play(seed, false, false)
-		if both > 0 {
-			t.Fatalf("seed %d: two held the duty in %d steps", seed, both)
+		twoHeld, s := play(seed, false, false)
+		if twoHeld > 0 {
+			t.Fatalf("seed %d: two agents held the lease in %d steps", seed, twoHeld)
 		}
-		some += s
+		oneHeld += s
 		b, _ := play(seed, true, false)
 		mutants[0] += b
 		b, _ = play(seed, false, true)
 		mutants[1] += b
 	}
-	if part := float64(some) / (40 * 6000); part < 0.5 {
-		t.Errorf("somebody held it in %.2f of the time, want most", part)
+	if part := float64(oneHeld) / (40 * 6000); part < 0.5 {
+		t.Errorf("the lease was held for %.2f of the time, want at least half", part)
 	}
 	for i, n := range mutants {
 		if n == 0 {
-			t.Errorf("mutant %d was not noticed", i)
+			t.Errorf("mutant %d was not detected", i)
 		}
 	}
 }
--- a/internal/lease/explore_test.go
+++ b/internal/lease/modelcheck_test.go
@@ -9,17 +9,17 @@
 	"saltmast/internal/modelcheck"
 )
 
-// The whole space of two holders and three granters through a span and a half, in steps of an eighth of one. The first holder
-// asks at once, the other at any time; what they ask comes to granters at any later time, again and again, or never. Walked are:
-// both ask once, and answers too come at any later time; both ask once, and a granter loses its memory; the first asks again when
-// it is due or later. In the last two answers come at once or never, which for a lease counted from the ask is the worst. A holder
-// that stands still does nothing, and holds what it holds by its clock. Clocks run at rates that differ by a little less than the
-// margin bears, and tell different times.
+// The complete state space of two holders and three granters over one and a half spans, in steps of an eighth of a span. The
+// first holder sends its request at once, the other at any time; a request reaches a granter at any later time, repeatedly, or
+// never. Three spaces are explored: each holder asks once and answers arrive at any later time; each asks once and a granter
+// restarts; the first holder renews when due or later. In the last two, answers arrive at once or never, which is the worst case
+// for a lease counted from the request. A paused holder does nothing and keeps its lease by its own clock. Clock rates differ by
+// slightly less than the margin allows, and clocks show different times.
 
 const (
 	step    = Span / 8
 	steps   = 12
-	most    = 2 // asks of the first holder
+	maxAsks = 2 // requests of the first holder
 	holders = 2
 	members = 3
 )
@@ -32,8 +32,8 @@
 type holder struct {
 	asked, until time.Duration
 	grants       uint8
-	asks         [most]uint8 // step and one
-	told         [most]uint8 // who granted that
+	asks         [maxAsks]uint8 // step of the request plus one; 0: none
+	answers      [maxAsks]uint8 // bit set of the granters whose answer to it is under way
 }
 
 type world struct {
@@ -44,20 +44,24 @@
 }
 
 type rules struct {
-	restarts            uint8
-	fast, slow          float64 // rates of granters and holders
-	late, theirs, eager bool    // mutants
-	noMargin            bool
-	delay               bool // answers come late
-	once                bool // each holder asks once
-	long                bool // walked with -duty.all
+	restarts   uint8
+	fast, slow float64 // clock rates of granters and holders
+	delay      bool    // answers are delayed
+	once       bool    // each holder asks once
+	long       bool    // only explored with -duty.all
+
+	// Mutants.
+	countFromAnswer   bool
+	useGranterClock   bool
+	grantAfterRestart bool
+	noMargin          bool
 }
 
-func (k rules) theirNow(at uint8) time.Duration {
+func (k rules) granterNow(at uint8) time.Duration {
 	return time.Duration(float64(time.Duration(at)*step)*k.fast) + 10*time.Second
 }
 
-func (k rules) ownNow(at uint8) time.Duration {
+func (k rules) holderNow(at uint8) time.Duration {
 	return time.Duration(float64(time.Duration(at)*step)*k.slow) + 9*time.Second
 }
 
@@ -82,13 +86,13 @@
 }
 
 func (k rules) next(s world, to func(world, string, ...any)) {
-	emit := func(s world, event string, args ...any) { to(s.least(), event, args...) }
-	theirs, own := k.theirNow(s.at), k.ownNow(s.at)
+	emit := func(s world, event string, args ...any) { to(s.canonical(), event, args...) }
+	granterNow, holderNow := k.granterNow(s.at), k.holderNow(s.at)
 	if s.at < steps && s.h[0].asks[0] > 0 {
 		n := s
 		n.at++
-		for i := range n.g { // what is over is over
-			if g := &n.g[i]; k.theirNow(n.at) >= g.until {
+		for i := range n.g { // expired grants are all alike
+			if g := &n.g[i]; k.granterNow(n.at) >= g.until {
 				g.by, g.until = 0, 0
 			}
 		}
@@ -99,8 +103,8 @@
 		if s.restarts < k.restarts {
 			n := s
 			n.restarts++
-			l := NewGranter(theirs)
-			if k.eager {
+			l := NewGranter(granterNow)
+			if k.grantAfterRestart {
 				l.startedAt -= Span
 			}
 			n.g[i] = granter{began: l.startedAt}
@@ -108,20 +112,20 @@
 		}
 		for j := range holders {
 			for a, asked := range s.h[j].asks {
-				if asked == 0 || s.h[j].told[a]&(1<<i) != 0 && g.by == uint8(j+1) && g.until == theirs+Span {
+				if asked == 0 || s.h[j].answers[a]&(1<<i) != 0 && g.by == uint8(j+1) && g.until == granterNow+Span {
 					continue
 				}
 				l := &Granter{startedAt: g.began, grants: map[Name]grant{}}
 				if g.by > 0 {
 					l.grants[CatchUp] = grant{uint64(g.by), g.until}
 				}
-				if l.Grant(theirs, CatchUp, uint64(j+1)) {
+				if l.Grant(granterNow, CatchUp, uint64(j+1)) {
 					n := s
 					n.g[i].by, n.g[i].until = uint8(j+1), l.grants[CatchUp].expiresAt
 					if k.delay {
-						n.h[j].told[a] |= 1 << i
-					} else if n := n; k.hear(&n, j, a, i) {
-						emit(n, "granter %d grants to %d, asked at %d, which hears it", i, j, asked-1)
+						n.h[j].answers[a] |= 1 << i
+					} else if n := n; k.receive(&n, j, a, i) {
+						emit(n, "granter %d grants to %d, asked at %d, which receives the answer", i, j, asked-1)
 					}
 					emit(n, "granter %d grants to %d, asked at %d", i, j, asked-1)
 				}
@@ -134,37 +138,37 @@
 		if s.at == 0 && j == 1 && s.h[0].asks[0] == 0 {
 			continue
 		}
-		if free := bits.TrailingZeros8(^(uint8(min(h.asks[0], 1)) | uint8(min(h.asks[1], 1))<<1)); (free == 0 || free < most-j && !k.once && !k.delay) && l.BeginRenewal(own) {
+		if free := bits.TrailingZeros8(^(uint8(min(h.asks[0], 1)) | uint8(min(h.asks[1], 1))<<1)); (free == 0 || free < maxAsks-j && !k.once && !k.delay) && l.BeginRenewal(holderNow) {
 			n := s
 			n.h[j].take(&l)
 			n.h[j].asks[free] = s.at + 1
 			emit(n, "holder %d asks", j)
 		}
-		for a, told := range h.told {
+		for a, answers := range h.answers {
 			for i := range members {
-				if told&(1<<i) == 0 || h.asks[a] == 0 {
+				if answers&(1<<i) == 0 || h.asks[a] == 0 {
 					continue
 				}
 				n := s
-				if k.hear(&n, j, a, i) {
-					emit(n, "holder %d hears granter %d", j, i)
+				if k.receive(&n, j, a, i) {
+					emit(n, "holder %d receives the answer of granter %d", j, i)
 				}
 			}
 		}
 	}
 }
 
-// hear has a holder hear the grant of one of its asks, and reports whether that changes anything.
-func (k rules) hear(s *world, j, a, i int) bool {
+// receive delivers to a holder the grant of one of its requests, and reports whether that changes anything.
+func (k rules) receive(s *world, j, a, i int) bool {
 	h := s.h[j]
 	l := h.lease()
-	l.RecordGrant(k.ownNow(h.asks[a]-1), i)
+	l.RecordGrant(k.holderNow(h.asks[a]-1), i)
 	if l.expiresAt > h.until {
 		switch {
-		case k.late:
-			l.expiresAt = k.ownNow(s.at) + Span - Margin
-		case k.theirs:
-			l.expiresAt = k.theirNow(h.asks[a]-1) + Span - Margin
+		case k.countFromAnswer:
+			l.expiresAt = k.holderNow(s.at) + Span - Margin
+		case k.useGranterClock:
+			l.expiresAt = k.granterNow(h.asks[a]-1) + Span - Margin
 		case k.noMargin:
 			l.expiresAt += Margin
 		}
@@ -173,16 +177,16 @@
 	return s.h[j] != h
 }
 
-// least is s with its granters, which are alike, in one order.
-func (s world) least() world {
+// canonical returns s with its granters, which are interchangeable, in a fixed order.
+func (s world) canonical() world {
 	for range members {
 		for i := range members - 1 {
 			if s.weight(i) > s.weight(i+1) {
 				s.g[i], s.g[i+1] = s.g[i+1], s.g[i]
 				for j := range s.h {
 					s.h[j].grants = swapped(s.h[j].grants, i)
-					for a := range s.h[j].told {
-						s.h[j].told[a] = swapped(s.h[j].told[a], i)
+					for a := range s.h[j].answers {
+						s.h[j].answers[a] = swapped(s.h[j].answers[a], i)
 					}
 				}
 			}
@@ -196,8 +200,8 @@
 	w = uint64(g.until/time.Millisecond)<<24 + uint64((g.began+Span)/time.Millisecond)<<9 + uint64(g.by)
 	for j := range s.h {
 		w = w<<1 + uint64(s.h[j].grants>>i&1)
-		for a := range s.h[j].told {
-			w = w<<1 + uint64(s.h[j].told[a]>>i&1)
+		for a := range s.h[j].answers {
+			w = w<<1 + uint64(s.h[j].answers[a]>>i&1)
 		}
 	}
 	return w
@@ -208,15 +212,15 @@
 	return m&^(3<<i) | b<<i | a<<(i+1)
 }
 
-func (k rules) broken(s world) string {
+func (k rules) violation(s world) string {
 	n := 0
 	for j := range s.h {
-		if l := s.h[j].lease(); l.Held(k.ownNow(s.at)) {
+		if l := s.h[j].lease(); l.Held(k.holderNow(s.at)) {
 			n++
 		}
 	}
 	if n > 1 {
-		return "two hold the duty"
+		return "two hold the lease"
 	}
 	return ""
 }
@@ -230,11 +234,11 @@
 		ok   bool
 	}{
 		{"a restart", rules{long: true, restarts: 1, once: true, fast: 1.06, slow: 0.94}, true},
-		{"asked again", rules{long: true, fast: 1.06, slow: 0.94}, true},
-		{"answers that come late", rules{delay: true, fast: 1.06, slow: 0.94}, true},
-		{"counted from the answer", rules{delay: true, fast: 1, slow: 1, late: true}, false},
-		{"by the granter's clock", rules{fast: 1, slow: 1, theirs: true}, false},
-		{"a granter that grants right after a restart", rules{restarts: 1, fast: 1, slow: 1, eager: true}, false},
+		{"a renewal", rules{long: true, fast: 1.06, slow: 0.94}, true},
+		{"delayed answers", rules{delay: true, fast: 1.06, slow: 0.94}, true},
+		{"counted from the answer", rules{delay: true, fast: 1, slow: 1, countFromAnswer: true}, false},
+		{"counted by the granter's clock", rules{fast: 1, slow: 1, useGranterClock: true}, false},
+		{"a granter that grants right after a restart", rules{restarts: 1, fast: 1, slow: 1, grantAfterRestart: true}, false},
 		{"no margin", rules{fast: 1.06, slow: 0.94, noMargin: true}, false},
 	} {
 		if modelcheck.Slow || c.k.long && !*all {
@@ -244,12 +248,12 @@
 		for i := range first.g {
 			first.g[i].began = -Span
 		}
-		begun := time.Now()
-		n, err := modelcheck.Whole(first, c.k.next, c.k.broken, 5e6)
-		if wrong := modelcheck.Verdict(c.ok, n, err); wrong != nil {
-			t.Errorf("%s: %v", c.name, wrong)
+		startedAt := time.Now()
+		n, err := modelcheck.Whole(first, c.k.next, c.k.violation, 5e6)
+		if mismatch := modelcheck.Verdict(c.ok, n, err); mismatch != nil {
+			t.Errorf("%s: %v", c.name, mismatch)
 		}
-		t.Logf("%s: %d states in %v", c.name, n, time.Since(begun).Round(time.Millisecond))
+		t.Logf("%s: %d states in %v", c.name, n, time.Since(startedAt).Round(time.Millisecond))
 		if err != nil && !c.ok {
 			t.Logf("\t%v", err)
 		}
