--- a/internal/store/close_test.go
+++ b/internal/store/close_test.go
@@ -11,18 +11,18 @@
 	"saltmast/internal/simulation/network"
 )
 
-// A purser that ends while its disk is being opened ends behind that: whoever then takes the folder away or begins the next life in
-// it is alone there.
-func TestCloseWhileTheDiskIsOpened(t *testing.T) {
+// Close waits for a disk that is being opened. Otherwise the opening could still write to the folder after it was removed, or
+// while the next process uses it.
+func TestCloseWhileDiskOpens(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "disk")
 	synctest.Test(t, func(t *testing.T) {
-		opening, on := make(chan struct{}), make(chan struct{})
+		opening, resume := make(chan struct{}), make(chan struct{})
 		p, err := Start(Options{Net: network.New(1).Machine("10.0.0.1", "east").Start(), Addr: "10.0.0.1:7000", Dir: dir, Window: time.Minute,
 			Seeds: func() []string { return nil }, SimulatedDisk: func() error { return nil },
 			Log: func(event, text string) {
 				if event == "disk" && strings.HasPrefix(text, "found") {
 					close(opening)
-					<-on
+					<-resume
 				}
 			}})
 		if err != nil {
@@ -34,10 +34,10 @@
 		synctest.Wait()
 		select {
 		case err := <-closed:
-			t.Errorf("closed (%v) with its disk being opened", err)
-			close(on)
+			t.Errorf("closed (%v) while the disk was being opened", err)
+			close(resume)
 		default:
-			close(on)
+			close(resume)
 			if err := <-closed; err != nil {
 				t.Error(err)
 			}
@@ -47,7 +47,7 @@
 		}
 		synctest.Wait()
 		if _, err := os.Stat(dir); !os.IsNotExist(err) {
-			t.Errorf("the folder is there again: %v", err)
+			t.Errorf("the folder was created again: %v", err)
 		}
 	})
 }
--- a/internal/store/interruption_test.go
+++ b/internal/store/interruption_test.go
@@ -11,7 +11,7 @@
 	"saltmast/internal/storage"
 )
 
-// largeState is books that come to disk in several parts.
+// largeState returns items and claims that are written to disk in several parts.
 func largeState() (items []configuration.Item, claims []messages.ClaimCall) {
 	for i := range 2500 {
 		claims = append(claims, messages.ClaimCall{Key: fmt.Sprint("key ", i), ID: id(uint64(i + 1))})
@@ -23,8 +23,8 @@
 	return items, claims
 }
 
-// failAfter lets n syncs of a desk pass; then the next fails, or the purser dies and begins again on what is on disk. done reports
-// whether there were as many.
+// failAfter lets n syncs succeed. Then the next sync fails, or the voter restarts on what is on disk. done reports that there
+// were no more syncs to interrupt.
 func (d *testVoter) failAfter(t *testing.T, n int, fails bool) (again *testVoter, done bool) {
 	for range n {
 		d.runQueue()
@@ -48,13 +48,13 @@
 	again.condition, again.fake = storage.Intact, d.fake
 	again.fake.pending = nil
 	again.openDisk()
-	again.recovering = true // no test here waits for a repair
+	again.recovering = true // no test here needs a repair to run
 	return again, false
 }
 
-// A repair that dies, or whose sync fails, at whatever part: the member says nothing until all that it took is on disk, and the
-// next repair makes up for all.
-func TestRepairThatDiesAtEachSync(t *testing.T) {
+// A repair is interrupted at any of its parts, by a restart or a failed sync. The member does not vote until everything it
+// received is on disk, and the next repair restores it completely.
+func TestRepairInterruptedAtEachSync(t *testing.T) {
 	items, claims := largeState()
 	m := recoveredState{last: messages.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: configuration.Ballot{N: 9},
 		Chosen: configuration.Ballot{N: 9}}, claims: claims, base: configuration.SetOf(items...)}
@@ -91,9 +91,9 @@
 	}
 }
 
-// A taking over that dies, or whose sync fails, at whatever part: a new voter stands apart as before, and one of both rolls has its
-// own books whole for those that need them.
-func TestTakingOverThatDiesAtEachSync(t *testing.T) {
+// A takeover is interrupted at any of its parts, by a restart or a failed sync. A new voter is no voter as before, and a voter of
+// both sets still has its own state complete for others that need it.
+func TestTakeoverInterruptedAtEachSync(t *testing.T) {
 	items, claims := largeState()
 	next := messages.Roll{Epoch: 2, Voters: voters, Was: voters}
 	h := handedState{base: configuration.SetOf(items...), claims: claims, last: messages.Handed{Estate: reconfig.Estate{Vouch: consensus.Vouch{By: 1, Incs: []uint64{1, 1, 1}},
--- a/internal/store/reconfig.go
+++ b/internal/store/reconfig.go
@@ -18,39 +18,39 @@
 	"saltmast/internal/storage"
 )
 
-// One roll follows another as package relief decides. A voter of the new roll takes over the books of the old by itself, from
-// the old voters, as soon as it hears from anybody that the roll is chosen. It needs to be on the disk that the roll names: one
-// that lost it may have spoken in the new epoch already, and makes up for that as for any lost disk.
+// Package reconfig decides how one voter set succeeds another. A voter of the new set takes over the state of the old one from
+// the old voters, as soon as anybody tells it that the new set is chosen. It must run on the disk that the voter set names: a
+// voter that lost that disk may have voted in the new epoch already, and repairs it like any lost disk.
 
-// formerEpoch is the epoch that the books are of, at a voter that was relieved. They are kept for those that take over.
+// formerEpoch describes the epoch that the tables of a replaced voter belong to. They are kept for the voters that take over.
 type formerEpoch struct {
 	Epoch        uint64   `cbor:"1,keyasint"`
 	Index        int      `cbor:"2,keyasint"`
 	Incarnations []uint64 `cbor:"3,keyasint"`
 }
 
-func (b *voterState) putSeal() storage.Put {
-	return storage.Put{Table: tableMeta, Key: []byte("seal"), Value: rpc.Encode(b.seal)}
+func (s *voterState) putSeal() storage.Put {
+	return storage.Put{Table: tableMeta, Key: []byte("seal"), Value: rpc.Encode(s.seal)}
 }
 
-// putReconfig is all on disk that a change of the roll leaves there.
-func (b *voterState) putReconfig() []storage.Put {
-	puts := []storage.Put{b.putSeal(), putBallot("former", b.inheritedBallot), {Table: tableMeta, Key: []byte("past")}}
-	if b.formerEpoch != nil {
-		puts[2].Value = rpc.Encode(b.formerEpoch)
+// putReconfig returns the puts of everything that a change of the voter set leaves on disk.
+func (s *voterState) putReconfig() []storage.Put {
+	puts := []storage.Put{s.putSeal(), putBallot("former", s.inheritedBallot), {Table: tableMeta, Key: []byte("past")}}
+	if s.formerEpoch != nil {
+		puts[2].Value = rpc.Encode(s.formerEpoch)
 	}
 	return puts
 }
 
 // valueInherited reports whether the accepted value was accepted in a former epoch.
-func (b *voterState) valueInherited() bool {
-	return !b.inheritedBallot.IsZero() && b.inheritedBallot == b.acceptor.Accepted
+func (s *voterState) valueInherited() bool {
+	return !s.inheritedBallot.IsZero() && s.inheritedBallot == s.acceptor.Accepted
 }
 
-// reportReadiness tells how it stands, before a change of the roll.
-func (b *voterState) reportReadiness(c rpc.Call, m messages.ReadyCall) error {
-	r := messages.Readied{State: string(b.state), Epoch: b.voterSet.Epoch, Quorum: b.srv.opts.QuorumMember}
-	if b.state != Serving && b.state != NonVoter || b.disk.Stalled() > stalledAfter {
+// reportReadiness reports the state and the disk's ID, ahead of a change of the voter set.
+func (s *voterState) reportReadiness(c rpc.Call, m messages.ReadyCall) error {
+	r := messages.Readied{State: string(s.state), Epoch: s.voterSet.Epoch, Quorum: s.srv.opts.QuorumMember}
+	if s.state != Serving && s.state != NonVoter || s.disk.Stalled() > stalledAfter {
 		c.Reply(r, nil)
 		return nil
 	}
@@ -58,44 +58,44 @@
 		c.Reply(r, nil)
 		return nil
 	}
-	if b.diskID == 0 {
-		b.diskID = rand.Uint64() | 1
+	if s.diskID == 0 {
+		s.diskID = rand.Uint64() | 1
 	}
-	r.Disk = b.diskID
-	b.write([]storage.Put{{Table: tableMeta, Key: []byte("number"), Value: rpc.Encode(b.diskID)}}, func(err error) { reply(c, r, err) })
+	r.Disk = s.diskID
+	s.write([]storage.Put{{Table: tableMeta, Key: []byte("number"), Value: rpc.Encode(s.diskID)}}, func(err error) { reply(c, r, err) })
 	return nil
 }
 
-// voteSuccessor promises, or accepts a successor of the roll, by which this voter is sealed.
-func (b *voterState) voteSuccessor(c rpc.Call, m messages.SucceedCall) error {
-	if err := b.requireMember(m.Epoch); err != nil {
+// voteSuccessor promises or accepts a successor of the voter set. Accepting one ends the epoch for this voter.
+func (s *voterState) voteSuccessor(c rpc.Call, m messages.SucceedCall) error {
+	if err := s.requireMember(m.Epoch); err != nil {
 		return err
 	}
-	if b.takingOver {
+	if s.takingOver {
 		return errcode.New(errcode.Gone, "epoch %d has ended here", m.Epoch)
 	}
-	if b.registerBusy {
-		b.queuedCalls = append(b.queuedCalls, func(b *voterState) { b.replyError(c, b.voteSuccessor(c, m)) })
+	if s.registerBusy {
+		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.replyError(c, s.voteSuccessor(c, m)) })
 		return nil
 	}
-	answer := reconfig.Answer{Vouch: b.vouch()}
+	answer := reconfig.Answer{Vouch: s.vouch()}
 	if m.Next == nil {
-		answer.Given = b.seal.Prepare(m.B)
+		answer.Given = s.seal.Prepare(m.B)
 	} else {
-		answer.Given = m.Next.Epoch == m.Epoch+1 && b.seal.Accept(m.B, *m.Next)
+		answer.Given = m.Next.Epoch == m.Epoch+1 && s.seal.Accept(m.B, *m.Next)
 	}
-	answer.Seal = b.seal
+	answer.Seal = s.seal
 	if !answer.Given {
 		c.Reply(answer, nil)
 		return nil
 	}
 	epoch := m.Epoch
-	b.write([]storage.Put{b.putSeal()}, func(err error) {
-		b.srv.enqueue(func(b *voterState) {
-			if err == nil && m.Next != nil && b.voterSet.Epoch == epoch && b.seal.Shut() && !b.sealDurable {
-				b.sealDurable = true
-				b.srv.opts.Log("roll", fmt.Sprintf("epoch %d has ended here", epoch))
-				b.notifyWatchers()
+	s.write([]storage.Put{s.putSeal()}, func(err error) {
+		s.srv.enqueue(func(s *voterState) {
+			if err == nil && m.Next != nil && s.voterSet.Epoch == epoch && s.seal.Shut() && !s.sealDurable {
+				s.sealDurable = true
+				s.srv.opts.Log("roll", fmt.Sprintf("epoch %d has ended here", epoch))
+				s.notifyWatchers()
 			}
 			reply(c, answer, err)
 		})
@@ -103,92 +103,92 @@
 	return nil
 }
 
-// adoptVoterSet hears of a roll that is chosen.
-func (b *voterState) adoptVoterSet(c rpc.Call, m messages.RelieveCall) error {
+// adoptVoterSet handles the call that announces a chosen voter set.
+func (s *voterState) adoptVoterSet(c rpc.Call, m messages.RelieveCall) error {
 	if m.Roll.Epoch == 0 || len(m.Roll.Voters) == 0 {
 		return errcode.New(errcode.Malformed, "")
 	}
-	b.learnVoterSet(m.Roll, func(err error) {
-		reply(c, messages.Relieved{State: string(b.state), Epoch: b.voterSet.Epoch}, err)
+	s.learnVoterSet(m.Roll, func(err error) {
+		reply(c, messages.Relieved{State: string(s.state), Epoch: s.voterSet.Epoch}, err)
 	})
 	return nil
 }
 
-// learnVoterSet takes a roll that is chosen, if it is newer: it takes an office over there, or makes up for a lost disk, or goes.
-// done is called on the owner's goroutine.
-func (b *voterState) learnVoterSet(r messages.Roll, done func(error)) {
+// learnVoterSet moves to a chosen voter set if it is newer. In it, this store takes over as a voter, repairs a lost disk, or is
+// no voter. done is called on the owner's goroutine.
+func (s *voterState) learnVoterSet(r messages.Roll, done func(error)) {
 	switch {
-	case r.Epoch <= b.voterSet.Epoch:
+	case r.Epoch <= s.voterSet.Epoch:
 		done(nil)
 		return
-	case b.disk == nil:
+	case s.disk == nil:
 		done(storage.ErrDisk)
 		return
-	case b.takingOver:
-		b.takeoverWaiters = append(b.takeoverWaiters, done)
+	case s.takingOver:
+		s.takeoverWaiters = append(s.takeoverWaiters, done)
 		return
-	case b.registerBusy:
-		b.queuedCalls = append(b.queuedCalls, func(b *voterState) { b.learnVoterSet(r, done) })
+	case s.registerBusy:
+		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.learnVoterSet(r, done) })
 		return
 	}
-	at := r.Place(b.srv.opts.Addr)
-	if b.state == Repairing && b.recovering { // its repair ends first
+	index := r.Place(s.srv.opts.Addr)
+	if s.state == Repairing && s.recovering { // the repair has to end first
 		done(errcode.New(errcode.Repairing, ""))
 		return
 	}
-	next := b.state == Serving && b.voterSet.Epoch+1 == r.Epoch
-	if at >= 0 && b.diskID != 0 && r.Voters[at].Disk == b.diskID && (next || b.state == NonVoter) {
-		b.takingOver = true
-		b.takeoverWaiters = append(b.takeoverWaiters, done)
-		b.takeOver(r)
+	successor := s.state == Serving && s.voterSet.Epoch+1 == r.Epoch
+	if index >= 0 && s.diskID != 0 && r.Voters[index].Disk == s.diskID && (successor || s.state == NonVoter) {
+		s.takingOver = true
+		s.takeoverWaiters = append(s.takeoverWaiters, done)
+		s.takeOver(r)
 		return
 	}
-	b.enterEpoch(r, done)
+	s.enterEpoch(r, done)
 }
 
-// enterEpoch goes to a newer epoch without books for it.
-func (b *voterState) enterEpoch(r messages.Roll, done func(error)) {
-	if b.state == Serving {
-		b.formerEpoch = &formerEpoch{b.voterSet.Epoch, b.index, slices.Clone(b.incarnations)}
-	}
-	b.voterSet, b.incarnations, b.seal, b.sealDurable = r, nil, reconfig.Seal{}, false
-	b.locate()
-	if b.index >= 0 {
-		b.setState(Repairing)
+// enterEpoch moves to a newer epoch without its state.
+func (s *voterState) enterEpoch(r messages.Roll, done func(error)) {
+	if s.state == Serving {
+		s.formerEpoch = &formerEpoch{s.voterSet.Epoch, s.index, slices.Clone(s.incarnations)}
+	}
+	s.voterSet, s.incarnations, s.seal, s.sealDurable = r, nil, reconfig.Seal{}, false
+	s.locate()
+	if s.index >= 0 {
+		s.setState(Repairing)
 	} else {
-		b.setState(NonVoter)
+		s.setState(NonVoter)
 	}
-	b.srv.opts.Log("roll", fmt.Sprintf("epoch %d, here %s", r.Epoch, b.state))
-	b.write(append(b.putReconfig(), b.putVoterSet(), b.putIncarnations()), func(err error) {
-		b.srv.enqueue(func(b *voterState) {
-			b.sealDurable = b.sealDurable || err == nil && b.voterSet.Epoch == r.Epoch && b.formerEpoch != nil
+	s.srv.opts.Log("roll", fmt.Sprintf("epoch %d, here %s", r.Epoch, s.state))
+	s.write(append(s.putReconfig(), s.putVoterSet(), s.putIncarnations()), func(err error) {
+		s.srv.enqueue(func(s *voterState) {
+			s.sealDurable = s.sealDurable || err == nil && s.voterSet.Epoch == r.Epoch && s.formerEpoch != nil
 			done(err)
 		})
 	})
-	b.notifyWatchers()
-	if b.state == Repairing {
-		b.repair()
+	s.notifyWatchers()
+	if s.state == Repairing {
+		s.repair()
 	}
 }
 
-// handover tells the books of the epoch before the one named to a voter that takes over.
-func (b *voterState) handover(c rpc.Call, m messages.HandoverCall) error {
-	r := b.registerPart(m.Have)
-	e := reconfig.Estate{Vouch: b.vouch(), Promised: b.acceptor.Promised, Accepted: b.acceptor.Accepted, Chosen: r.chosen}
+// handover sends the state of the epoch before m.Epoch to a voter that takes over.
+func (s *voterState) handover(c rpc.Call, m messages.HandoverCall) error {
+	r := s.registerPart(m.Have)
+	e := reconfig.Estate{Vouch: s.vouch(), Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: r.chosen}
 	switch {
-	case b.state == Serving && b.voterSet.Epoch == m.Epoch && b.acceptor.CatchesUp(): // its books alone would not do
+	case s.state == Serving && s.voterSet.Epoch == m.Epoch && s.acceptor.CatchesUp(): // its state alone is incomplete
 		return errcode.New(errcode.Repairing, "")
-	case b.state == Serving && b.voterSet.Epoch == m.Epoch:
+	case s.state == Serving && s.voterSet.Epoch == m.Epoch:
 		e.Holds = true
-	case b.state == Serving && b.voterSet.Epoch+1 == m.Epoch && b.sealDurable:
-	case b.formerEpoch != nil && b.formerEpoch.Epoch+1 == m.Epoch && b.sealDurable:
-		e.Vouch = consensus.Vouch{By: b.formerEpoch.Index, Incs: b.formerEpoch.Incarnations}
+	case s.state == Serving && s.voterSet.Epoch+1 == m.Epoch && s.sealDurable:
+	case s.formerEpoch != nil && s.formerEpoch.Epoch+1 == m.Epoch && s.sealDurable:
+		e.Vouch = consensus.Vouch{By: s.formerEpoch.Index, Incs: s.formerEpoch.Incarnations}
 	default:
-		return errcode.New(errcode.Gone, "epoch %d, here %d", m.Epoch, b.voterSet.Epoch)
+		return errcode.New(errcode.Gone, "epoch %d, here %d", m.Epoch, s.voterSet.Epoch)
 	}
-	h := messages.Handed{Estate: e, Former: b.valueInherited(), Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta}
+	h := messages.Handed{Estate: e, Former: s.valueInherited(), Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta}
 	if h.Upto == h.Base {
-		h.Claims, h.More = b.claimsAfter(m.From)
+		h.Claims, h.More = s.claimsAfter(m.From)
 	}
 	c.Reply(h, nil)
 	return nil
@@ -196,68 +196,68 @@
 
 const (
 	handoverTimeout = 500 * time.Millisecond
-	handoverRetry   = 10 * time.Millisecond // an old voter that is about to hand over is asked again
+	handoverRetry   = 10 * time.Millisecond // pause before asking a voter again whose epoch has not ended yet
 )
 
-// takeOver takes the books over that the old voters of a chosen roll hand out, puts them on disk, and speaks in the new epoch.
-func (b *voterState) takeOver(r messages.Roll) {
-	kept := b.state == Serving
-	if kept && !b.sealDurable { // it slept through the vote: others may need its books
-		b.seal.Closed = true
-		b.write([]storage.Put{b.putSeal()}, func(err error) {
-			b.srv.enqueue(func(b *voterState) {
-				if b.sealDurable = err == nil; err != nil {
-					b.finishTakeover(r, err)
+// takeOver collects the state of the old voters, writes it to disk, and then votes in the new epoch.
+func (s *voterState) takeOver(r messages.Roll) {
+	kept := s.state == Serving
+	if kept && !s.sealDurable { // it missed the vote: others may need its state
+		s.seal.Closed = true
+		s.write([]storage.Put{s.putSeal()}, func(err error) {
+			s.srv.enqueue(func(s *voterState) {
+				if s.sealDurable = err == nil; err != nil {
+					s.finishTakeover(r, err)
 					return
 				}
-				b.takeOver(r)
+				s.takeOver(r)
 			})
 		})
 		return
 	}
-	d := b.disk
-	b.srv.runAsync(func() func(*voterState) {
-		got, err := b.srv.collectHandover(r)
+	d := s.disk
+	s.srv.runAsync(func() func(*voterState) {
+		got, err := s.srv.collectHandover(r)
 		var left []storage.Put
 		if err == nil && !kept {
 			left, err = staleRows(d)
 		}
-		return func(b *voterState) {
-			if err == nil && b.disk == nil {
+		return func(s *voterState) {
+			if err == nil && s.disk == nil {
 				err = storage.ErrDisk
 			}
 			if err != nil {
-				b.finishTakeover(r, err)
+				s.finishTakeover(r, err)
 				return
 			}
-			b.installHandover(r, got, kept, left)
+			s.installHandover(r, got, kept, left)
 		}
 	})
 }
 
-// handedState is what one voter handed over.
+// handedState is the state that one voter handed over.
 type handedState struct {
 	last   messages.Handed   // the last part
-	base   configuration.Set // the value of h.Base
+	base   configuration.Set // the value of last.Base
 	claims []messages.ClaimCall
 }
 
-// collectHandover asks for books, until there are enough of them.
-func (p *Server) collectHandover(r messages.Roll) (got []handedState, err error) {
+// collectHandover asks old and new voters for their state until there is enough of it to take over. It blocks.
+func (srv *Server) collectHandover(r messages.Roll) (got []handedState, err error) {
 	var addrs []string
 	for _, v := range append(slices.Clone(r.Was), r.Voters...) {
 		if !slices.Contains(addrs, v.Addr) {
 			addrs = append(addrs, v.Addr)
 		}
 	}
-	type told struct {
+	type response struct {
 		h    messages.Handed
 		addr string
 		err  error
 	}
-	ch := make(chan told, len(addrs))
-	ask := func(addr, from string, have configuration.Ballot) (t told) {
-		c := rpc.NewClient(p.opts.Net, addr)
+	ch := make(chan response, len(addrs))
+	ask := func(addr, from string, have configuration.Ballot) (t response) {
+		c := rpc.NewClient(srv.opts.Net, addr)
 		defer c.Close()
 		t.addr = addr
 		t.err = c.Call(messages.Handover, messages.HandoverCall{Epoch: r.Epoch, From: from, Have: have}, &t.h, handoverTimeout)
@@ -282,7 +282,7 @@
 			}
 		}()
 	}
-	var all []told
+	var all []response
 	var estates []reconfig.Estate
 	var take []int
 	for range addrs {
@@ -296,11 +296,11 @@
 		}
 	}
 	if take == nil {
-		return nil, errcode.New(errcode.CoreOut, "%d hand over epoch %d", len(all), r.Epoch-1)
+		return nil, errcode.New(errcode.CoreOut, "only %d voters handed over the state of epoch %d", len(all), r.Epoch-1)
 	}
 	for _, i := range take {
 		h := all[i].h
-		o := handedState{h, configuration.SetOf(h.Items...), h.Claims}
+		state := handedState{h, configuration.SetOf(h.Items...), h.Claims}
 		for h.More || h.Upto != h.Base {
 			from := ""
 			if h.More {
@@ -310,22 +310,23 @@
 			if t.err != nil {
 				return nil, t.err
 			}
-			was := h.Estate
-			if h = t.h; h.Estate.Holds != was.Holds || !slices.Equal(h.Estate.Vouch.Incs, was.Vouch.Incs) ||
-				!continues(h.Estate.Chosen, h.Estate.Accepted, was.Chosen, was.Accepted) {
-				return nil, errors.New("it took over, or lost its disk, while it handed over")
+			previous := h.Estate
+			if h = t.h; h.Estate.Holds != previous.Holds || !slices.Equal(h.Estate.Vouch.Incs, previous.Vouch.Incs) ||
+				!continues(h.Estate.Chosen, h.Estate.Accepted, previous.Chosen, previous.Accepted) {
+				return nil, errors.New("the voter took over, or lost its disk, while it handed over its state")
 			}
-			o = handedState{h, o.base.With(h.Items...), append(o.claims, h.Claims...)}
+			state = handedState{h, state.base.With(h.Items...), append(state.claims, h.Claims...)}
 		}
-		got = append(got, o)
+		got = append(got, state)
 	}
 	return got, nil
 }
 
-// installHandover puts what was handed over on disk. A voter of both rolls keeps what others may need of its own books until the last
-// write: claims are only added, and the register changes in one write with the roll, unless it lacks much. Then it is one that
-// catches up until then, which is no loss to others: what it lacks is chosen, and lives with a majority without it.
-func (b *voterState) installHandover(r messages.Roll, got []handedState, kept bool, left []storage.Put) {
+// installHandover writes the state that was handed over to disk. kept tells that this store is a voter of both sets: until the
+// last write it keeps the state that others may need. Claims are only added, and the register changes in one write with the
+// voter set, unless too much is missing for one write. In that case it is marked as catching up until then, which costs others
+// nothing: the missing items are chosen, and a majority without this voter holds them. left are deletions to write first.
+func (s *voterState) installHandover(r messages.Roll, got []handedState, kept bool, left []storage.Put) {
 	estates, take := make([]reconfig.Estate, len(got)), make([]int, len(got))
 	acc := consensus.NewAcceptor()
 	for i, o := range got {
@@ -339,15 +340,15 @@
 	delta := consensus.Since(got[at].base.With(got[at].last.Delta...), acc.Chosen)
 	acc.Value = acc.Stands.With(delta...)
 	if !kept {
-		b.formerEpoch, b.seal, b.sealDurable = nil, reconfig.Seal{}, false
-		b.resetContent()
-		left = append(b.putReconfig(), left...)
+		s.formerEpoch, s.seal, s.sealDurable = nil, reconfig.Seal{}, false
+		s.resetContent()
+		left = append(s.putReconfig(), left...)
 	}
-	adrift := b.srv.failedClaimWrites.Load() // whatever is told is written again then
+	failedWrites := s.srv.failedClaimWrites.Load() // if it has grown, all claims that were handed over are written again
 	var claims []storage.Put
 	for _, o := range got {
 		for _, c := range o.claims {
-			if id, news := b.claims.Restore(b.now(), c.Key, c.ID); news || adrift != b.restoredClaimWrites {
+			if id, news := s.claims.Restore(s.now(), c.Key, c.ID); news || failedWrites != s.restoredClaimWrites {
 				claims = append(claims, putClaim(c.Key, id))
 			}
 		}
@@ -359,97 +360,97 @@
 		size += len(p.Key) + len(p.Value)
 	}
 	for i := range acc.Stands.All() {
-		if old, ok := b.acceptor.Stands.Get(i.Key); !ok || old.Version != i.Version || old.Ballot != i.Ballot {
+		if old, ok := s.acceptor.Stands.Get(i.Key); !ok || old.Version != i.Version || old.Ballot != i.Ballot {
 			put(putItem(i))
 		}
 	}
-	for i := range b.acceptor.Stands.All() {
+	for i := range s.acceptor.Stands.All() {
 		if _, ok := acc.Stands.Get(i.Key); !ok {
 			put(storage.Put{Table: tableItems, Key: itemKey(i.Key)})
 		}
 	}
-	bundles, n := b.putDelta(delta)
-	for _, p := range bundles {
+	deltaPuts, deltaRows := s.putDelta(delta)
+	for _, p := range deltaPuts {
 		put(p)
 	}
 	former := acc.Accepted
 	if e := estates[at]; e.Holds && !got[at].last.Former {
 		former = configuration.Ballot{}
 	}
-	last := func(b *voterState, puts []storage.Put) {
-		next := &voterState{srv: b.srv, voterSet: r, inheritedBallot: former}
+	writeLast := func(s *voterState, puts []storage.Put) {
+		next := &voterState{srv: s.srv, voterSet: r, inheritedBallot: former}
 		next.locate()
 		for i := range next.incarnations {
 			next.incarnations[i] = 1
 		}
 		end := append(puts, putBallots(acc)...)
 		end = append(append(end, next.putReconfig()...), next.putVoterSet(), next.putIncarnations())
-		b.write(end, func(err error) {
-			b.srv.enqueue(func(b *voterState) {
+		s.write(end, func(err error) {
+			s.srv.enqueue(func(s *voterState) {
 				if err == nil {
-					b.acceptor, b.deltaRows, b.inheritedBallot, b.formerEpoch, b.seal, b.sealDurable = acc, n, former, nil, reconfig.Seal{}, false
-					b.voterSet, b.incarnations, b.index = r, next.incarnations, next.index
-					b.leases = lease.NewGranter(b.now()) // what the old epoch granted comes to its end first
-					b.srv.opts.Log("roll", fmt.Sprintf("epoch %d: took over from %d, %d items, %d keys", r.Epoch, len(got), acc.Value.Len(), b.claims.Len()))
+					s.acceptor, s.deltaRows, s.inheritedBallot, s.formerEpoch, s.seal, s.sealDurable = acc, deltaRows, former, nil, reconfig.Seal{}, false
+					s.voterSet, s.incarnations, s.index = r, next.incarnations, next.index
+					s.leases = lease.NewGranter(s.now()) // leases granted in the old epoch expire first
+					s.srv.opts.Log("roll", fmt.Sprintf("epoch %d: took over from %d, %d items, %d keys", r.Epoch, len(got), acc.Value.Len(), s.claims.Len()))
 				}
-				b.finishTakeover(r, err)
+				s.finishTakeover(r, err)
 			})
 		})
 	}
-	parts := func(puts []storage.Put, then func(*voterState)) {
+	writeAll := func(puts []storage.Put, then func(*voterState)) {
 		if len(puts) == 0 {
-			b.restoredClaimWrites = adrift
-			then(b)
+			s.restoredClaimWrites = failedWrites
+			then(s)
 			return
 		}
-		b.writeInParts(puts, func(b *voterState, err error) {
+		s.writeInParts(puts, func(s *voterState, err error) {
 			if err != nil {
-				b.srv.failedClaimWrites.Add(1)
-				b.finishTakeover(r, err)
+				s.srv.failedClaimWrites.Add(1)
+				s.finishTakeover(r, err)
 				return
 			}
-			b.restoredClaimWrites = adrift
-			then(b)
+			s.restoredClaimWrites = failedWrites
+			then(s)
 		})
 	}
 	target := acc.Chosen
-	if target.Less(b.acceptor.Target) {
-		target = b.acceptor.Target
+	if target.Less(s.acceptor.Target) {
+		target = s.acceptor.Target
 	}
 	switch {
-	case !kept: // nobody needs what is there
-		parts(append(append(left, claims...), items...), func(b *voterState) { last(b, nil) })
-	case size <= maxRegisterWrite || !b.acceptor.Accepted.Less(target):
-		parts(claims, func(b *voterState) { last(b, items) })
+	case !kept: // nobody needs what is on this disk
+		writeAll(append(append(left, claims...), items...), func(s *voterState) { writeLast(s, nil) })
+	case size <= maxRegisterWrite || !s.acceptor.Accepted.Less(target):
+		writeAll(claims, func(s *voterState) { writeLast(s, items) })
 	default:
-		parts(claims, func(b *voterState) {
-			b.discardRegister(target, n, func(b *voterState, err error) {
+		writeAll(claims, func(s *voterState) {
+			s.discardRegister(target, deltaRows, func(s *voterState, err error) {
 				if err != nil {
-					b.finishTakeover(r, err)
+					s.finishTakeover(r, err)
 					return
 				}
-				d := b.disk
-				b.srv.runAsync(func() func(*voterState) {
+				d := s.disk
+				s.srv.runAsync(func() func(*voterState) {
 					stale, err := deletions(d, tableItems, tableDelta)
-					return func(b *voterState) {
-						if err != nil || b.disk == nil {
-							b.finishTakeover(r, cmp.Or(err, storage.ErrDisk))
+					return func(s *voterState) {
+						if err != nil || s.disk == nil {
+							s.finishTakeover(r, cmp.Or(err, storage.ErrDisk))
 							return
 						}
 						for i := range acc.Stands.All() {
 							stale = append(stale, putItem(i))
 						}
-						for _, p := range bundles {
+						for _, p := range deltaPuts {
 							if p.Value != nil {
 								stale = append(stale, p)
 							}
 						}
-						b.writeInParts(stale, func(b *voterState, err error) {
+						s.writeInParts(stale, func(s *voterState, err error) {
 							if err != nil {
-								b.finishTakeover(r, err)
+								s.finishTakeover(r, err)
 								return
 							}
-							last(b, nil)
+							writeLast(s, nil)
 						})
 					}
 				})
@@ -458,37 +459,37 @@
 	}
 }
 
-// maxRegisterWrite bounds what a voter of both rolls changes of its register in one write.
+// maxRegisterWrite bounds the register change that a voter of both sets makes in one write.
 const maxRegisterWrite = storage.MaxWrite - 64<<10
 
-// discardRegister makes this member one that holds nothing yet of a chosen value, higher than what it accepted. n: bundles of the delta
-// that will come to disk.
-func (b *voterState) discardRegister(target configuration.Ballot, n int, done func(*voterState, error)) {
+// discardRegister replaces the register by an empty one that catches up with a chosen value, higher than the accepted one. rows
+// is the number of rows that the new delta will have on disk.
+func (s *voterState) discardRegister(target configuration.Ballot, rows int, done func(*voterState, error)) {
 	acc := consensus.NewAcceptor()
-	acc.Promised, acc.Target = b.acceptor.Promised, target
+	acc.Promised, acc.Target = s.acceptor.Promised, target
 	if acc.Promised.Less(target) {
 		acc.Promised = target
 	}
-	b.writeRegister(putBallots(acc), func(b *voterState, err error) {
+	s.writeRegister(putBallots(acc), func(s *voterState, err error) {
 		if err == nil {
-			b.acceptor, b.deltaRows = acc, max(n, b.deltaRows)
+			s.acceptor, s.deltaRows = acc, max(rows, s.deltaRows)
 		}
-		done(b, err)
+		done(s, err)
 	})
 }
 
-// finishTakeover ends a taking over, and tells those that wait for it.
-func (b *voterState) finishTakeover(r messages.Roll, err error) {
-	b.takingOver = false
+// finishTakeover ends a takeover, and calls those who wait for its result.
+func (s *voterState) finishTakeover(r messages.Roll, err error) {
+	s.takingOver = false
 	if err == nil {
-		b.setState(Serving)
-		b.notifyWatchers()
+		s.setState(Serving)
+		s.notifyWatchers()
 	} else {
-		b.srv.opts.Log("roll", fmt.Sprintf("epoch %d is not taken over: %v", r.Epoch, err))
+		s.srv.opts.Log("roll", fmt.Sprintf("taking over epoch %d failed: %v", r.Epoch, err))
 	}
-	takers := b.takeoverWaiters
-	b.takeoverWaiters = nil
-	for _, f := range takers {
-		f(err)
+	waiters := s.takeoverWaiters
+	s.takeoverWaiters = nil
+	for _, done := range waiters {
+		done(err)
 	}
 }
--- a/internal/store/reconfig_test.go
+++ b/internal/store/reconfig_test.go
@@ -13,9 +13,9 @@
 	"saltmast/internal/storage"
 )
 
-// A voter that accepted who comes next grants nothing from then on, answers once that is on disk, hands its books over only
-// then, and is as silent after a restart. The duty of changing the roll alone can still be had of it.
-func TestSealed(t *testing.T) {
+// A voter that accepted a successor of its voter set grants nothing from then on. It answers and hands over its state only once
+// that is on disk, and keeps refusing after a restart. Only the lease for changing the voter set can still be had from it.
+func TestVoterAfterItsEpoch(t *testing.T) {
 	d := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
 	d.condition = storage.Empty
 	d.leases = lease.NewGranter(-lease.Span)
@@ -44,7 +44,7 @@
 		t.Errorf("%d answers, handed over %v, before the seal is on disk", accept.count, k)
 	}
 	if r := d.call(messages.Claim, messages.ClaimCall{Key: "amid", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
-		t.Errorf("a claim while the seal is on its way: %v", r.err)
+		t.Errorf("a claim while the seal is being written: %v", r.err)
 	}
 	d.settle()
 	var a reconfig.Answer
@@ -56,7 +56,7 @@
 	again.leases = lease.NewGranter(-lease.Span)
 	again.openDisk()
 	again.settle()
-	for name, d := range map[string]*testVoter{"sealed": d, "sealed and started again": again} {
+	for name, d := range map[string]*testVoter{"sealed": d, "sealed and restarted": again} {
 		if k := claim(d, "after"); k != errcode.Gone {
 			t.Errorf("%s: a claim: %v", name, k)
 		}
@@ -65,7 +65,7 @@
 		}
 		for of, want := range map[lease.Name]errcode.Kind{lease.CatchUp: errcode.Gone, lease.VoterChange: errcode.OK} {
 			if r := d.call(messages.Lease, messages.LeaseCall{Duty: of, By: 7, Epoch: 1}); errcode.Of(r.err) != want {
-				t.Errorf("%s: the duty %s: %v", name, of, r.err)
+				t.Errorf("%s: the lease %s: %v", name, of, r.err)
 			}
 		}
 		if h, k := hand(d); k != errcode.OK || h.Estate.Holds || len(h.Claims) != 1 {
@@ -74,9 +74,9 @@
 	}
 }
 
-// A voter that slept through the change and does not count any more keeps its books for those that take over, from when that is
-// on disk. One that counts and is not on the disk that the roll names makes up for it as a lost one.
-func TestRelieved(t *testing.T) {
+// A voter that missed the change and was replaced keeps its state for the voters that take over, once that is on disk. A voter
+// of the new set that is not on the disk that the set names repairs it like a lost one.
+func TestVoterThatMissedTheChange(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		next []messages.Voter
@@ -89,7 +89,7 @@
 		d.condition, d.leases = storage.Empty, lease.NewGranter(0)
 		d.openDisk()
 		d.settle()
-		d.recovering = true // no test here waits for a repair
+		d.recovering = true // no test here needs a repair to run
 		d.call(messages.Relieve, messages.RelieveCall{Roll: messages.Roll{Epoch: 2, Voters: c.next, Was: voters}})
 		if r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2}); errcode.Of(r.err) != errcode.Gone {
 			t.Errorf("%s: handed over before it is on disk: %v", c.name, r.err)
--- a/internal/store/register_test.go
+++ b/internal/store/register_test.go
@@ -16,7 +16,7 @@
 
 func ballotOf(n uint64) configuration.Ballot { return configuration.Ballot{N: n} }
 
-// itemsOf are items of one ballot, of some bytes each.
+// itemsOf returns n items of one ballot, with specs of the given size in bytes.
 func itemsOf(name string, b configuration.Ballot, n, bytes int) (items []configuration.Item) {
 	for i := range n {
 		items = append(items, configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: fmt.Sprintf("%s%05d", name, i)}, Version: configuration.Version(b.N), Ballot: b, Spec: make([]byte, bytes)})
@@ -30,7 +30,7 @@
 	})
 }
 
-// callAndSettle is a call that is answered once the disk has all that waits.
+// callAndSettle makes a call, completes all pending writes and returns the answer.
 func callAndSettle[T any](t *testing.T, d *testVoter, kind uint8, v any) (answer T) {
 	t.Helper()
 	r := d.call(kind, v)
@@ -41,7 +41,7 @@
 	return answer
 }
 
-// restarted is a desk on the disk of another.
+// restarted returns a voter that was started on the disk of another.
 func restarted(t *testing.T, d *testVoter) *testVoter {
 	again := newTestVoter(t, Options{})
 	again.fake, again.condition = d.fake, storage.Intact
@@ -50,8 +50,8 @@
 	return again
 }
 
-// A member that missed much is told it in pages by two teachers, with a write that fails and a restart behind each: it holds and
-// tells no chosen value until the last, and votes for none that it has forgotten.
+// A member that missed many changes receives them in pages from two senders, with a failed write and a restart after each page.
+// It holds and reports no chosen value before the last page, and does not report the accepted value that it has discarded.
 func TestPages(t *testing.T) {
 	d := newServingVoter(t)
 	old, fork := itemsOf("r", ballotOf(1), 3, 10), itemsOf("fork", ballotOf(2), 2, 10)
@@ -66,12 +66,12 @@
 	}
 	first := consensus.PageOf(nine, ballotOf(9), ballotOf(1))
 	if first.Upto != ballotOf(5) || turn(consensus.PageOf(nine, ballotOf(9), ballotOf(5))) {
-		t.Fatalf("the first page is up to %v, or one that does not follow was taken", first.Upto)
+		t.Fatalf("the first page ends at %v, or a page that does not continue it was taken", first.Upto)
 	}
 	r := d.call(messages.Turn, messages.TurnCall{Page: first, Epoch: 1})
 	d.fake.sync(storage.ErrDisk)
 	if d.settle(); errcode.Of(r.err) != errcode.DiskOut || d.acceptor.Accepted != ballotOf(2) || d.acceptor.CatchesUp() {
-		t.Fatalf("a page that did not come to disk: %v, accepted %v", r.err, d.acceptor.Accepted)
+		t.Fatalf("a page that was not written: %v, accepted %v", r.err, d.acceptor.Accepted)
 	}
 	for i, p := range []consensus.Page{first, consensus.PageOf(seven, ballotOf(7), ballotOf(5)), consensus.PageOf(nine, ballotOf(9), ballotOf(7))} {
 		if !turn(p) || turn(p) {
@@ -83,32 +83,32 @@
 		state := d.reportedState()
 		if i == 2 {
 			if w.Chosen != ballotOf(9) || w.Known != ballotOf(9) || d.acceptor.Accepted != ballotOf(9) || !sameItems(d.acceptor.Stands, nine) || !sameItems(d.acceptor.Value, nine) || state != "serving" {
-				t.Errorf("behind the last: %s, chosen %v of %v, %d items", state, w.Chosen, w.Known, d.acceptor.Stands.Len())
+				t.Errorf("after the last page: %s, chosen %v of %v, %d items", state, w.Chosen, w.Known, d.acceptor.Stands.Len())
 			}
 			break
 		}
 		p := callAndSettle[consensus.Promise](t, d, messages.Prepare, messages.PrepareCall{B: ballotOf(20 + uint64(i)), Epoch: 1})
 		if w.Known != ballotOf(9) || w.Chosen != p.Chosen || len(w.Items) > 0 || !p.Given || !p.Accepted.IsZero() || len(p.Items) > 0 || p.Known != ballotOf(9) || state != "catching up" {
-			t.Errorf("behind page %d: %s, chosen %v of %v, %d items, promise %+v", i, state, w.Chosen, w.Known, len(w.Items), p)
+			t.Errorf("after page %d: %s, chosen %v of %v, %d items, promise %+v", i, state, w.Chosen, w.Known, len(w.Items), p)
 		}
 		if !m.Accepted.IsZero() || !m.Chosen.IsZero() || len(m.Items)+len(m.Delta) > 0 {
-			t.Errorf("behind page %d, to a member that lost its disk: %+v", i, m)
+			t.Errorf("after page %d, to a member that lost its disk: %+v", i, m)
 		}
 	}
 }
 
-// What is proposed comes to a member that catches up as well, if it lacks little: it is whole once that is chosen.
-func TestAcceptAmidPages(t *testing.T) {
+// A member that catches up also accepts proposals, if it lacks little. It is complete once such a proposal is chosen.
+func TestAcceptWhileCatchingUp(t *testing.T) {
 	d := newServingVoter(t)
 	nine := configuration.SetOf(itemsOf("r", ballotOf(5), 300, 1000)...).With(itemsOf("s", ballotOf(9), 3, 10)...)
 	next := nine.With(itemsOf("r", ballotOf(11), 1, 10)...)
 	if !callAndSettle[messages.Accepted](t, d, messages.Turn, messages.TurnCall{Page: consensus.PageOf(nine, ballotOf(9), ballotOf(0)), Epoch: 1}).Taken || !d.acceptor.CatchesUp() {
-		t.Fatalf("all up to %v of %v", d.acceptor.Chosen, d.acceptor.Target)
+		t.Fatalf("complete up to %v of %v", d.acceptor.Chosen, d.acceptor.Target)
 	}
 	for base, want := range map[uint64]bool{9: false, 5: true} {
 		a := callAndSettle[messages.Accepted](t, d, messages.Accept, messages.AcceptCall{B: ballotOf(11), Base: ballotOf(base), Changes: consensus.Since(next, ballotOf(base)), Epoch: 1})
 		if a.Taken != want {
-			t.Errorf("told by what is after %d: %v", base, a.Taken)
+			t.Errorf("changes after ballot %d taken: %v", base, a.Taken)
 		}
 	}
 	d = restarted(t, d)
@@ -123,9 +123,9 @@
 	}
 }
 
-// A voter of both rolls that lacks more than one write can have takes over all the same, again where it died amid that, and
-// until then hands over a register that is worth nothing to others.
-func TestTakeOverOfMuch(t *testing.T) {
+// A voter of both sets that lacks more than fits into one write still takes over, also when it restarts in between. Until it is
+// done, the register that it hands over is empty.
+func TestTakeoverOfLargeState(t *testing.T) {
 	stands := configuration.SetOf(itemsOf("r", ballotOf(5), 3000, 1000)...)
 	value := stands.With(itemsOf("s", ballotOf(6), 4, 10)...)
 	next := messages.Roll{Epoch: 2, Voters: voters, Was: voters}
@@ -133,7 +133,7 @@
 		e := reconfig.Estate{Promised: ballotOf(6), Accepted: ballotOf(6), Chosen: ballotOf(5)}
 		return []handedState{{last: messages.Handed{Estate: e, Delta: consensus.Since(value, ballotOf(5))}, base: stands}}
 	}
-	for dies := range 4 {
+	for restartAt := range 4 {
 		d := newServingVoter(t)
 		callAndSettle[messages.Accepted](t, d, messages.Accept, messages.AcceptCall{B: ballotOf(1), Changes: itemsOf("r", ballotOf(1), 3, 10), Epoch: 1})
 		callAndSettle[messages.Accepted](t, d, messages.Learn, messages.LearnCall{B: ballotOf(1)})
@@ -141,33 +141,33 @@
 		d.write([]storage.Put{d.putSeal()}, func(error) {})
 		d.settle()
 		d.installHandover(next, got(), true, nil)
-		for range 4 * dies {
+		for range 4 * restartAt {
 			d.runQueue()
 			if len(d.fake.pending) > 0 {
 				d.fake.sync(nil)
 			}
 		}
-		if dies > 0 {
+		if restartAt > 0 {
 			d.runQueue()
 			h := callAndSettle[messages.Handed](t, restarted(t, d), messages.Handover, messages.HandoverCall{Epoch: 2})
 			if !h.Estate.Accepted.IsZero() || len(h.Items) > 0 || h.Estate.Promised.Less(ballotOf(5)) {
-				t.Errorf("handed over amid it: %+v", h.Estate)
+				t.Errorf("handed over during the takeover: %+v", h.Estate)
 			}
-			d.fake.pending = nil // what waits is lost
+			d.fake.pending = nil // pending writes are lost
 			d = restarted(t, d)
 			d.takingOver = true
 			d.installHandover(next, got(), true, nil)
 		}
 		d.settle()
-		for name, d := range map[string]*testVoter{"": d, ", started again": restarted(t, d)} {
+		for name, d := range map[string]*testVoter{"": d, ", restarted": restarted(t, d)} {
 			if d.state != Serving || d.voterSet.Epoch != 2 || d.acceptor.CatchesUp() || d.acceptor.Chosen != ballotOf(5) || !sameItems(d.acceptor.Stands, stands) || !sameItems(d.acceptor.Value, value) {
-				t.Errorf("died after %d writes%s: %s in epoch %d, chosen %v, %d items of %d", 4*dies, name, d.state, d.voterSet.Epoch, d.acceptor.Chosen, d.acceptor.Stands.Len(), stands.Len())
+				t.Errorf("restarted after %d writes%s: %s in epoch %d, chosen %v, %d items of %d", 4*restartAt, name, d.state, d.voterSet.Epoch, d.acceptor.Chosen, d.acceptor.Stands.Len(), stands.Len())
 			}
 		}
 	}
 }
 
-// A disk from before members kept a base: where what was accepted is not known to be chosen, it is made up for.
+// On a disk of the old layout, without a base, a member has to repair itself if its accepted value is not known to be chosen.
 func TestDiskWithoutABase(t *testing.T) {
 	for chosen, want := range map[uint64]State{3: Serving, 2: Repairing} {
 		d := newServingVoter(t)
@@ -183,19 +183,19 @@
 	}
 }
 
-// Amid a taking over or a repair the register changes by that alone: what a member hears to be chosen is not written between.
-func TestLearnAmidTakingOver(t *testing.T) {
-	for name, amid := range map[string]func(*testVoter){
-		"a taking over": func(d *testVoter) { d.takingOver = true },
+// During a takeover or a repair nothing else changes the register: a reported choice is not written.
+func TestLearnDuringTakeover(t *testing.T) {
+	for name, begin := range map[string]func(*testVoter){
+		"a takeover": func(d *testVoter) { d.takingOver = true },
 		"a repair":      func(d *testVoter) { d.state = Repairing },
 		"nothing":       func(*testVoter) {},
 	} {
 		d := newServingVoter(t)
 		callAndSettle[messages.Accepted](t, d, messages.Accept, messages.AcceptCall{B: ballotOf(1), Changes: itemsOf("r", ballotOf(1), 3, 10), Epoch: 1})
-		amid(d)
+		begin(d)
 		d.call(messages.Learn, messages.LearnCall{B: ballotOf(1)})
 		if n := len(d.fake.pending); (n > 0) != (name == "nothing") {
-			t.Errorf("amid %s: %d writes", name, n)
+			t.Errorf("during %s: %d writes", name, n)
 		}
 	}
 }
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -16,107 +16,107 @@
 	"saltmast/internal/storage"
 )
 
-// A member that lost its disk may have promised, accepted and granted what it no longer knows. It says nothing as a member
-// until it has heard so many of the others that every majority it was ever part of has one among them; each of these has put
-// the new incarnation on disk before it tells what it holds, so that answers given before and after are never counted
-// together (ballot.Sound). With three members that means both others.
+// A member that lost its disk may have promised, accepted and granted things that it no longer knows. It does not vote until it
+// has read the state of enough others that every majority it was ever part of includes one of them. Each of these writes the
+// member's new incarnation to disk before it answers, so that votes from before and after the loss are never counted together
+// (consensus.Sound). With three members, both others are needed.
 
-// recoveredState is what one other told.
+// recoveredState is the state that one other member sent.
 type recoveredState struct {
 	last   messages.Mustered // the last part
 	claims []messages.ClaimCall
-	base   configuration.Set // the value of m.Base
+	base   configuration.Set // the value of last.Base
 }
 
 const (
 	recoveryTimeout  = 700 * time.Millisecond
-	claimsPerMessage = 2000 // claims a message
+	claimsPerMessage = 2000
 )
 
-// serveRecovery tells a member that lost its disk what is held here.
-func (b *voterState) serveRecovery(c rpc.Call, m messages.MusterCall) error {
-	b.srv.Counts.Recoveries.Add(1)
-	if b.voterSet.Epoch == 0 {
-		return errcode.New(errcode.CoreOut, "%s", b.state)
+// serveRecovery sends the state of this member to one that lost its disk.
+func (s *voterState) serveRecovery(c rpc.Call, m messages.MusterCall) error {
+	s.srv.Counts.Recoveries.Add(1)
+	if s.voterSet.Epoch == 0 {
+		return errcode.New(errcode.CoreOut, "%s", s.state)
 	}
-	at := b.voterSet.Place(m.Addr)
-	if m.Inc == 0 || at < 0 || b.index < 0 {
-		c.Reply(messages.Mustered{Vouch: b.vouch(), Roll: b.voterSet}, nil)
+	at := s.voterSet.Place(m.Addr)
+	if m.Inc == 0 || at < 0 || s.index < 0 {
+		c.Reply(messages.Mustered{Vouch: s.vouch(), Roll: s.voterSet}, nil)
 		return nil
 	}
-	if b.state != Serving {
+	if s.state != Serving {
 		return errcode.New(errcode.Repairing, "")
 	}
-	if b.registerBusy {
-		b.queuedCalls = append(b.queuedCalls, func(b *voterState) { b.replyError(c, b.serveRecovery(c, m)) })
+	if s.registerBusy {
+		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.replyError(c, s.serveRecovery(c, m)) })
 		return nil
 	}
-	if b.incarnations[at] > m.Inc {
-		return errcode.New(errcode.Preempted, "incarnation %d, here %d", m.Inc, b.incarnations[at])
+	if s.incarnations[at] > m.Inc {
+		return errcode.New(errcode.Preempted, "incarnation %d, here %d", m.Inc, s.incarnations[at])
 	}
-	b.incarnations[at] = m.Inc
-	b.write([]storage.Put{b.putIncarnations()}, func(err error) {
+	s.incarnations[at] = m.Inc
+	s.write([]storage.Put{s.putIncarnations()}, func(err error) {
 		if err != nil {
 			reply(c, nil, err)
 			return
 		}
-		b.srv.enqueue(func(b *voterState) {
-			if b.state != Serving { // its own disk was given up meanwhile
+		s.srv.enqueue(func(s *voterState) {
+			if s.state != Serving { // this member's own disk was given up meanwhile
 				c.Reply(nil, errcode.New(errcode.Repairing, ""))
 				return
 			}
-			c.Reply(b.recoveryReply(m), nil)
+			c.Reply(s.recoveryReply(m), nil)
 		})
 	})
 	return nil
 }
 
-// recoveryReply is all that is held, the claims in parts by the order of their keys.
-func (b *voterState) recoveryReply(m messages.MusterCall) messages.Mustered {
-	r := b.registerPart(m.Have)
-	t := messages.Mustered{Vouch: b.vouch(), Roll: b.voterSet, Promised: b.acceptor.Promised, Accepted: b.acceptor.Accepted, Chosen: r.chosen,
-		Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta, Former: b.valueInherited()}
-	if b.seal.Shut() || !b.seal.Promised.IsZero() {
-		s := b.seal
-		t.Seal = &s
+// recoveryReply returns the requested part of this member's state: first the items, then the claims in the order of their keys.
+func (s *voterState) recoveryReply(m messages.MusterCall) messages.Mustered {
+	r := s.registerPart(m.Have)
+	t := messages.Mustered{Vouch: s.vouch(), Roll: s.voterSet, Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: r.chosen,
+		Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta, Former: s.valueInherited()}
+	if s.seal.Shut() || !s.seal.Promised.IsZero() {
+		seal := s.seal
+		t.Seal = &seal
 	}
 	if t.Upto == t.Base {
-		t.Claims, t.More = b.claimsAfter(m.From)
+		t.Claims, t.More = s.claimsAfter(m.From)
 	}
 	return t
 }
 
-// registerPart is a part of the register, as it is told to a member that takes it over.
+// registerPart is a part of the register, as sent to a member that takes it over.
 type registerPart struct {
-	chosen configuration.Ballot // of the base; zero: it was accepted alone
+	chosen configuration.Ballot // of the base; zero: the base is only accepted
 	base   configuration.Ballot
 	upto   configuration.Ballot
-	items  []configuration.Item // of the base, of ballots up to that
-	delta  []configuration.Item // of the accepted value, after the base, with the last part
+	items  []configuration.Item // of the base, of ballots up to upto
+	delta  []configuration.Item // what the accepted value changed after the base; sent with the last part
 }
 
-// registerPart is the part with the items of ballots after have. A member that catches up holds no chosen value.
-func (b *voterState) registerPart(have configuration.Ballot) (r registerPart) {
-	from := b.acceptor.Stands
-	if r.chosen, r.base = b.acceptor.Chosen, b.acceptor.Chosen; b.acceptor.CatchesUp() {
-		r.chosen, r.base, from = configuration.Ballot{}, b.acceptor.Accepted, b.acceptor.Value
+// registerPart returns the part that follows ballot have. A member that catches up holds no chosen value.
+func (s *voterState) registerPart(have configuration.Ballot) (r registerPart) {
+	from := s.acceptor.Stands
+	if r.chosen, r.base = s.acceptor.Chosen, s.acceptor.Chosen; s.acceptor.CatchesUp() {
+		r.chosen, r.base, from = configuration.Ballot{}, s.acceptor.Accepted, s.acceptor.Value
 	}
 	p := consensus.PageOf(from, r.base, have)
 	if r.items, r.upto = p.Items, p.Upto; r.upto == r.base {
-		r.delta = consensus.Since(b.acceptor.Value, r.base)
+		r.delta = consensus.Since(s.acceptor.Value, r.base)
 	}
 	return r
 }
 
-// continues reports whether a part of a register goes on where the one before it has ended: of what was accepted alone, the parts
-// have to be of one value.
+// continues reports whether a part of a register continues the previous one. Parts of a value that is only accepted must all be
+// of the same value.
 func continues(chosen, accepted, wasChosen, wasAccepted configuration.Ballot) bool {
 	return !wasChosen.IsZero() && !chosen.IsZero() || chosen == wasChosen && accepted == wasAccepted
 }
 
-// claimsAfter is a part of the claims, of keys after from.
-func (b *voterState) claimsAfter(from string) (claims []messages.ClaimCall, more bool) {
-	b.claims.All(func(key string, id idempotency.ID) {
+// claimsAfter returns the next part of the claims, with keys after from, and whether there are more.
+func (s *voterState) claimsAfter(from string) (claims []messages.ClaimCall, more bool) {
+	s.claims.All(func(key string, id idempotency.ID) {
 		if key > from {
 			claims = append(claims, messages.ClaimCall{Key: key, ID: id})
 		}
@@ -133,59 +133,59 @@
 	return claims, more
 }
 
-// repair asks others for the roll, or for all that this member has lost. One runs at a time, off the owner's goroutine, and is
-// over when what it found is on disk: one that began before would leave this member under an incarnation that others know as
-// over.
-func (b *voterState) repair() {
-	if b.recovering || b.disk == nil {
+// repair asks others for the voter set, or for everything that this member has lost. It runs off the owner's goroutine and ends
+// when its result is on disk. Only one runs at a time: if the next began earlier, the first could still complete and leave this
+// member with an incarnation that others know to be superseded.
+func (s *voterState) repair() {
+	if s.recovering || s.disk == nil {
 		return
 	}
-	b.recovering = true
-	roll, me, state, d := b.voterSet, b.index, b.state, b.disk
+	s.recovering = true
+	voterSet, index, state, d := s.voterSet, s.index, s.state, s.disk
 	var addrs []string
 	if state == Repairing {
-		for i, v := range roll.Voters {
-			if i != me {
+		for i, v := range voterSet.Voters {
+			if i != index {
 				addrs = append(addrs, v.Addr)
 			}
 		}
 	} else {
-		for _, s := range b.srv.opts.Seeds() {
-			if s != b.srv.opts.Addr {
-				addrs = append(addrs, s)
+		for _, seed := range s.srv.opts.Seeds() {
+			if seed != s.srv.opts.Addr {
+				addrs = append(addrs, seed)
 			}
 		}
 	}
 	go func() {
 		var f func(*voterState)
 		if state == Repairing {
-			f = b.srv.collectRecovery(addrs, roll, me, d)
+			f = s.srv.collectRecovery(addrs, voterSet, index, d)
 		} else {
-			f = b.srv.findVoterSet(addrs)
+			f = s.srv.findVoterSet(addrs)
 		}
-		b.srv.owner.Send(func(b *voterState) {
+		s.srv.owner.Send(func(s *voterState) {
 			if f == nil {
-				b.recovering = false
+				s.recovering = false
 				return
 			}
-			f(b)
+			f(s)
 		})
 	}()
 }
 
-// askAll makes one call to each address, and gives the answers that came.
-func askAll[T any](p *Server, addrs []string, kind uint8, call any, wait time.Duration) (out []T, from []string) {
-	type told struct {
+// askAll makes one call to each address and returns the successful answers with their addresses.
+func askAll[T any](srv *Server, addrs []string, kind uint8, call any, wait time.Duration) (out []T, from []string) {
+	type response struct {
 		v    T
 		addr string
 		err  error
 	}
-	ch := make(chan told, len(addrs))
+	ch := make(chan response, len(addrs))
 	for _, a := range addrs {
 		go func() {
-			c := rpc.NewClient(p.opts.Net, a)
+			c := rpc.NewClient(srv.opts.Net, a)
 			defer c.Close()
-			t := told{addr: a}
+			t := response{addr: a}
 			t.err = c.Call(kind, call, &t.v, wait)
 			ch <- t
 		}()
@@ -198,69 +198,70 @@
 	return out, from
 }
 
-// findVoterSet learns from others who counts.
-func (p *Server) findVoterSet(addrs []string) func(*voterState) {
-	told, _ := askAll[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.opts.Addr}, recoveryTimeout)
-	var roll messages.Roll
-	for _, t := range told {
-		if t.Roll.Epoch > roll.Epoch {
-			roll = t.Roll
+// findVoterSet asks others for the newest voter set. It returns nil if nobody knows one.
+func (srv *Server) findVoterSet(addrs []string) func(*voterState) {
+	answers, _ := askAll[messages.Mustered](srv, addrs, messages.Muster, messages.MusterCall{Addr: srv.opts.Addr}, recoveryTimeout)
+	var voterSet messages.Roll
+	for _, t := range answers {
+		if t.Roll.Epoch > voterSet.Epoch {
+			voterSet = t.Roll
 		}
 	}
-	if roll.Epoch == 0 {
+	if voterSet.Epoch == 0 {
 		return nil
 	}
-	return func(b *voterState) {
-		b.recovering = false
-		if b.voterSet.Epoch >= roll.Epoch || b.disk == nil {
+	return func(s *voterState) {
+		s.recovering = false
+		if s.voterSet.Epoch >= voterSet.Epoch || s.disk == nil {
 			return
 		}
-		if b.takingOver { // it takes an office over, and hears of the roll by that
+		if s.takingOver { // the takeover brings the voter set
 			return
 		}
-		b.voterSet = roll
-		b.locate()
-		b.write([]storage.Put{b.putVoterSet(), b.putIncarnations()}, func(error) {}) // asked for again where it is lost
-		if b.index >= 0 {
-			b.setState(Repairing)
-			b.repair()
+		s.voterSet = voterSet
+		s.locate()
+		s.write([]storage.Put{s.putVoterSet(), s.putIncarnations()}, func(error) {}) // if this fails, it is asked for again
+		if s.index >= 0 {
+			s.setState(Repairing)
+			s.repair()
 		} else {
-			b.setState(NonVoter)
+			s.setState(NonVoter)
 		}
-		b.notifyWatchers()
+		s.notifyWatchers()
 	}
 }
 
-// collectRecovery makes up for a lost disk.
-func (p *Server) collectRecovery(addrs []string, roll messages.Roll, me int, d disk) func(*voterState) {
-	n := len(roll.Voters)
-	need := n - consensus.Majority(n) + 1 // with fewer others heard, a majority that held this member may have none among them
-	known, _ := askAll[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.opts.Addr}, recoveryTimeout)
+// collectRecovery reads the state of the other members under a new incarnation. It returns the command that restores it, or
+// nil if too few answered.
+func (srv *Server) collectRecovery(addrs []string, voterSet messages.Roll, index int, d disk) func(*voterState) {
+	n := len(voterSet.Voters)
+	need := n - consensus.Majority(n) + 1 // fewer could miss a majority that this member was part of
+	known, _ := askAll[messages.Mustered](srv, addrs, messages.Muster, messages.MusterCall{Addr: srv.opts.Addr}, recoveryTimeout)
 	for _, k := range known {
-		if k.Roll.Epoch > roll.Epoch {
-			return func(b *voterState) {
-				b.recovering = false
-				b.learnVoterSet(k.Roll, func(error) {})
+		if k.Roll.Epoch > voterSet.Epoch {
+			return func(s *voterState) {
+				s.recovering = false
+				s.learnVoterSet(k.Roll, func(error) {})
 			}
 		}
 	}
 	if len(known) < need {
 		return nil
 	}
-	var inc uint64
+	var incarnation uint64
 	for _, k := range known {
-		if me < len(k.Vouch.Incs) {
-			inc = max(inc, k.Vouch.Incs[me])
+		if index < len(k.Vouch.Incs) {
+			incarnation = max(incarnation, k.Vouch.Incs[index])
 		}
 	}
-	inc++
+	incarnation++
 	var got []recoveredState
-	first, from := askAll[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.opts.Addr, Inc: inc}, recoveryTimeout)
+	first, from := askAll[messages.Mustered](srv, addrs, messages.Muster, messages.MusterCall{Addr: srv.opts.Addr, Inc: incarnation}, recoveryTimeout)
 	for i, m := range first {
-		one := recoveredState{last: m, claims: m.Claims, base: configuration.SetOf(m.Items...)}
-		c := rpc.NewClient(p.opts.Net, from[i])
+		state := recoveredState{last: m, claims: m.Claims, base: configuration.SetOf(m.Items...)}
+		c := rpc.NewClient(srv.opts.Net, from[i])
 		for m.More || m.Upto != m.Base {
-			call := messages.MusterCall{Addr: p.opts.Addr, Inc: inc, Have: m.Upto}
+			call := messages.MusterCall{Addr: srv.opts.Addr, Inc: incarnation, Have: m.Upto}
 			if m.More {
 				call.From = m.Claims[len(m.Claims)-1].Key
 			}
@@ -269,15 +270,15 @@
 				c.Close()
 				return nil
 			}
-			if !continues(m.Chosen, m.Accepted, one.last.Chosen, one.last.Accepted) {
+			if !continues(m.Chosen, m.Accepted, state.last.Chosen, state.last.Accepted) {
 				c.Close()
 				return nil
 			}
-			one.last, one.claims, one.base = m, append(one.claims, m.Claims...), one.base.With(m.Items...)
+			state.last, state.claims, state.base = m, append(state.claims, m.Claims...), state.base.With(m.Items...)
 		}
 		c.Close()
-		if m.Vouch.By >= 0 && m.Roll.Epoch == roll.Epoch {
-			got = append(got, one)
+		if m.Vouch.By >= 0 && m.Roll.Epoch == voterSet.Epoch {
+			got = append(got, state)
 		}
 	}
 	if len(got) < need {
@@ -285,83 +286,83 @@
 	}
 	left, err := staleRows(d)
 	if err != nil {
-		p.opts.Log("repair", err.Error())
+		srv.opts.Log("repair", err.Error())
 		return nil
 	}
-	return func(b *voterState) { b.restore(inc, got, left) }
+	return func(s *voterState) { s.restore(incarnation, got, left) }
 }
 
-// restore takes what the others told, puts it on disk in place of what is left there, and counts again.
-func (b *voterState) restore(inc uint64, got []recoveredState, left []storage.Put) {
-	if b.state != Repairing || b.disk == nil {
-		b.recovering = false
+// restore merges the state of the other members and writes it to disk, after the deletions in left. Then this member votes again.
+func (s *voterState) restore(incarnation uint64, got []recoveredState, left []storage.Put) {
+	if s.state != Repairing || s.disk == nil {
+		s.recovering = false
 		return
 	}
-	b.resetContent()
-	b.seal, b.sealDurable, b.formerEpoch, b.inheritedBallot = reconfig.Seal{}, false, nil, configuration.Ballot{}
-	incs := make([]uint64, len(b.voterSet.Voters))
-	incs[b.index] = inc
-	voted := false // somebody accepted the value in this epoch
+	s.resetContent()
+	s.seal, s.sealDurable, s.formerEpoch, s.inheritedBallot = reconfig.Seal{}, false, nil, configuration.Ballot{}
+	incarnations := make([]uint64, len(s.voterSet.Voters))
+	incarnations[s.index] = incarnation
+	voted := false // a member accepted the value in this epoch
 	var value configuration.Set
 	for _, g := range got {
 		for i, k := range g.last.Vouch.Incs {
-			if i < len(incs) && i != b.index {
-				incs[i] = max(incs[i], k)
+			if i < len(incarnations) && i != s.index {
+				incarnations[i] = max(incarnations[i], k)
 			}
 		}
-		if b.acceptor.Promised.Less(g.last.Promised) {
-			b.acceptor.Promised = g.last.Promised
+		if s.acceptor.Promised.Less(g.last.Promised) {
+			s.acceptor.Promised = g.last.Promised
 		}
-		if b.acceptor.Chosen.Less(g.last.Chosen) {
-			b.acceptor.Chosen, b.acceptor.Stands = g.last.Chosen, g.base
+		if s.acceptor.Chosen.Less(g.last.Chosen) {
+			s.acceptor.Chosen, s.acceptor.Stands = g.last.Chosen, g.base
 		}
-		if b.acceptor.Accepted.Less(g.last.Accepted) {
-			b.acceptor.Accepted, voted = g.last.Accepted, false
+		if s.acceptor.Accepted.Less(g.last.Accepted) {
+			s.acceptor.Accepted, voted = g.last.Accepted, false
 			value = g.base.With(g.last.Delta...)
 		}
-		voted = voted || g.last.Accepted == b.acceptor.Accepted && !g.last.Former
+		voted = voted || g.last.Accepted == s.acceptor.Accepted && !g.last.Former
 		if g.last.Seal != nil {
-			b.seal.Learn(*g.last.Seal)
+			s.seal.Learn(*g.last.Seal)
 		}
 		for _, c := range g.claims {
-			b.claims.Restore(b.now(), c.Key, c.ID)
+			s.claims.Restore(s.now(), c.Key, c.ID)
 		}
 	}
 	if !voted {
-		b.inheritedBallot = b.acceptor.Accepted
+		s.inheritedBallot = s.acceptor.Accepted
 	}
-	delta := consensus.Since(value, b.acceptor.Chosen)
-	b.acceptor.Value = b.acceptor.Stands.With(delta...)
-	puts, bundles := b.putDelta(delta)
-	b.deltaRows = bundles
-	puts = append(puts, putBallots(b.acceptor)...)
-	for i := range b.acceptor.Stands.All() {
+	delta := consensus.Since(value, s.acceptor.Chosen)
+	s.acceptor.Value = s.acceptor.Stands.With(delta...)
+	puts, rows := s.putDelta(delta)
+	s.deltaRows = rows
+	puts = append(puts, putBallots(s.acceptor)...)
+	for i := range s.acceptor.Stands.All() {
 		puts = append(puts, putItem(i))
 	}
-	b.claims.All(func(key string, id idempotency.ID) { puts = append(puts, putClaim(key, id)) })
-	if b.voterSet.Epoch > 1 || b.seal.Shut() || !b.seal.Promised.IsZero() {
-		puts = append(puts, b.putReconfig()...)
+	s.claims.All(func(key string, id idempotency.ID) { puts = append(puts, putClaim(key, id)) })
+	if s.voterSet.Epoch > 1 || s.seal.Shut() || !s.seal.Promised.IsZero() {
+		puts = append(puts, s.putReconfig()...)
 	}
-	puts = append(left, puts...) // in one order: what shall be there comes after
-	saved := b.incarnations
-	b.incarnations = incs
-	puts = append(puts, b.putIncarnations()) // its incarnation comes last: before it, the repair is not done
-	b.incarnations = saved
-	b.writeInParts(puts, func(b *voterState, err error) {
-		b.recovering = false
+	puts = append(left, puts...) // deletions first
+	saved := s.incarnations
+	s.incarnations = incarnations
+	puts = append(puts, s.putIncarnations()) // last: without the incarnation on disk, the repair is not done
+	s.incarnations = saved
+	s.writeInParts(puts, func(s *voterState, err error) {
+		s.recovering = false
 		if err != nil {
-			b.srv.opts.Log("repair", err.Error())
+			s.srv.opts.Log("repair", err.Error())
 			return
 		}
-		b.incarnations, b.sealDurable = incs, b.seal.Shut()
-		b.setState(Serving)
-		b.srv.opts.Log("repair", fmt.Sprintf("made up for by %d others: incarnation %d, %d items, %d keys", len(got), inc, b.acceptor.Value.Len(), b.claims.Len()))
-		b.notifyWatchers()
+		s.incarnations, s.sealDurable = incarnations, s.seal.Shut()
+		s.setState(Serving)
+		s.srv.opts.Log("repair", fmt.Sprintf("made up for by %d others: incarnation %d, %d items, %d keys", len(got), incarnation, s.acceptor.Value.Len(), s.claims.Len()))
+		s.notifyWatchers()
 	})
 }
 
-// staleRows are the deletions of all items and claims on disk: of a repair that died. It waits for the disk, and is not for the
-// owner's goroutine.
+// staleRows returns deletions of all items and claims on disk, which an interrupted repair may have left. It blocks on the disk,
+// so it must not run on the owner's goroutine.
 func staleRows(d disk) ([]storage.Put, error) {
 	return deletions(d, tableItems, tableDelta, tableClaims)
 }
@@ -376,25 +377,25 @@
 	return out, err
 }
 
-// Bounds of one part of what is saved: each passes through the disk's queue beside what else there is.
+// Bounds of one part of a long write, so that it fits into the storage queue beside other writes.
 const (
 	partPuts  = 1000
 	partBytes = 256 << 10
 )
 
-// writeInParts writes puts in parts, each when the one before is on disk. done hears of the end in its turn.
-func (b *voterState) writeInParts(puts []storage.Put, done func(*voterState, error)) {
+// writeInParts writes puts in parts, each after the previous one is on disk. done is called on the owner's goroutine.
+func (s *voterState) writeInParts(puts []storage.Put, done func(*voterState, error)) {
 	n := 0
 	for size := 0; n < len(puts) && n < partPuts && size < partBytes; n++ {
 		size += len(puts[n].Key) + len(puts[n].Value)
 	}
-	b.write(puts[:n], func(err error) {
-		b.srv.enqueue(func(b *voterState) {
+	s.write(puts[:n], func(err error) {
+		s.srv.enqueue(func(s *voterState) {
 			if err != nil || n == len(puts) {
-				done(b, err)
+				done(s, err)
 				return
 			}
-			b.writeInParts(puts[n:], done)
+			s.writeInParts(puts[n:], done)
 		})
 	})
 }
--- a/internal/store/server.go
+++ b/internal/store/server.go
@@ -1,6 +1,6 @@
-// Package store is the store of the mesh: it keeps what must not be lost, the operator's configuration, the claims of
-// operation keys and the roll of those that count, each on disk before it is told. One goroutine owns it all and works
-// through a queue of commands; the disk has one of its own. Start reading at Start.
+// Package store implements one voter of the mesh's replicated store. It keeps the operator's configuration, the claims of
+// idempotency keys and the voter set, each on disk before it is acknowledged. One goroutine owns the state and works through a
+// queue of commands; the storage has a goroutine of its own. Start reading at Start.
 package store
 
 import (
@@ -31,61 +31,61 @@
 	tableMeta   storage.Table = 1
 	tableItems  storage.Table = 2
 	tableClaims storage.Table = 3
-	tableDelta  storage.Table = 4 // what was accepted beside the items, in bundles
+	tableDelta  storage.Table = 4 // what was accepted beyond the items, several items a row
 )
 
-// State of a purser.
+// State is the state of a voter's store.
 type State string
 
 // The states.
 const (
 	Serving    State = "serving"
-	NonVoter   State = "apart"     // it does not count
-	Repairing  State = "repairing" // it counts, and its disk was lost
+	NonVoter   State = "apart"     // not in the voter set
+	Repairing  State = "repairing" // in the voter set, restoring what its lost disk held
 	NoDisk     State = "no disk"   // the disk can't be opened
-	NoVoterSet State = "no roll"   // it does not know yet who counts
+	NoVoterSet State = "no roll"   // the voter set is not known yet
 )
 
-// Options are what a purser is started with.
+// Options configure a Server.
 type Options struct {
-	Addr          string // host:port it is called at
-	Dir           string // of its disk
+	Addr          string // host:port it listens on
+	Dir           string // folder of its storage
 	Zone          string
-	Bootstrap     bool             // the very first start: Found counts from now on
-	InitialVoters []messages.Voter // who counts at the very first start
-	Seeds         func() []string  // where other pursers may be
-	QuorumMember  bool             // its machine is one whose loss is bounded
-	Window        time.Duration    // keys are kept for so long at least
-	MaxBytes      int64            // on disk
-	FirstPort     int              // the first of the free ports, on every machine; 0: no harbourmaster is asked
+	Bootstrap     bool             // very first start of the mesh: InitialVoters become the first voter set
+	InitialVoters []messages.Voter // used with Bootstrap
+	Seeds         func() []string  // addresses at which other stores may be found
+	QuorumMember  bool             // runs on a machine for which the number of simultaneous losses is bounded
+	Window        time.Duration    // claims are kept at least this long
+	MaxBytes      int64            // bound of the database file
+	FirstPort     int              // first of the free ports, the same on every machine; 0: registries are not asked for marks
 	Net           sock.Net         // nil: the system's
-	SimulatedDisk func() error     // of hold.Options
+	SimulatedDisk func() error     // passed on to storage.Options
 	Log           func(event, text string)
 }
 
-// Counts of what a purser did.
+// Counts counts what a Server did since its start.
 type Counts struct {
 	Claims, Denied, Released, Refused, Accepts, Prepares, Watches, Recoveries atomic.Int64
 }
 
-// Server is one member's store.
+// Server is one voter of the replicated store, or a store that may become one.
 type Server struct {
 	opts              Options
 	owner             *rpc.Owner[voterState]
 	rpcServer         *rpc.Server
 	Counts            Counts
 	stopped           chan struct{}
-	diskWork          sync.WaitGroup // openings of the disk, and closings ahead of one
+	diskWork          sync.WaitGroup // running opens of the disk, and closes that precede one
 	openStorage       func(storage.Options) (disk, storage.Condition, error)
-	runAsync          func(func() func(*voterState))      // does what waits beside the owner's goroutine, and queues the command that it gives
-	enqueue           func(func(*voterState))             // queues a command from where nobody may wait
-	fetchMarks        func(messages.Roll) []messages.Mark // asks harbourmasters what this member told last
-	savedMark         atomic.Uint64                       // the last mark that is on disk
-	failedClaimWrites atomic.Int64                        // writes of claims that failed: these may be held in memory alone
-	failingSince      atomic.Int64                        // since when, by books.now and plus one, each write failed that ended; 0: the last did not
+	runAsync          func(func() func(*voterState))      // runs blocking work off the owner's goroutine and queues the command that it returns
+	enqueue           func(func(*voterState))             // queues a command without blocking the caller
+	fetchMarks        func(messages.Roll) []messages.Mark // asks the registries for the last mark that this member reported
+	savedMark         atomic.Uint64                       // last mark that is on disk
+	failedClaimWrites atomic.Int64                        // failed writes of claims, which may be held in memory only
+	failingSince      atomic.Int64                        // start of an unbroken run of failed writes, by voterState.now plus one; 0: the last write succeeded
 }
 
-// disk is what a purser asks of its hold.
+// disk is the part of storage.DB that a Server uses.
 type disk interface {
 	Load(t storage.Table, each func(key, value []byte) error) error
 	Write(puts []storage.Put, done func(error))
@@ -93,50 +93,51 @@
 	Close() error
 }
 
-// voterState are the tables.
+// voterState is the state of a Server. It belongs to the goroutine of Server.owner.
 type voterState struct {
 	srv                 *Server
 	startedAt           time.Time
 	state               State
-	disk                disk // nil: there is none
+	disk                disk // nil: not open
 	acceptor            *consensus.Acceptor
 	claims              *idempotency.Ledger
 	leases              *lease.Granter
 	voterSet            messages.Roll
-	index               int      // place in the roll; -1: none
-	incarnations        []uint64 // by place
+	index               int      // in the voter set; -1: not a voter
+	incarnations        []uint64 // by index in the voter set
 	seal                reconfig.Seal
-	sealDurable         bool                 // the seal is shut, or the books are past, and that is on disk
-	inheritedBallot     configuration.Ballot // the value accepted in a former epoch; zero: none
-	diskID              uint64               // of the disk, by which a roll names it; 0: it was never asked for
-	formerEpoch         *formerEpoch         // the books are of a former epoch
-	restoredClaimWrites int64                // of adrift, that a taking over has made up for
-	takingOver          bool                 // books are being taken over
-	takeoverWaiters     []func(error)        // who hear of that
-	registerBusy        bool                 // the register is on its way to disk
-	deltaRows           int                  // of the delta, on disk
+	sealDurable         bool                 // the disk records that the epoch has ended here: a shut seal, or formerEpoch
+	inheritedBallot     configuration.Ballot // ballot of the value that was accepted in a former epoch; zero: none
+	diskID              uint64               // by which a voter set names this disk; 0: never requested
+	formerEpoch         *formerEpoch         // set if the tables belong to a former epoch
+	restoredClaimWrites int64                // value of Server.failedClaimWrites that a takeover has written again
+	takingOver          bool                 // the state of a former epoch is being taken over
+	takeoverWaiters     []func(error)        // called when the takeover ends
+	registerBusy        bool                 // a change of the register is being written
+	deltaRows           int                  // rows of tableDelta on disk
 	queuedCalls         []func(*voterState)
 	watchers            []*watcher
 	recovering          bool
 	openingDisk         bool          // the disk is being opened
-	bootstrapping       bool          // the founding is on its way to disk
-	mark                uint64        // the last that was given to the disk
-	markedAt            time.Duration // and when
-	newerMark           messages.Mark // that was told from a later disk than the one that was read; zero: none
-	diskUsed            bool          // a disk was in use before, or found damaged: an empty one is no beginning any more
-	closed              bool          // the purser ends
-	diskError           string        // why the disk could not be opened or took no founding, as the log has it
+	bootstrapping       bool          // the first voter set is being written
+	mark                uint64        // last mark passed to the disk
+	markedAt            time.Duration // when that was
+	newerMark           messages.Mark // reported mark that the disk is behind; zero: none
+	diskUsed            bool          // a disk was used before or found damaged, so an empty one must not bootstrap
+	closed              bool          // the Server is closing
+	diskError           string        // last logged reason why the disk could not be opened or bootstrapped
 }
 
+// watcher is a Watch call that is held until there is news.
 type watcher struct {
 	call       rpc.Call
 	request    messages.WatchCall
 	receivedAt time.Duration
-	timer      *time.Timer // of its end
+	timer      *time.Timer // ends the hold
 	done       bool
 }
 
-// Start begins to serve at o.Addr.
+// Start starts a Server that listens on o.Addr.
 func Start(o Options) (*Server, error) {
 	l, err := rpc.Listen(o.Net, o.Addr)
 	if err != nil {
@@ -145,51 +146,51 @@
 	return StartOn(o, l), nil
 }
 
-// StartOn is Start on a listener that is open.
+// StartOn is like Start, on an open listener.
 func StartOn(o Options, l net.Listener) *Server {
-	p := &Server{opts: o, stopped: make(chan struct{}), openStorage: openStorage}
-	p.fetchMarks = p.askRegistries
-	p.enqueue = func(f func(*voterState)) { go p.owner.Send(f) }
-	p.runAsync = func(f func() func(*voterState)) {
+	srv := &Server{opts: o, stopped: make(chan struct{}), openStorage: openStorage}
+	srv.fetchMarks = srv.askRegistries
+	srv.enqueue = func(f func(*voterState)) { go srv.owner.Send(f) }
+	srv.runAsync = func(f func() func(*voterState)) {
 		go func() {
-			if g := f(); !p.owner.Ask(g) { // it has ended meanwhile
-				g(&voterState{srv: p, closed: true})
+			if g := f(); !srv.owner.Ask(g) { // the owner has ended
+				g(&voterState{srv: srv, closed: true})
 			}
 		}()
 	}
-	b := &voterState{srv: p, startedAt: time.Now(), state: NoDisk, index: -1, leases: lease.NewGranter(0)}
-	b.resetContent()
-	p.owner = rpc.Own(b, 1024)
-	p.rpcServer = rpc.Serve(l, p.handle)
-	p.owner.Send((*voterState).openDisk)
-	go p.tick()
-	return p
+	s := &voterState{srv: srv, startedAt: time.Now(), state: NoDisk, index: -1, leases: lease.NewGranter(0)}
+	s.resetContent()
+	srv.owner = rpc.Own(s, 1024)
+	srv.rpcServer = rpc.Serve(l, srv.handle)
+	srv.owner.Send((*voterState).openDisk)
+	go srv.tick()
+	return srv
 }
 
 func openStorage(o storage.Options) (disk, storage.Condition, error) {
-	h, start, err := storage.Open(o)
+	db, condition, err := storage.Open(o)
 	if err != nil {
-		return nil, start, err
+		return nil, condition, err
 	}
-	return h, start, nil
+	return db, condition, nil
 }
 
 // closeTimeout bounds how long Close waits for a disk that is being opened.
 const closeTimeout = 5 * time.Second
 
-// Close ends it; what is queued for the disk is waited for, and so is a disk that is being opened: behind Close nothing of it
-// touches the folder any more, but for an ErrStalled.
-func (p *Server) Close() error {
-	close(p.stopped)
-	p.rpcServer.Close()
+// Close stops the Server. It waits for queued writes and for a disk that is being opened: unless it returns ErrStalled, nothing
+// touches the folder afterwards.
+func (srv *Server) Close() error {
+	close(srv.stopped)
+	srv.rpcServer.Close()
 	var disk disk
-	p.owner.Ask(func(b *voterState) { disk, b.closed = b.disk, true })
-	p.owner.End()
+	srv.owner.Ask(func(s *voterState) { disk, s.closed = s.disk, true })
+	srv.owner.End()
 	if disk != nil {
 		return disk.Close()
 	}
 	opened := make(chan struct{})
-	go func() { p.diskWork.Wait(); close(opened) }()
+	go func() { srv.diskWork.Wait(); close(opened) }()
 	select {
 	case <-opened:
 		return nil
@@ -198,179 +199,180 @@
 	}
 }
 
-// Status is for the log and the console.
+// Status is a summary for the log and the console.
 type Status struct {
 	State      State
 	Keys       int
 	Chosen     configuration.Ballot
 	VoterSet   messages.Roll
-	EpochEnded bool // its epoch has ended here
+	EpochEnded bool // the epoch of VoterSet has ended for this voter
 	DiskStall  time.Duration
 }
 
-// Status tells how it stands.
-func (p *Server) Status() (s Status) {
-	p.owner.Ask(func(b *voterState) {
-		s = Status{State: b.state, Keys: b.claims.Len(), Chosen: b.acceptor.Chosen, VoterSet: b.voterSet, EpochEnded: b.seal.Shut()}
-		if b.disk != nil {
-			s.DiskStall = b.disk.Stalled()
+// Status returns the current status.
+func (srv *Server) Status() (status Status) {
+	srv.owner.Ask(func(s *voterState) {
+		status = Status{State: s.state, Keys: s.claims.Len(), Chosen: s.acceptor.Chosen, VoterSet: s.voterSet, EpochEnded: s.seal.Shut()}
+		if s.disk != nil {
+			status.DiskStall = s.disk.Stalled()
 		}
 	})
-	return s
+	return status
 }
 
 const tickInterval = 250 * time.Millisecond
 
-func (p *Server) tick() {
+func (srv *Server) tick() {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			p.owner.Send((*voterState).tick)
-		case <-p.stopped:
+			srv.owner.Send((*voterState).tick)
+		case <-srv.stopped:
 			return
 		}
 	}
 }
 
-func (b *voterState) now() time.Duration { return time.Since(b.startedAt) }
+// now returns the time since the start.
+func (s *voterState) now() time.Duration { return time.Since(s.startedAt) }
 
-// resetContent forgets what is kept on disk, other than the roll.
-func (b *voterState) resetContent() {
-	b.acceptor, b.claims, b.deltaRows = consensus.NewAcceptor(), idempotency.NewLedger(b.srv.opts.Window), 0
+// resetContent clears the register and the claims.
+func (s *voterState) resetContent() {
+	s.acceptor, s.claims, s.deltaRows = consensus.NewAcceptor(), idempotency.NewLedger(s.srv.opts.Window), 0
 }
 
-// reset forgets all that a disk told.
-func (b *voterState) reset() {
-	b.resetContent()
-	b.voterSet, b.incarnations, b.index = messages.Roll{}, nil, -1
-	b.seal, b.sealDurable, b.inheritedBallot, b.diskID, b.formerEpoch = reconfig.Seal{}, false, configuration.Ballot{}, 0, nil
+// reset clears everything that is loaded from disk.
+func (s *voterState) reset() {
+	s.resetContent()
+	s.voterSet, s.incarnations, s.index = messages.Roll{}, nil, -1
+	s.seal, s.sealDurable, s.inheritedBallot, s.diskID, s.formerEpoch = reconfig.Seal{}, false, configuration.Ballot{}, 0, nil
 }
 
-func (b *voterState) setState(s State) {
-	if s != b.state {
-		b.srv.opts.Log("state", fmt.Sprintf("%s -> %s", b.state, s))
-		b.state = s
+func (s *voterState) setState(state State) {
+	if state != s.state {
+		s.srv.opts.Log("state", fmt.Sprintf("%s -> %s", s.state, state))
+		s.state = state
 	}
 }
 
-// openDisk opens the disk and reads all that is there.
-//
-// The disk is waited for beside the owner's goroutine: one that hangs must not silence watches and reports.
-func (b *voterState) openDisk() {
-	if b.openingDisk || b.closed {
+// openDisk opens the disk and loads its content. This runs off the owner's goroutine: a disk that hangs must not delay watches
+// and reports.
+func (s *voterState) openDisk() {
+	if s.openingDisk || s.closed {
 		return
 	}
-	b.openingDisk = true
-	b.srv.diskWork.Add(1)
-	p, begun := b.srv, b.startedAt
-	p.runAsync(func() func(*voterState) {
-		disk, found, err := p.openStorage(storage.Options{Dir: p.opts.Dir, MaxBytes: p.opts.MaxBytes, SimulatedDisk: p.opts.SimulatedDisk,
-			Log: func(s string) { p.opts.Log("disk", s) }})
-		read := &voterState{srv: p, startedAt: begun, disk: disk}
+	s.openingDisk = true
+	s.srv.diskWork.Add(1)
+	srv, startedAt := s.srv, s.startedAt
+	srv.runAsync(func() func(*voterState) {
+		disk, found, err := srv.openStorage(storage.Options{Dir: srv.opts.Dir, MaxBytes: srv.opts.MaxBytes, SimulatedDisk: srv.opts.SimulatedDisk,
+			Log: func(text string) { srv.opts.Log("disk", text) }})
+		read := &voterState{srv: srv, startedAt: startedAt, disk: disk}
 		if read.reset(); err == nil {
-			p.opts.Log("disk", "found "+found.String())
-			if err = read.loadDisk(); err != nil { // nothing of it counts, above all not its incarnation: the next disk may be an empty one
+			srv.opts.Log("disk", "found "+found.String())
+			if err = read.loadDisk(); err != nil { // discard all of it, above all the incarnation: the next disk may be empty
 				disk.Close()
 				err = fmt.Errorf("reading: %w", err)
 			} else {
 				read.detectOldCopy()
 			}
 		}
-		return func(b *voterState) {
-			defer p.diskWork.Done()
-			b.diskOpened(read, found, err)
+		return func(s *voterState) {
+			defer srv.diskWork.Done()
+			s.diskOpened(read, found, err)
 		}
 	})
 }
 
-// diskOpened takes what was read off a disk.
-func (b *voterState) diskOpened(read *voterState, found storage.Condition, err error) {
-	b.openingDisk = false
-	b.diskUsed = b.diskUsed || found == storage.Damaged
+// diskOpened takes over what was loaded from a disk.
+func (s *voterState) diskOpened(read *voterState, found storage.Condition, err error) {
+	s.openingDisk = false
+	s.diskUsed = s.diskUsed || found == storage.Damaged
 	switch {
 	case err != nil:
-		if text := err.Error(); text != b.diskError {
-			b.diskError = text
-			b.srv.opts.Log("disk", text)
+		if text := err.Error(); text != s.diskError {
+			s.diskError = text
+			s.srv.opts.Log("disk", text)
 		}
 		return
-	case b.closed:
+	case s.closed:
 		read.disk.Close()
 		return
 	}
-	b.diskError = ""
-	b.disk, b.acceptor, b.claims, b.voterSet, b.incarnations, b.index = read.disk, read.acceptor, read.claims, read.voterSet, read.incarnations, read.index
-	b.deltaRows = read.deltaRows
-	b.seal, b.sealDurable, b.inheritedBallot, b.diskID, b.formerEpoch = read.seal, read.seal.Shut() || read.formerEpoch != nil, read.inheritedBallot, read.diskID, read.formerEpoch
-	b.mark, b.markedAt = read.mark, b.now()
-	b.srv.savedMark.Store(b.mark)
+	s.diskError = ""
+	s.disk, s.acceptor, s.claims, s.voterSet, s.incarnations, s.index = read.disk, read.acceptor, read.claims, read.voterSet, read.incarnations, read.index
+	s.deltaRows = read.deltaRows
+	s.seal, s.sealDurable, s.inheritedBallot, s.diskID, s.formerEpoch = read.seal, read.seal.Shut() || read.formerEpoch != nil, read.inheritedBallot, read.diskID, read.formerEpoch
+	s.mark, s.markedAt = read.mark, s.now()
+	s.srv.savedMark.Store(s.mark)
 	switch {
-	case b.voterSet.Epoch > 0:
-		b.locate()
+	case s.voterSet.Epoch > 0:
+		s.locate()
 		if read.newerMark != (messages.Mark{}) {
-			b.srv.opts.Log("disk", fmt.Sprintf("older than what was told from it: %+v", read.newerMark))
-			b.incarnations[b.index] = 0
-			b.write([]storage.Put{b.putIncarnations()}, func(error) {}) // else it is found out again
+			s.srv.opts.Log("disk", fmt.Sprintf("older copy: this mark was reported from a later state of the disk: %+v", read.newerMark))
+			s.incarnations[s.index] = 0
+			s.write([]storage.Put{s.putIncarnations()}, func(error) {}) // if this fails, the old copy is detected again
 		}
-		if b.index >= 0 && b.incarnations[b.index] == 0 { // it died amid a repair
-			b.setState(Repairing)
-		} else if b.index >= 0 {
-			b.setState(Serving)
+		if s.index >= 0 && s.incarnations[s.index] == 0 { // it stopped during a repair
+			s.setState(Repairing)
+		} else if s.index >= 0 {
+			s.setState(Serving)
 		} else {
-			b.setState(NonVoter)
+			s.setState(NonVoter)
 		}
-	case b.srv.opts.Bootstrap && !b.diskUsed && found == storage.Empty && len(b.srv.opts.InitialVoters) > 0:
-		b.bootstrap()
+	case s.srv.opts.Bootstrap && !s.diskUsed && found == storage.Empty && len(s.srv.opts.InitialVoters) > 0:
+		s.bootstrap()
 	default:
-		b.setState(NoVoterSet)
+		s.setState(NoVoterSet)
 	}
-	if b.state == NoVoterSet || b.state == Repairing {
-		b.repair()
+	if s.state == NoVoterSet || s.state == Repairing {
+		s.repair()
 	}
 }
 
-// bootstrap begins the very first epoch.
-func (b *voterState) bootstrap() {
-	b.voterSet = messages.Roll{Epoch: 1, Voters: b.srv.opts.InitialVoters}
-	b.incarnations = make([]uint64, len(b.voterSet.Voters))
-	b.locate()
-	if b.index >= 0 {
-		for i := range b.incarnations {
-			b.incarnations[i] = 1
+// bootstrap begins the first epoch, with the initial voters.
+func (s *voterState) bootstrap() {
+	s.voterSet = messages.Roll{Epoch: 1, Voters: s.srv.opts.InitialVoters}
+	s.incarnations = make([]uint64, len(s.voterSet.Voters))
+	s.locate()
+	if s.index >= 0 {
+		for i := range s.incarnations {
+			s.incarnations[i] = 1
 		}
 	}
-	b.bootstrapping = true
-	b.disk.Write([]storage.Put{b.putVoterSet(), b.putIncarnations()}, func(err error) {
-		b.srv.enqueue(func(b *voterState) {
-			b.bootstrapping = false
+	s.bootstrapping = true
+	s.disk.Write([]storage.Put{s.putVoterSet(), s.putIncarnations()}, func(err error) {
+		s.srv.enqueue(func(s *voterState) {
+			s.bootstrapping = false
 			switch {
-			case err != nil: // it was part of nothing yet: the next tick begins again
-				b.reset()
-				if text := err.Error(); text != b.diskError {
-					b.diskError = text
-					b.srv.opts.Log("disk", text)
+			case err != nil: // it has not voted yet: the next tick tries again
+				s.reset()
+				if text := err.Error(); text != s.diskError {
+					s.diskError = text
+					s.srv.opts.Log("disk", text)
 				}
-			case b.index >= 0:
-				b.setState(Serving)
+			case s.index >= 0:
+				s.setState(Serving)
 			default:
-				b.setState(NonVoter)
+				s.setState(NonVoter)
 			}
-			b.notifyWatchers()
+			s.notifyWatchers()
 		})
 	})
 }
 
-func (b *voterState) locate() {
-	b.index = b.voterSet.Place(b.srv.opts.Addr)
-	if len(b.incarnations) != len(b.voterSet.Voters) {
-		b.incarnations = make([]uint64, len(b.voterSet.Voters))
+// locate finds this store in the voter set.
+func (s *voterState) locate() {
+	s.index = s.voterSet.Place(s.srv.opts.Addr)
+	if len(s.incarnations) != len(s.voterSet.Voters) {
+		s.incarnations = make([]uint64, len(s.voterSet.Voters))
 	}
 }
 
-func (b *voterState) vouch() consensus.Vouch {
-	return consensus.Vouch{By: b.index, Incs: slices.Clone(b.incarnations)}
+func (s *voterState) vouch() consensus.Vouch {
+	return consensus.Vouch{By: s.index, Incs: slices.Clone(s.incarnations)}
 }
 
 // ---- On disk ----
@@ -379,10 +381,11 @@
 	return storage.Put{Table: tableMeta, Key: []byte(name), Value: rpc.Encode(v)}
 }
 
-// putLayout tells that the items are a base, with what was accepted beside them. Before, they were what was accepted.
+// putLayout marks the layout in which the items are the chosen base and tableDelta holds what was accepted beyond it. In the
+// layout before it, the items were the accepted value.
 var putLayout = storage.Put{Table: tableMeta, Key: []byte("layout"), Value: []byte{2}}
 
-// putBallots are all ballots of the register.
+// putBallots returns the puts of all ballots of the register.
 func putBallots(a *consensus.Acceptor) []storage.Put {
 	puts := []storage.Put{putBallot("promised", a.Promised), putBallot("accepted", a.Accepted), putBallot("chosen", a.Chosen),
 		{Table: tableMeta, Key: []byte("target")}, putLayout}
@@ -392,12 +395,12 @@
 	return puts
 }
 
-func (b *voterState) putVoterSet() storage.Put {
-	return storage.Put{Table: tableMeta, Key: []byte("roll"), Value: rpc.Encode(b.voterSet)}
+func (s *voterState) putVoterSet() storage.Put {
+	return storage.Put{Table: tableMeta, Key: []byte("roll"), Value: rpc.Encode(s.voterSet)}
 }
 
-func (b *voterState) putIncarnations() storage.Put {
-	return storage.Put{Table: tableMeta, Key: []byte("incs"), Value: rpc.Encode(b.incarnations)}
+func (s *voterState) putIncarnations() storage.Put {
+	return storage.Put{Table: tableMeta, Key: []byte("incs"), Value: rpc.Encode(s.incarnations)}
 }
 
 func itemKey(k configuration.Key) []byte { return append([]byte{byte(k.Kind)}, k.Name...) }
@@ -406,23 +409,23 @@
 	return storage.Put{Table: tableItems, Key: itemKey(i.Key), Value: rpc.Encode(i)}
 }
 
-// deltaRowBytes is about what one row of the delta has.
+// deltaRowBytes is the approximate size of one row of the delta.
 const deltaRowBytes = 64 << 10
 
-// putDelta puts a delta in place of the one that is on disk, which may be none.
-func (b *voterState) putDelta(delta []configuration.Item) (puts []storage.Put, bundles int) {
+// putDelta returns the puts that replace the delta on disk, and the number of rows that it then has.
+func (s *voterState) putDelta(delta []configuration.Item) (puts []storage.Put, rows int) {
 	for len(delta) > 0 {
 		n := 0
 		for size := 0; n < len(delta) && size < deltaRowBytes; n++ {
 			size += consensus.Size(delta[n])
 		}
-		puts = append(puts, storage.Put{Table: tableDelta, Key: binary.BigEndian.AppendUint16(nil, uint16(bundles)), Value: rpc.Encode(delta[:n])})
-		delta, bundles = delta[n:], bundles+1
+		puts = append(puts, storage.Put{Table: tableDelta, Key: binary.BigEndian.AppendUint16(nil, uint16(rows)), Value: rpc.Encode(delta[:n])})
+		delta, rows = delta[n:], rows+1
 	}
-	for i := bundles; i < b.deltaRows; i++ {
+	for i := rows; i < s.deltaRows; i++ {
 		puts = append(puts, storage.Put{Table: tableDelta, Key: binary.BigEndian.AppendUint16(nil, uint16(i))})
 	}
-	return puts, bundles
+	return puts, rows
 }
 
 func putClaim(key string, id idempotency.ID) storage.Put {
@@ -438,209 +441,209 @@
 	return idempotency.ID{Life: binary.BigEndian.Uint64(v), N: binary.BigEndian.Uint64(v[8:]), At: string(v[16:])}, nil
 }
 
-func (b *voterState) loadDisk() error {
+func (s *voterState) loadDisk() error {
 	layout := false
-	err := b.disk.Load(tableMeta, func(k, v []byte) error {
+	err := s.disk.Load(tableMeta, func(k, v []byte) error {
 		switch string(k) {
 		case "roll":
-			return rpc.Decode(v, &b.voterSet)
+			return rpc.Decode(v, &s.voterSet)
 		case "incs":
-			return rpc.Decode(v, &b.incarnations)
+			return rpc.Decode(v, &s.incarnations)
 		case "promised":
-			return rpc.Decode(v, &b.acceptor.Promised)
+			return rpc.Decode(v, &s.acceptor.Promised)
 		case "accepted":
-			return rpc.Decode(v, &b.acceptor.Accepted)
+			return rpc.Decode(v, &s.acceptor.Accepted)
 		case "chosen":
-			return rpc.Decode(v, &b.acceptor.Chosen)
+			return rpc.Decode(v, &s.acceptor.Chosen)
 		case "layout":
 			layout = true
 		case "target":
-			return rpc.Decode(v, &b.acceptor.Target)
+			return rpc.Decode(v, &s.acceptor.Target)
 		case "mark":
-			return rpc.Decode(v, &b.mark)
+			return rpc.Decode(v, &s.mark)
 		case "seal":
-			return rpc.Decode(v, &b.seal)
+			return rpc.Decode(v, &s.seal)
 		case "former":
-			return rpc.Decode(v, &b.inheritedBallot)
+			return rpc.Decode(v, &s.inheritedBallot)
 		case "number":
-			return rpc.Decode(v, &b.diskID)
+			return rpc.Decode(v, &s.diskID)
 		case "past":
-			return rpc.Decode(v, &b.formerEpoch)
+			return rpc.Decode(v, &s.formerEpoch)
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	for _, x := range []configuration.Ballot{b.acceptor.Accepted, b.acceptor.Target} {
-		if b.acceptor.Promised.Less(x) { // the write of the promise had failed, that of its value had not
-			b.acceptor.Promised = x
+	for _, x := range []configuration.Ballot{s.acceptor.Accepted, s.acceptor.Target} {
+		if s.acceptor.Promised.Less(x) { // the write of the promise failed, that of its value succeeded
+			s.acceptor.Promised = x
 		}
 	}
-	if err := b.disk.Load(tableItems, func(k, v []byte) error {
+	if err := s.disk.Load(tableItems, func(k, v []byte) error {
 		var i configuration.Item
 		err := rpc.Decode(v, &i)
 		if err == nil {
-			b.acceptor.Stands = b.acceptor.Stands.With(i)
+			s.acceptor.Stands = s.acceptor.Stands.With(i)
 		}
 		return err
 	}); err != nil {
 		return err
 	}
 	var delta []configuration.Item
-	if err := b.disk.Load(tableDelta, func(k, v []byte) error {
-		var bundle []configuration.Item
-		err := rpc.Decode(v, &bundle)
-		delta, b.deltaRows = append(delta, bundle...), b.deltaRows+1
+	if err := s.disk.Load(tableDelta, func(k, v []byte) error {
+		var row []configuration.Item
+		err := rpc.Decode(v, &row)
+		delta, s.deltaRows = append(delta, row...), s.deltaRows+1
 		return err
 	}); err != nil {
 		return err
 	}
-	if !b.acceptor.Accepted.IsZero() {
-		b.acceptor.Value = b.acceptor.Stands.With(delta...)
+	if !s.acceptor.Accepted.IsZero() {
+		s.acceptor.Value = s.acceptor.Stands.With(delta...)
 	}
-	if !layout && b.acceptor.Accepted != b.acceptor.Chosen && len(b.incarnations) > 0 { // which items were chosen can't be told: it is made up for
-		b.locate()
-		if b.index >= 0 {
-			b.incarnations[b.index] = 0
+	if !layout && s.acceptor.Accepted != s.acceptor.Chosen && len(s.incarnations) > 0 { // old layout, and it is unknown which items were chosen: repair
+		s.locate()
+		if s.index >= 0 {
+			s.incarnations[s.index] = 0
 		}
 	}
-	now := b.now()
-	return b.disk.Load(tableClaims, func(k, v []byte) error {
+	now := s.now()
+	return s.disk.Load(tableClaims, func(k, v []byte) error {
 		id, err := readClaim(v)
-		if err == nil { // its age is not known: it counts as new
-			b.claims.Claim(now, string(k), id)
+		if err == nil { // its age is unknown: it is kept for a full window
+			s.claims.Claim(now, string(k), id)
 		}
 		return err
 	})
 }
 
-// write puts and tells; it fails at once without a disk.
-func (b *voterState) write(puts []storage.Put, done func(error)) {
-	if b.disk == nil {
+// write queues puts and calls done with the result, at once if there is no disk. From time to time it adds a new mark.
+func (s *voterState) write(puts []storage.Put, done func(error)) {
+	if s.disk == nil {
 		done(storage.ErrDisk)
 		return
 	}
 	mark := uint64(0)
-	if now := b.now(); b.index >= 0 && now-b.markedAt >= markInterval {
-		b.mark, b.markedAt = b.mark+1, now
-		mark = b.mark
+	if now := s.now(); s.index >= 0 && now-s.markedAt >= markInterval {
+		s.mark, s.markedAt = s.mark+1, now
+		mark = s.mark
 		puts = append(slices.Clip(puts), storage.Put{Table: tableMeta, Key: []byte("mark"), Value: rpc.Encode(mark)})
 	}
-	b.disk.Write(puts, func(err error) {
+	s.disk.Write(puts, func(err error) {
 		if err == nil && mark > 0 {
-			b.srv.savedMark.Store(mark)
+			s.srv.savedMark.Store(mark)
 		}
 		if err == nil {
-			b.srv.failingSince.Store(0)
+			s.srv.failingSince.Store(0)
 		} else if errors.Is(err, storage.ErrDisk) {
-			b.srv.failingSince.CompareAndSwap(0, int64(b.now())+1)
+			s.srv.failingSince.CompareAndSwap(0, int64(s.now())+1)
 		}
 		done(err)
 	})
 }
 
-// markInterval is how often the mark goes to disk, beside a write that goes there anyway.
+// markInterval is the least time between two marks. They are only added to writes that happen anyway.
 const markInterval = 250 * time.Millisecond
 
-// marksTimeout is how long a purser that begins waits for what others know of its disk: a machine that is dark does not answer.
+// marksTimeout bounds how long a starting store waits for the marks that registries know: a machine that is down never answers.
 const marksTimeout = 60 * time.Millisecond
 
-// detectOldCopy asks whether this disk is an older copy of one that this member spoke from: it would know nothing of what it told
-// since. It waits, and is not for the owner's goroutine.
-func (b *voterState) detectOldCopy() {
-	b.locate()
-	if b.index < 0 || b.incarnations[b.index] == 0 {
+// detectOldCopy checks whether this disk is an older copy of one from which this member has voted: it would lack the votes cast
+// since. It blocks, so it must not run on the owner's goroutine.
+func (s *voterState) detectOldCopy() {
+	s.locate()
+	if s.index < 0 || s.incarnations[s.index] == 0 {
 		return
 	}
-	mine := messages.Mark{Epoch: b.voterSet.Epoch, Inc: b.incarnations[b.index], N: b.mark}
-	for _, m := range b.srv.fetchMarks(b.voterSet) {
-		if mine.Behind(m) && b.newerMark.Behind(m) {
-			b.newerMark = m
+	mine := messages.Mark{Epoch: s.voterSet.Epoch, Inc: s.incarnations[s.index], N: s.mark}
+	for _, m := range s.srv.fetchMarks(s.voterSet) {
+		if mine.Behind(m) && s.newerMark.Behind(m) {
+			s.newerMark = m
 		}
 	}
 }
 
-// askRegistries asks the harbourmasters beside all members.
-func (p *Server) askRegistries(roll messages.Roll) []messages.Mark {
-	if p.opts.FirstPort == 0 {
+// askRegistries asks the registries on the machines of all voters for the last mark of this member.
+func (srv *Server) askRegistries(voterSet messages.Roll) []messages.Mark {
+	if srv.opts.FirstPort == 0 {
 		return nil
 	}
 	var addrs []string
-	for _, v := range roll.Voters {
-		addrs = append(addrs, messages.Beside(v.Addr, p.opts.FirstPort, messages.HarbourPort))
+	for _, v := range voterSet.Voters {
+		addrs = append(addrs, messages.Beside(v.Addr, srv.opts.FirstPort, messages.HarbourPort))
 	}
-	out, _ := askAll[messages.Mark](p, addrs, messages.Known, messages.KnownCall{Addr: p.opts.Addr}, marksTimeout)
+	out, _ := askAll[messages.Mark](srv, addrs, messages.Known, messages.KnownCall{Addr: srv.opts.Addr}, marksTimeout)
 	return out
 }
 
-// reopenAfter is how long each write may fail before the disk is closed and opened again: damage that is found while the disk is in
-// use is known as such, and put aside, only then.
+// reopenAfter is how long all writes may fail before the disk is closed and opened again. Damage found while the disk is in use
+// is only recognized and quarantined by opening it.
 const reopenAfter = 10 * time.Second
 
-// reopenDisk closes the disk, and opens what is there as after a start. Nothing that was told is only in memory.
-func (b *voterState) reopenDisk() {
-	old := b.disk
-	b.srv.failingSince.Store(0)
-	b.disk, b.diskUsed, b.openingDisk = nil, true, true
-	b.setState(NoDisk)
-	p := b.srv
-	p.diskWork.Add(1)
-	p.runAsync(func() func(*voterState) {
+// reopenDisk closes the disk and opens it as after a start. Everything acknowledged so far is on disk.
+func (s *voterState) reopenDisk() {
+	old := s.disk
+	s.srv.failingSince.Store(0)
+	s.disk, s.diskUsed, s.openingDisk = nil, true, true
+	s.setState(NoDisk)
+	srv := s.srv
+	srv.diskWork.Add(1)
+	srv.runAsync(func() func(*voterState) {
 		if err := old.Close(); err != nil {
-			p.opts.Log("disk", err.Error())
+			srv.opts.Log("disk", err.Error())
 		}
-		return func(b *voterState) {
-			defer p.diskWork.Done()
-			b.openingDisk = false
-			b.openDisk()
+		return func(s *voterState) {
+			defer srv.diskWork.Done()
+			s.openingDisk = false
+			s.openDisk()
 		}
 	})
 }
 
 // ---- Calls ----
 
-// handle hands a call over to the owner.
-func (p *Server) handle(c rpc.Call) {
-	p.owner.Send(func(b *voterState) {
-		if err := b.dispatch(c); err != nil {
-			p.Counts.Refused.Add(1)
+// handle passes a call to the owner's goroutine.
+func (srv *Server) handle(c rpc.Call) {
+	srv.owner.Send(func(s *voterState) {
+		if err := s.dispatch(c); err != nil {
+			srv.Counts.Refused.Add(1)
 			c.Reply(nil, err)
 		}
 	})
 }
 
-// dispatch works on a call. It replies, or will, or says what is wrong.
-func (b *voterState) dispatch(c rpc.Call) error {
+// dispatch handles a call. It replies at once or later, or returns an error, which the caller replies.
+func (s *voterState) dispatch(c rpc.Call) error {
 	switch c.Kind {
 	case messages.Prepare:
-		return decodeCall(c, b.prepare)
+		return decodeCall(c, s.prepare)
 	case messages.Accept:
-		return decodeCall(c, b.accept)
+		return decodeCall(c, s.accept)
 	case messages.Learn:
-		return decodeCall(c, b.learn)
+		return decodeCall(c, s.learn)
 	case messages.Turn:
-		return decodeCall(c, b.applyPage)
+		return decodeCall(c, s.applyPage)
 	case messages.Watch:
-		return decodeCall(c, b.watch)
+		return decodeCall(c, s.watch)
 	case messages.Claim:
-		return decodeCall(c, b.claimKey)
+		return decodeCall(c, s.claimKey)
 	case messages.Release:
-		return decodeCall(c, b.release)
+		return decodeCall(c, s.release)
 	case messages.Muster:
-		return decodeCall(c, b.serveRecovery)
+		return decodeCall(c, s.serveRecovery)
 	case messages.Lease:
-		return decodeCall(c, b.grantLease)
+		return decodeCall(c, s.grantLease)
 	case messages.Ready:
-		return decodeCall(c, b.reportReadiness)
+		return decodeCall(c, s.reportReadiness)
 	case messages.Succeed:
-		return decodeCall(c, b.voteSuccessor)
+		return decodeCall(c, s.voteSuccessor)
 	case messages.Relieve:
-		return decodeCall(c, b.adoptVoterSet)
+		return decodeCall(c, s.adoptVoterSet)
 	case messages.Handover:
-		return decodeCall(c, b.handover)
+		return decodeCall(c, s.handover)
 	case messages.Report:
-		b.report(c)
+		s.report(c)
 		return nil
 	}
 	return errcode.New(errcode.NoCall, "kind %d", c.Kind)
@@ -654,72 +657,73 @@
 	return f(c, v)
 }
 
-// requireVoting reports whether it may speak as a member.
-func (b *voterState) requireVoting(epoch uint64) error {
-	if err := b.requireMember(epoch); err != nil {
+// requireVoting returns an error unless this store may vote in the epoch.
+func (s *voterState) requireVoting(epoch uint64) error {
+	if err := s.requireMember(epoch); err != nil {
 		return err
 	}
-	if b.seal.Shut() || b.takingOver {
+	if s.seal.Shut() || s.takingOver {
 		return errcode.New(errcode.Gone, "epoch %d has ended here", epoch)
 	}
 	return nil
 }
 
-// requireMember reports whether it is a member of an epoch, even if it is sealed there.
-func (b *voterState) requireMember(epoch uint64) error {
+// requireMember returns an error unless this store is a working voter of the epoch, even if the epoch has ended here.
+func (s *voterState) requireMember(epoch uint64) error {
 	switch {
-	case epoch != b.voterSet.Epoch && b.voterSet.Epoch > 0: // whoever hears that learns who counts, or asks again soon
-		return errcode.New(errcode.Gone, "epoch %d, here %d", epoch, b.voterSet.Epoch)
-	case b.state == Repairing:
+	case epoch != s.voterSet.Epoch && s.voterSet.Epoch > 0: // the caller then fetches the voter set, or retries soon
+		return errcode.New(errcode.Gone, "epoch %d, here %d", epoch, s.voterSet.Epoch)
+	case s.state == Repairing:
 		return errcode.New(errcode.Repairing, "")
-	case b.state != Serving:
-		return errcode.New(errcode.CoreOut, "%s", b.state)
-	case b.disk.Stalled() > stalledAfter:
+	case s.state != Serving:
+		return errcode.New(errcode.CoreOut, "%s", s.state)
+	case s.disk.Stalled() > stalledAfter:
 		return errcode.New(errcode.DiskOut, "")
 	}
 	return nil
 }
 
-// stalledAfter is how long one commit may take before calls are refused at once.
+// stalledAfter is how long one commit may take before calls are refused immediately.
 const stalledAfter = 300 * time.Millisecond
 
-func (b *voterState) prepare(c rpc.Call, m messages.PrepareCall) error {
-	b.srv.Counts.Prepares.Add(1)
-	if err := b.requireVoting(m.Epoch); err != nil {
+func (s *voterState) prepare(c rpc.Call, m messages.PrepareCall) error {
+	s.srv.Counts.Prepares.Add(1)
+	if err := s.requireVoting(m.Epoch); err != nil {
 		return err
 	}
-	if b.registerBusy {
-		b.queuedCalls = append(b.queuedCalls, func(b *voterState) { b.replyError(c, b.prepare(c, m)) })
+	if s.registerBusy {
+		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.replyError(c, s.prepare(c, m)) })
 		return nil
 	}
-	if b.acceptor.Learns(m.Have) { // first, so that what is to be told and kept beside it stays small
-		b.commitAccepted(m.Have, func(b *voterState, err error) {
+	if s.acceptor.Learns(m.Have) { // first, so that the promise's items and the delta stay small
+		s.commitAccepted(m.Have, func(s *voterState, err error) {
 			if err == nil {
-				err = b.prepare(c, m)
+				err = s.prepare(c, m)
 			} else {
 				err = errcode.New(errcode.DiskOut, "%w", err)
 			}
-			b.replyError(c, err)
+			s.replyError(c, err)
 		})
 		return nil
 	}
-	if !b.acceptor.Prepare(m.B) {
-		c.Reply(consensus.Promise{Vouch: b.vouch(), Promised: b.acceptor.Promised, Accepted: b.acceptor.Accepted}, nil)
+	if !s.acceptor.Prepare(m.B) {
+		c.Reply(consensus.Promise{Vouch: s.vouch(), Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted}, nil)
 		return nil
 	}
-	answer := b.acceptor.Promise(b.vouch(), m.Have)
-	answer.Former = b.valueInherited()
-	b.write([]storage.Put{putBallot("promised", m.B)}, func(err error) { reply(c, answer, err) })
+	answer := s.acceptor.Promise(s.vouch(), m.Have)
+	answer.Former = s.valueInherited()
+	s.write([]storage.Put{putBallot("promised", m.B)}, func(err error) { reply(c, answer, err) })
 	return nil
 }
 
-func (b *voterState) replyError(c rpc.Call, err error) {
+// replyError replies the error of a queued call, if it has one.
+func (s *voterState) replyError(c rpc.Call, err error) {
 	if err != nil {
 		c.Reply(nil, err)
 	}
 }
 
-// reply answers once the disk has, from whatever goroutine.
+// reply answers a call once its write has ended. It may be called from any goroutine.
 func reply(c rpc.Call, v any, err error) {
 	if err != nil {
 		c.Reply(nil, errcode.New(errcode.DiskOut, "%w", err))
@@ -728,196 +732,197 @@
 	c.Reply(v, nil)
 }
 
-func (b *voterState) accept(c rpc.Call, m messages.AcceptCall) error {
-	b.srv.Counts.Accepts.Add(1)
-	if err := b.requireVoting(m.Epoch); err != nil {
+func (s *voterState) accept(c rpc.Call, m messages.AcceptCall) error {
+	s.srv.Counts.Accepts.Add(1)
+	if err := s.requireVoting(m.Epoch); err != nil {
 		return err
 	}
-	if b.registerBusy {
-		b.queuedCalls = append(b.queuedCalls, func(b *voterState) { b.replyError(c, b.accept(c, m)) })
+	if s.registerBusy {
+		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.replyError(c, s.accept(c, m)) })
 		return nil
 	}
-	if !b.acceptor.May(m.B, m.Base) {
-		c.Reply(b.accepted(false), nil)
+	if !s.acceptor.May(m.B, m.Base) {
+		c.Reply(s.accepted(false), nil)
 		return nil
 	}
-	delta := b.acceptor.Delta(m.Changes)
-	puts, bundles := b.putDelta(delta)
+	delta := s.acceptor.Delta(m.Changes)
+	puts, rows := s.putDelta(delta)
 	puts = append(puts, putBallot("accepted", m.B), putLayout)
-	if b.acceptor.Promised.Less(m.B) {
+	if s.acceptor.Promised.Less(m.B) {
 		puts = append(puts, putBallot("promised", m.B))
 	}
-	b.writeRegister(puts, func(b *voterState, err error) {
+	s.writeRegister(puts, func(s *voterState, err error) {
 		if err == nil {
-			b.acceptor.Accept(m.B, delta)
-			b.deltaRows = bundles
+			s.acceptor.Accept(m.B, delta)
+			s.deltaRows = rows
 		}
-		reply(c, b.accepted(true), err)
+		reply(c, s.accepted(true), err)
 	})
 	return nil
 }
 
-// accepted answers who brought a part of the register.
-func (b *voterState) accepted(taken bool) messages.Accepted {
-	return messages.Accepted{Vouch: b.vouch(), Taken: taken, Promised: b.acceptor.Promised, Accepted: b.acceptor.Accepted, Chosen: b.acceptor.Chosen}
+// accepted is the answer to a call that changes the register.
+func (s *voterState) accepted(taken bool) messages.Accepted {
+	return messages.Accepted{Vouch: s.vouch(), Taken: taken, Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: s.acceptor.Chosen}
 }
 
-// writeRegister writes a change of the register, and takes it once it is on disk. What comes meanwhile waits.
-func (b *voterState) writeRegister(puts []storage.Put, taken func(*voterState, error)) {
-	b.registerBusy = true
-	b.write(puts, func(err error) {
-		b.srv.enqueue(func(b *voterState) {
-			b.registerBusy = false
-			taken(b, err)
-			queued := b.queuedCalls
-			b.queuedCalls = nil
+// writeRegister writes a change of the register and calls taken on the owner's goroutine when the write has ended. Other calls
+// that touch the register are queued until then.
+func (s *voterState) writeRegister(puts []storage.Put, taken func(*voterState, error)) {
+	s.registerBusy = true
+	s.write(puts, func(err error) {
+		s.srv.enqueue(func(s *voterState) {
+			s.registerBusy = false
+			taken(s, err)
+			queued := s.queuedCalls
+			s.queuedCalls = nil
 			for _, f := range queued {
-				f(b)
+				f(s)
 			}
 		})
 	})
 }
 
-// commitAccepted makes the value that was accepted the base, as it was chosen.
-func (b *voterState) commitAccepted(of configuration.Ballot, done func(*voterState, error)) {
-	puts, _ := b.putDelta(nil)
-	for i := range b.acceptor.Value.Since(b.acceptor.Chosen) {
+// commitAccepted makes the accepted value the base, since it was chosen.
+func (s *voterState) commitAccepted(of configuration.Ballot, done func(*voterState, error)) {
+	puts, _ := s.putDelta(nil)
+	for i := range s.acceptor.Value.Since(s.acceptor.Chosen) {
 		puts = append(puts, putItem(i))
 	}
-	was := b.acceptor.CatchesUp() // what it lacked may have come with what was proposed
+	was := s.acceptor.CatchesUp() // the proposal may have brought what was missing
 	puts = append(puts, putBallot("chosen", of), storage.Put{Table: tableMeta, Key: []byte("target")})
-	b.writeRegister(puts, func(b *voterState, err error) {
-		if err == nil && b.acceptor.Learn(of) { // else whoever asks next tells again
-			b.deltaRows = 0
-			b.logCatchUp(was)
-			b.notifyWatchers()
+	s.writeRegister(puts, func(s *voterState, err error) {
+		if err == nil && s.acceptor.Learn(of) { // if the write fails, the next proposer reports the choice again
+			s.deltaRows = 0
+			s.logCatchUp(was)
+			s.notifyWatchers()
 		}
-		done(b, err)
+		done(s, err)
 	})
 }
 
-func (b *voterState) learn(c rpc.Call, m messages.LearnCall) error {
-	if b.registerBusy {
-		b.queuedCalls = append(b.queuedCalls, func(b *voterState) { b.replyError(c, b.learn(c, m)) })
+func (s *voterState) learn(c rpc.Call, m messages.LearnCall) error {
+	if s.registerBusy {
+		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.replyError(c, s.learn(c, m)) })
 		return nil
 	}
-	c.Reply(b.accepted(b.acceptor.Accepted == m.B), nil)
-	if b.acceptor.Learns(m.B) && b.state == Serving && !b.takingOver { // else the register is being replaced
-		b.commitAccepted(m.B, func(*voterState, error) {})
+	c.Reply(s.accepted(s.acceptor.Accepted == m.B), nil)
+	if s.acceptor.Learns(m.B) && s.state == Serving && !s.takingOver { // otherwise the register is being replaced
+		s.commitAccepted(m.B, func(*voterState, error) {})
 	}
 	return nil
 }
 
-// applyPage takes a page of a chosen value that this member missed.
-func (b *voterState) applyPage(c rpc.Call, m messages.TurnCall) error {
-	if err := b.requireVoting(m.Epoch); err != nil {
+// applyPage takes a page of a chosen value that this member lacks.
+func (s *voterState) applyPage(c rpc.Call, m messages.TurnCall) error {
+	if err := s.requireVoting(m.Epoch); err != nil {
 		return err
 	}
-	if b.registerBusy {
-		b.queuedCalls = append(b.queuedCalls, func(b *voterState) { b.replyError(c, b.applyPage(c, m)) })
+	if s.registerBusy {
+		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.replyError(c, s.applyPage(c, m)) })
 		return nil
 	}
-	if !b.acceptor.Turns(m.Page) {
-		c.Reply(b.accepted(false), nil)
+	if !s.acceptor.Turns(m.Page) {
+		c.Reply(s.accepted(false), nil)
 		return nil
 	}
-	was := b.acceptor.CatchesUp()
-	next := *b.acceptor
+	was := s.acceptor.CatchesUp()
+	next := *s.acceptor
 	next.Turn(m.Page)
-	puts, _ := b.putDelta(nil)
-	for _, i := range m.Page.News(b.acceptor.Stands) {
+	puts, _ := s.putDelta(nil)
+	for _, i := range m.Page.News(s.acceptor.Stands) {
 		puts = append(puts, putItem(i))
 	}
 	puts = append(puts, putBallots(&next)...)
-	b.writeRegister(puts, func(b *voterState, err error) {
+	s.writeRegister(puts, func(s *voterState, err error) {
 		if err == nil {
-			b.acceptor.Turn(m.Page)
-			b.deltaRows = 0
-			b.logCatchUp(was)
-			b.notifyWatchers()
+			s.acceptor.Turn(m.Page)
+			s.deltaRows = 0
+			s.logCatchUp(was)
+			s.notifyWatchers()
 		}
-		reply(c, b.accepted(true), err)
+		reply(c, s.accepted(true), err)
 	})
 	return nil
 }
 
-// logCatchUp logs the begin and the end of catching up. was: whether it did before.
-func (b *voterState) logCatchUp(was bool) {
-	if is := b.acceptor.CatchesUp(); is != was {
-		b.srv.opts.Log("register", fmt.Sprintf("catching up %v: all up to ballot %d of %d", is, b.acceptor.Chosen.N, b.acceptor.Target.N))
+// logCatchUp logs when catching up begins or ends. was tells whether it was under way before.
+func (s *voterState) logCatchUp(was bool) {
+	if is := s.acceptor.CatchesUp(); is != was {
+		s.srv.opts.Log("register", fmt.Sprintf("catching up %v: all up to ballot %d of %d", is, s.acceptor.Chosen.N, s.acceptor.Target.N))
 	}
 }
 
-func (b *voterState) watchReply(have configuration.Ballot) messages.Watched {
-	w := messages.Watched{Vouch: b.vouch(), Promised: b.acceptor.Promised, Accepted: b.acceptor.Accepted, Chosen: b.acceptor.Chosen,
-		Known: b.acceptor.Known(), Roll: b.voterSet, State: string(b.state), Keys: b.claims.Len(), Shut: b.seal.Shut(), Mark: b.srv.savedMark.Load()}
-	if have.Less(b.acceptor.Chosen) && !b.acceptor.CatchesUp() {
-		p := consensus.PageOf(b.acceptor.Stands, b.acceptor.Chosen, have)
+func (s *voterState) watchReply(have configuration.Ballot) messages.Watched {
+	w := messages.Watched{Vouch: s.vouch(), Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: s.acceptor.Chosen,
+		Known: s.acceptor.Known(), Roll: s.voterSet, State: string(s.state), Keys: s.claims.Len(), Shut: s.seal.Shut(), Mark: s.srv.savedMark.Load()}
+	if have.Less(s.acceptor.Chosen) && !s.acceptor.CatchesUp() {
+		p := consensus.PageOf(s.acceptor.Stands, s.acceptor.Chosen, have)
 		w.Items, w.From, w.Upto = p.Items, p.From, p.Upto
 	}
 	return w
 }
 
-// watch answers at once where there is news, and else when there is some or the time is up. A member that may not speak as
-// one says so by its state.
-func (b *voterState) watch(c rpc.Call, m messages.WatchCall) error {
-	b.srv.Counts.Watches.Add(1)
-	w := &watcher{call: c, request: m, receivedAt: b.now()}
-	if m.HoldMs == 0 || b.hasNews(w) {
-		c.Reply(b.watchReply(m.Have), nil)
+// watch answers at once if there is news, otherwise when there is some or the hold time is over. It also answers where this
+// store may not vote, which its state tells.
+func (s *voterState) watch(c rpc.Call, m messages.WatchCall) error {
+	s.srv.Counts.Watches.Add(1)
+	w := &watcher{call: c, request: m, receivedAt: s.now()}
+	if m.HoldMs == 0 || s.hasNews(w) {
+		c.Reply(s.watchReply(m.Have), nil)
 		return nil
 	}
-	b.watchers = append(b.watchers, w)
+	s.watchers = append(s.watchers, w)
 	w.timer = time.AfterFunc(time.Duration(min(m.HoldMs, 5000))*time.Millisecond, func() {
-		b.srv.owner.Send(func(b *voterState) { b.answerWatcher(w) })
+		s.srv.owner.Send(func(s *voterState) { s.answerWatcher(w) })
 	})
 	return nil
 }
 
-func (b *voterState) hasNews(w *watcher) bool {
-	return w.request.Have.Less(b.acceptor.Chosen) && !b.acceptor.CatchesUp() || w.request.Epoch < b.voterSet.Epoch || w.request.Open && b.sealDurable
+func (s *voterState) hasNews(w *watcher) bool {
+	return w.request.Have.Less(s.acceptor.Chosen) && !s.acceptor.CatchesUp() || w.request.Epoch < s.voterSet.Epoch || w.request.Open && s.sealDurable
 }
 
-func (b *voterState) answerWatcher(w *watcher) {
+func (s *voterState) answerWatcher(w *watcher) {
 	if !w.done {
 		w.done = true
 		w.timer.Stop()
-		b.watchers = slices.DeleteFunc(b.watchers, func(o *watcher) bool { return o == w })
-		told := b.watchReply(w.request.Have)
-		told.HeldMs = uint32((b.now() - w.receivedAt).Milliseconds())
-		w.call.Reply(told, nil)
+		s.watchers = slices.DeleteFunc(s.watchers, func(o *watcher) bool { return o == w })
+		reply := s.watchReply(w.request.Have)
+		reply.HeldMs = uint32((s.now() - w.receivedAt).Milliseconds())
+		w.call.Reply(reply, nil)
 	}
 }
 
-// notifyWatchers answers those for whom there is news.
-func (b *voterState) notifyWatchers() {
-	for _, w := range slices.Clone(b.watchers) {
-		if b.hasNews(w) {
-			b.answerWatcher(w)
+// notifyWatchers answers the watchers for which there is news.
+func (s *voterState) notifyWatchers() {
+	for _, w := range slices.Clone(s.watchers) {
+		if s.hasNews(w) {
+			s.answerWatcher(w)
 		}
 	}
 }
 
-func (b *voterState) claimKey(c rpc.Call, m messages.ClaimCall) error {
-	b.srv.Counts.Claims.Add(1)
-	if err := b.requireVoting(m.Epoch); err != nil {
+func (s *voterState) claimKey(c rpc.Call, m messages.ClaimCall) error {
+	s.srv.Counts.Claims.Add(1)
+	if err := s.requireVoting(m.Epoch); err != nil {
 		return err
 	}
 	if m.Key == "" || len(m.Key) > maxKeyBytes || m.ID.IsZero() {
 		return errcode.New(errcode.Malformed, "")
 	}
-	holder, granted := b.claims.Claim(b.now(), m.Key, m.ID)
-	answer := idempotency.Grant{Vouch: b.vouch(), Given: granted, Holder: holder}
+	holder, granted := s.claims.Claim(s.now(), m.Key, m.ID)
+	answer := idempotency.Grant{Vouch: s.vouch(), Given: granted, Holder: holder}
 	switch {
 	case !granted:
-		b.srv.Counts.Denied.Add(1)
+		s.srv.Counts.Denied.Add(1)
 		c.Reply(answer, nil)
 	default:
-		// One that comes again is written again: the first may still be on its way to disk. One whose write failed stays held:
-		// it may come again meanwhile, and a claimant that does not get the key gives it back by itself.
-		b.write([]storage.Put{putClaim(m.Key, m.ID)}, func(err error) {
+		// A repeated claim is written again, as the first write may be under way. If a write fails, the claim stays held: its
+		// repetition may be under way, and a claimant that does not get the key releases it.
+		s.write([]storage.Put{putClaim(m.Key, m.ID)}, func(err error) {
 			if err != nil {
-				b.srv.failedClaimWrites.Add(1)
+				s.srv.failedClaimWrites.Add(1)
 			}
 			reply(c, answer, err)
 		})
@@ -925,65 +930,65 @@
 	return nil
 }
 
-// maxKeyBytes bounds an operation key.
+// maxKeyBytes bounds an idempotency key.
 const maxKeyBytes = 512
 
-func (b *voterState) release(c rpc.Call, m messages.ReleaseCall) error {
-	if b.claims.Release(m.Key, m.ID) {
-		b.srv.Counts.Released.Add(1)
-		b.write([]storage.Put{{Table: tableClaims, Key: []byte(m.Key)}}, func(error) {}) // what stays blocks a key at the most
+func (s *voterState) release(c rpc.Call, m messages.ReleaseCall) error {
+	if s.claims.Release(m.Key, m.ID) {
+		s.srv.Counts.Released.Add(1)
+		s.write([]storage.Put{{Table: tableClaims, Key: []byte(m.Key)}}, func(error) {}) // if this fails, the worst case is a key that stays blocked
 	}
 	c.Reply(nil, nil)
 	return nil
 }
 
-// grantLease grants a duty, or takes it back.
-func (b *voterState) grantLease(c rpc.Call, m messages.LeaseCall) error {
+// grantLease grants a lease, or takes one back.
+func (s *voterState) grantLease(c rpc.Call, m messages.LeaseCall) error {
 	if m.Give {
-		b.leases.Release(m.Duty, m.By)
+		s.leases.Release(m.Duty, m.By)
 		c.Reply(messages.Leased{}, nil)
 		return nil
 	}
-	speaks := b.requireVoting
-	if m.Duty == lease.VoterChange { // whoever finishes a change of the roll asks those that are sealed
-		speaks = b.requireMember
+	check := s.requireVoting
+	if m.Duty == lease.VoterChange { // to finish a change of the voter set, it is requested from voters whose epoch has ended
+		check = s.requireMember
 	}
-	if err := speaks(m.Epoch); err != nil {
+	if err := check(m.Epoch); err != nil {
 		return err
 	}
-	c.Reply(messages.Leased{Given: b.leases.Grant(b.now(), m.Duty, m.By)}, nil)
+	c.Reply(messages.Leased{Given: s.leases.Grant(s.now(), m.Duty, m.By)}, nil)
 	return nil
 }
 
-// expireBatch bounds the keys that one tick forgets.
+// expireBatch bounds the keys that one tick expires.
 const expireBatch = 512
 
-// tick opens a disk that could not be, forgets old keys and goes on with a repair.
-func (b *voterState) tick() {
-	switch b.state {
+// tick retries a failed open, bootstrap or repair, reopens a disk that keeps failing, and expires old keys.
+func (s *voterState) tick() {
+	switch s.state {
 	case NoDisk:
 		switch {
-		case b.disk == nil:
-			b.openDisk()
-		case !b.bootstrapping: // it failed
-			b.bootstrap()
+		case s.disk == nil:
+			s.openDisk()
+		case !s.bootstrapping: // the write failed
+			s.bootstrap()
 		}
 	case NoVoterSet, Repairing:
-		b.repair()
+		s.repair()
 	}
-	if b.disk == nil {
+	if s.disk == nil {
 		return
 	}
-	since := b.srv.failingSince.Load()
-	if since != 0 && b.now()-time.Duration(since-1) > reopenAfter && b.state != NoDisk && !b.registerBusy && !b.recovering && !b.takingOver {
-		b.reopenDisk()
+	since := s.srv.failingSince.Load()
+	if since != 0 && s.now()-time.Duration(since-1) > reopenAfter && s.state != NoDisk && !s.registerBusy && !s.recovering && !s.takingOver {
+		s.reopenDisk()
 		return
 	}
-	if keys := b.claims.Expire(b.now(), expireBatch); len(keys) > 0 {
+	if keys := s.claims.Expire(s.now(), expireBatch); len(keys) > 0 {
 		puts := make([]storage.Put, len(keys))
 		for i, k := range keys {
 			puts[i] = storage.Put{Table: tableClaims, Key: []byte(k)}
 		}
-		b.disk.Write(puts, func(error) {})
+		s.disk.Write(puts, func(error) {})
 	}
 }
