--- a/internal/lease/modelcheck_test.go
+++ b/internal/lease/modelcheck_test.go
@@ -44,17 +44,13 @@
 }
 
 type rules struct {
-	restarts   uint8
-	fast, slow float64 // clock rates of granters and holders
-	delay      bool    // answers are delayed
-	once       bool    // each holder asks once
-	long       bool    // only explored with -duty.all
-
-	// Mutants.
-	countFromAnswer   bool
-	useGranterClock   bool
-	grantAfterRestart bool
-	noMargin          bool
+	restarts                                            uint8
+	fast, slow                                          float64 // clock rates of granters and holders
+	countFromAnswer, useGranterClock, grantAfterRestart bool    // mutants
+	noMargin                                            bool    // a mutant, too
+	delay                                               bool    // answers are delayed
+	once                                                bool    // each holder asks once
+	long                                                bool    // only explored with -duty.all
 }
 
 func (k rules) granterNow(at uint8) time.Duration {
--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -16,7 +16,7 @@
 	return float64(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// writtenBytes is how many bytes the process has had written to disks, by what the kernel counts.
+// writtenBytes returns how many bytes the process has caused to be written to disks, as counted by the kernel.
 func writtenBytes() float64 {
 	b, _ := os.ReadFile("/proc/self/io")
 	for l := range strings.SplitSeq(string(b), "\n") {
@@ -37,24 +37,25 @@
 	return puts
 }
 
-// BenchmarkTransaction is one transaction of 20 puts of 116 bytes under random keys, by the ways considered, or of one, on the disk of the temporary folder.
+// BenchmarkTransaction measures transactions of 20 puts and of one put, of 116 bytes under random keys, on the disk of the
+// temporary folder. It compares this package with database/sql.
 func BenchmarkTransaction(b *testing.B) {
 	const n = 20
-	report := func(b *testing.B, n int, c, w float64) {
-		b.ReportMetric((cpuNanos()-c)/float64(b.N*n)/1e3, "cpu-µs/put")
-		b.ReportMetric((writtenBytes()-w)/float64(b.N*n), "disk-B/put")
+	report := func(b *testing.B, n int, cpuBefore, writtenBefore float64) {
+		b.ReportMetric((cpuNanos()-cpuBefore)/float64(b.N*n)/1e3, "cpu-µs/put")
+		b.ReportMetric((writtenBytes()-writtenBefore)/float64(b.N*n), "disk-B/put")
 	}
 	for _, n := range []int{n, 1} {
 		b.Run(fmt.Sprint("hold-", n), func(b *testing.B) {
-			h := openDB(b, b.TempDir(), Empty)
-			defer h.Close()
-			c, w := cpuNanos(), writtenBytes()
+			db := openDB(b, b.TempDir(), Empty)
+			defer db.Close()
+			cpuBefore, writtenBefore := cpuNanos(), writtenBytes()
 			for i := range b.N {
-				if err := writePuts(h, benchPuts(n, i)...); err != nil {
+				if err := writePuts(db, benchPuts(n, i)...); err != nil {
 					b.Fatal(err)
 				}
 			}
-			report(b, n, c, w)
+			report(b, n, cpuBefore, writtenBefore)
 		})
 	}
 	b.Run("database-sql", func(b *testing.B) {
@@ -73,7 +74,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		c, w := cpuNanos(), writtenBytes()
+		cpuBefore, writtenBefore := cpuNanos(), writtenBytes()
 		for i := range b.N {
 			tx, err := db.Begin()
 			if err != nil {
@@ -89,28 +90,28 @@
 				b.Fatal(err)
 			}
 		}
-		report(b, n, c, w)
+		report(b, n, cpuBefore, writtenBefore)
 	})
 }
 
-// BenchmarkOpen opens a hold with 10,000 rows of 116 bytes, checks it and loads them.
+// BenchmarkOpen opens and verifies a database with 10,000 rows of 116 bytes, and loads them.
 func BenchmarkOpen(b *testing.B) {
 	dir := b.TempDir()
-	h := openDB(b, dir, Empty)
+	db := openDB(b, dir, Empty)
 	for i := range 500 {
-		if err := writePuts(h, benchPuts(20, i)...); err != nil {
+		if err := writePuts(db, benchPuts(20, i)...); err != nil {
 			b.Fatal(err)
 		}
 	}
-	h.Close()
-	c := cpuNanos()
+	db.Close()
+	cpuBefore := cpuNanos()
 	b.ResetTimer()
 	for range b.N {
-		h := openDB(b, dir, Intact)
-		h.Load(1, func(k, v []byte) error { return nil })
-		h.Close()
+		db := openDB(b, dir, Intact)
+		db.Load(1, func(k, v []byte) error { return nil })
+		db.Close()
 	}
-	b.ReportMetric((cpuNanos()-c)/float64(b.N)/1e6, "cpu-ms/open")
+	b.ReportMetric((cpuNanos()-cpuBefore)/float64(b.N)/1e6, "cpu-ms/open")
 	if info, err := os.Stat(dir + "/hold.db"); err == nil {
 		b.ReportMetric(float64(info.Size()), "file-B")
 	}
--- a/internal/storage/db.go
+++ b/internal/storage/db.go
@@ -1,6 +1,6 @@
-// Package storage keeps small values under small keys on disk, so that what was told to be written is there after the loss of
-// power: one SQLite file, one goroutine that owns it, and one sync for all that queued meanwhile. A disk that is full, slow,
-// hung or damaged is an answer to the caller. What the keys and values mean is the caller's affair. Start reading at Open.
+// Package storage implements a durable key-value store for small values: one SQLite file with a write-ahead log, owned by one
+// goroutine, with one sync for all writes that queued meanwhile. Writes that were acknowledged survive a loss of power. A disk
+// that is full, slow, hung or damaged is reported to the caller. Start reading at Open.
 package storage
 
 import (
@@ -13,54 +13,53 @@
 	"time"
 )
 
-// Table is one of the caller's small numbers: keys of different tables never meet.
+// Table is a key space. The caller chooses the numbers.
 type Table uint8
 
-// Put sets the value of a key. A nil Value deletes the key, and one that isn't there is no error; an empty Value that is not
-// nil is a value.
+// Put sets the value of a key. A nil Value deletes the key, which need not exist; an empty Value that is not nil is stored.
 type Put struct {
 	Table      Table
 	Key, Value []byte
 }
 
-// Bounds of what waits. A Write of more than MaxWrite bytes (keys and values) is never taken.
+// Bounds of the queue. A Write of more than MaxWrite bytes (keys and values) is always refused.
 const (
 	MaxQueue      = 1024    // Writes
-	MaxQueueBytes = 4 << 20 // bytes of keys and values of all that wait
+	MaxQueueBytes = 4 << 20 // bytes of the keys and values of all queued Writes
 	MaxWrite      = 1 << 20
 )
 
 const (
 	defaultMaxBytes   = 64 << 20
-	maxGroupPuts      = 512       // of one transaction, unless one Write has more
-	maxGroupBytes     = 512 << 10 // the same in bytes
+	maxGroupPuts      = 512       // per transaction, unless a single Write has more
+	maxGroupBytes     = 512 << 10 // per transaction, likewise
 	defaultStallLimit = 2 * time.Second
 	closeTimeout      = 5 * time.Second
 	repairInterval    = time.Second
-	checkpointFrames  = 512                  // frames of the log after which it is moved into the database: 2 MiB
-	maxFrames         = 4 * checkpointFrames // of the log while it can't be moved; behind it writes are refused
-	putOverhead       = 64                   // bytes that a Put costs beside its key and value
+	checkpointFrames  = 512                  // frames of the log after which it is checkpointed: 2 MiB
+	maxFrames         = 4 * checkpointFrames // of the log while checkpoints fail; writes are refused beyond that
+	putOverhead       = 64                   // bytes counted for a Put in addition to its key and value
 )
 
-// Options are what a hold is opened with.
+// Options configure a DB.
 type Options struct {
-	Dir           string       // of the files; made when missing
-	MaxBytes      int64        // of the file hold.db; rounded up to 256 KiB; 64 MiB if zero. The log beside it takes up to 3 MiB more, 9 MiB while hold.db can't be written
-	SimulatedDisk func() error // stands in for a disk's time and refusals: called ahead of each commit, an error fails it; nothing is synced then; may be nil
-	Log           func(string) // hears of damage, and of a disk that fails and is well again; called from the hold's goroutine, must not block; may be nil
+	Dir           string       // folder of the files; created if missing
+	MaxBytes      int64        // bound of hold.db, rounded up to 256 KiB; 0: 64 MiB. The log takes up to 3 MiB more, or 9 MiB while hold.db can't be written
+	SimulatedDisk func() error // if not nil, called before each commit to simulate a disk's delays and failures: an error fails the commit, and nothing is synced
+	Log           func(string) // receives reports of damage, disk failures and recoveries; called on the DB's goroutine, must not block; may be nil
 }
 
-// Condition says how the disk was found.
+// Condition is what Open found on the disk.
 type Condition uint8
 
 const (
-	// Empty: there was no file, or one that nothing was ever written to.
+	// Empty: there was no file, or one that was never written to.
 	Empty Condition = iota
-	// Whole: all that was told to be written is there, as far as sums and structure can say. An older copy of all files is
-	// whole as well.
+	// Intact: everything that was acknowledged is there, as far as checksums and structure can tell. An older copy of all
+	// files is intact, too.
 	Intact
-	// Damaged: the files were put aside as hold.db.damaged*, in the place of earlier ones, or removed for want of room, and an
-	// empty one was begun. It is told once: the next Open finds an empty or a whole file.
+	// Damaged: the files were renamed to hold.db.damaged*, replacing earlier ones, or removed for lack of space, and an empty
+	// file was created. This is reported once: the next Open finds an empty or an intact file.
 	Damaged
 )
 
@@ -76,51 +75,51 @@
 	return fmt.Sprintf("start %d", uint8(s))
 }
 
-// The errors of a hold, a closed list; the cause is wrapped beside.
+// All errors of a DB are one of these; the cause is wrapped as well.
 var (
-	// ErrBusy: too much waits. Nothing was queued.
-	ErrBusy = errors.New("the hold is busy")
-	// ErrFull: there is no room, in the file's bound or on the disk. Deletions may still pass.
-	ErrFull = errors.New("the hold is full")
-	// ErrStalled: the disk has hung for 2 s or longer.
-	ErrStalled = errors.New("the hold's disk hangs")
-	// ErrDisk: the disk refuses, fails or holds damage, or the hold is closed. One that stays, with the disk well, is damage
-	// that was found after the start: Close and Open put it aside.
-	ErrDisk = errors.New("the hold's disk fails")
+	// ErrBusy: the queue is full. Nothing was queued.
+	ErrBusy = errors.New("the storage queue is full")
+	// ErrFull: the bound of the file or the disk is reached. Deletions may still succeed.
+	ErrFull = errors.New("the storage is full")
+	// ErrStalled: the disk has hung for at least 2 s.
+	ErrStalled = errors.New("the disk hangs")
+	// ErrDisk: the disk refuses or fails, its content is damaged, or the DB is closed. If it persists on a working disk, damage
+	// was found after the start: Close and Open quarantine it.
+	ErrDisk = errors.New("the disk fails")
 )
 
-// DB is an open hold. Its methods are safe for use by many.
+// DB is an open store. Its methods are safe for concurrent use.
 type DB struct {
 	opts       Options
 	path       string
 	stallLimit time.Duration
 
 	startedAt   time.Time
-	workSince   atomic.Int64 // nanoseconds after epoch that the work under way began, plus one; 0: none
-	queuedBytes atomic.Int64 // that wait
+	workSince   atomic.Int64 // start of the work under way, in nanoseconds after startedAt plus one; 0: none
+	queuedBytes atomic.Int64
 
 	mu        sync.Mutex
 	closed    bool
 	queue     chan command
-	abandoned atomic.Bool // Close no longer waits: what queues is answered unwritten
+	abandoned atomic.Bool // Close has given up waiting: queued commands are answered without being run
 	stopped   chan struct{}
 
-	// The rest is the hold's goroutine's alone.
-	engine          engine // nil: to be opened again
+	// The following fields belong to the DB's goroutine.
+	engine          engine // nil: to be reopened
 	reopen          func() (engine, error)
-	logDurable      bool  // what the log held at the last opening is in the database for certain
-	logSuspect      bool  // behind `good` the log may hold what was told to have failed
-	validBytes      int64 // bytes of the log that are in force, while in doubt; -1: not known
-	frames          int   // of the log that are in force, at the last count
-	framesKnown     bool  // that was behind the last commit
-	checkpointed    bool  // all of them are in the database
-	checkpointAt    int   // frames at which they are moved next
-	checkpointErr   error // why they could not be moved the last time; nil: they were
+	logDurable      bool  // the log as found at the last opening is durably in the database
+	logSuspect      bool  // beyond validBytes the log may hold frames of a failed commit
+	validBytes      int64 // valid length of the log while logSuspect; -1: not known
+	frames          int   // valid frames of the log when last counted
+	framesKnown     bool  // frames was counted after the last commit
+	checkpointed    bool  // all of the log is in the database
+	checkpointAt    int   // number of frames at which the next checkpoint is made
+	checkpointErr   error // result of the last checkpoint
 	checkpointTried time.Time
-	lastErr         error // the last trouble that was logged
+	lastErr         error // last error that was logged; nil: recovered
 }
 
-// command is a Write, or a Load.
+// command is a Write or a Load.
 type command struct {
 	puts  []Put
 	size  int64
@@ -129,10 +128,10 @@
 	each  func(key, value []byte) error
 }
 
-// Open opens the hold in a folder, or begins one, and looks at all that is there: some 10 ms of processor per MB. An error
-// means that nothing can be opened now: the folder is refused, the disk full, the file held by another process or of another
-// version of the schema. The caller may serve without and try again; Damaged beside an error is told this once all the same.
-// A hold that is there opens on a full disk too, and can be loaded. One process opens a folder once at a time.
+// Open opens or creates the database in a folder and verifies all of its content, which takes about 10 ms of CPU per MB. It
+// fails if the folder is refused, the disk is full, or the file is in use by another process or has another schema version. The
+// caller may retry; Damaged is reported once even when returned with an error. An existing database can be opened and loaded on
+// a full disk. A process must not open a folder twice at the same time.
 func Open(o Options) (*DB, Condition, error) {
 	if o.MaxBytes == 0 {
 		o.MaxBytes = defaultMaxBytes
@@ -145,136 +144,136 @@
 		return nil, Empty, wrap(err)
 	}
 	o.Dir = dir
-	db, start, err := openFolder(&o)
+	engine, condition, err := openFolder(&o)
 	if err != nil {
-		return nil, start, err
+		return nil, condition, err
 	}
-	h := newDB(o, db)
-	go h.run()
-	return h, start, nil
+	db := newDB(o, engine)
+	go db.run()
+	return db, condition, nil
 }
 
-func newDB(o Options, db engine) *DB {
-	h := &DB{opts: o, path: filepath.Join(o.Dir, fileName), stallLimit: defaultStallLimit, startedAt: time.Now(),
-		queue: make(chan command, MaxQueue), stopped: make(chan struct{}), engine: db, checkpointAt: checkpointFrames}
-	h.reopen = func() (engine, error) {
-		if start, err := inspect(h.path); err != nil {
+func newDB(o Options, e engine) *DB {
+	db := &DB{opts: o, path: filepath.Join(o.Dir, fileName), stallLimit: defaultStallLimit, startedAt: time.Now(),
+		queue: make(chan command, MaxQueue), stopped: make(chan struct{}), engine: e, checkpointAt: checkpointFrames}
+	db.reopen = func() (engine, error) {
+		if condition, err := inspect(db.path); err != nil {
 			return nil, err
-		} else if start != Intact { // gone while they were in use: the caller must hear it, from Open
+		} else if condition != Intact { // removed while in use: the caller must learn that from Open
 			return nil, &damageError{"the files are gone"}
 		}
-		l, _, err := openFile(h.path, &h.opts)
+		reopened, _, err := openFile(db.path, &db.opts)
 		if err != nil {
 			return nil, err
 		}
-		return l, nil
+		return reopened, nil
 	}
-	return h
+	return db
 }
 
-// Load hands over all rows of a table in the order of keys, as they are behind the Writes before it. The slices are the
-// caller's to keep. `each` runs on the hold's goroutine while Load waits and must not call the hold; its error ends the
-// Load and is returned as it is. Any other error is one of the list.
-func (h *DB) Load(t Table, each func(key, value []byte) error) error {
+// Load calls each for all rows of a table in the order of keys, including all Writes made before. The caller may keep the
+// slices. each runs on the DB's goroutine while Load waits and must not call the DB; its error ends the Load and is returned
+// unchanged. Any other error is one of those listed above.
+func (db *DB) Load(t Table, each func(key, value []byte) error) error {
 	answer := make(chan error, 1)
-	if err := h.send(command{table: t, each: each, done: func(err error) { answer <- err }}); err != nil {
+	if err := db.send(command{table: t, each: each, done: func(err error) { answer <- err }}); err != nil {
 		return err
 	}
 	return <-answer
 }
 
-// Write queues puts that come into force together, in the order of Writes. It never blocks. `done` is called once: from the
-// hold's goroutine when all of them are synced, or with an error and none of them is in force; or, when nothing was queued,
-// from within Write, with ErrBusy (too much waits), ErrStalled (the disk hangs), ErrFull (more than MaxWrite) or ErrDisk
-// (closed). It must not block and must not call Close or Load. The slices must not change before it.
+// Write queues puts that are applied together, in the order of Writes. It never blocks. done is called once, on the DB's
+// goroutine: with nil when all puts are synced, or with an error when none is applied. If nothing was queued, done is called
+// from within Write, with ErrBusy (queue full), ErrStalled (the disk hangs), ErrFull (more than MaxWrite) or ErrDisk (closed).
+// done must not block and must not call Close or Load. The slices must not change before it is called.
 //
-// If the process ends between the failure of a sync and the log's repair right behind it, puts that were told to have failed
-// may be found in force at the next Open, all of a Write or none; never once a later Write has succeeded.
-func (h *DB) Write(puts []Put, done func(error)) {
+// If the process ends after a failed sync, before the log is repaired right after it, puts that were reported as failed may
+// be found applied at the next Open, all of a Write or none; never once a later Write has succeeded.
+func (db *DB) Write(puts []Put, done func(error)) {
 	var size int64
 	for i := range puts {
 		size += int64(len(puts[i].Key) + len(puts[i].Value))
 	}
 	err := error(nil)
 	if size > MaxWrite {
-		err = fmt.Errorf("%w: a write of %d bytes, %d at most", ErrFull, size, MaxWrite)
+		err = fmt.Errorf("%w: a write of %d bytes, at most %d are allowed", ErrFull, size, MaxWrite)
 	} else {
-		err = h.send(command{puts: puts, size: size + putOverhead*int64(len(puts)), done: done})
+		err = db.send(command{puts: puts, size: size + putOverhead*int64(len(puts)), done: done})
 	}
 	if err != nil {
 		done(err)
 	}
 }
 
-func (h *DB) send(c command) error {
-	if d := h.Stalled(); d >= h.stallLimit {
+func (db *DB) send(c command) error {
+	if d := db.Stalled(); d >= db.stallLimit {
 		return fmt.Errorf("%w: for %v", ErrStalled, d)
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.closed {
+	db.mu.Lock()
+	defer db.mu.Unlock()
+	if db.closed {
 		return fmt.Errorf("%w: %w", ErrDisk, fs.ErrClosed)
 	}
-	if h.queuedBytes.Load()+c.size > MaxQueueBytes {
-		return fmt.Errorf("%w: %d bytes wait", ErrBusy, h.queuedBytes.Load())
+	if db.queuedBytes.Load()+c.size > MaxQueueBytes {
+		return fmt.Errorf("%w: %d bytes are queued", ErrBusy, db.queuedBytes.Load())
 	}
 	select {
-	case h.queue <- c:
-		h.queuedBytes.Add(c.size)
+	case db.queue <- c:
+		db.queuedBytes.Add(c.size)
 		return nil
 	default:
-		return fmt.Errorf("%w: %d writes wait", ErrBusy, MaxQueue)
+		return fmt.Errorf("%w: %d writes are queued", ErrBusy, MaxQueue)
 	}
 }
 
 var commits atomic.Int64
 
-// Commits is how many transactions this process has committed, each with its sync.
+// Commits returns how many transactions this process has committed, each with its sync.
 func Commits() int64 { return commits.Load() }
 
-// Stalled is how long the work under way has taken so far: a commit and its answers, moving the log, a Load; 0: there is
-// none.
-func (h *DB) Stalled() time.Duration {
-	since := h.workSince.Load()
+// Stalled returns how long the work under way (a commit and its callbacks, a checkpoint, a Load) has taken so far, or 0 if there
+// is none.
+func (db *DB) Stalled() time.Duration {
+	since := db.workSince.Load()
 	if since == 0 {
 		return 0
 	}
-	return max(time.Since(h.startedAt)-time.Duration(since-1), 1)
+	return max(time.Since(db.startedAt)-time.Duration(since-1), 1)
 }
 
-func (h *DB) setWorking(yes bool) {
+func (db *DB) setWorking(yes bool) {
 	if yes {
-		h.workSince.Store(int64(time.Since(h.startedAt)) + 1)
+		db.workSince.Store(int64(time.Since(db.startedAt)) + 1)
 	} else {
-		h.workSince.Store(0)
+		db.workSince.Store(0)
 	}
 }
 
-// Close waits up to 5 s for what is queued, then for the files to be closed. ErrStalled means that the disk hangs: what still
-// queues will be answered with it when the disk comes back, and the files closed then. Write answers ErrDisk from here on.
-func (h *DB) Close() error { return h.close(time.After(closeTimeout)) }
+// Close waits up to 5 s until queued commands are done and the files are closed. ErrStalled means that the disk hangs: when it
+// responds again, what is still queued is answered with ErrStalled and the files are closed. From now on Write fails with ErrDisk.
+func (db *DB) Close() error { return db.close(time.After(closeTimeout)) }
 
-func (h *DB) close(late <-chan time.Time) error {
-	h.mu.Lock()
-	if !h.closed {
-		h.closed = true
-		close(h.queue)
+func (db *DB) close(timeout <-chan time.Time) error {
+	db.mu.Lock()
+	if !db.closed {
+		db.closed = true
+		close(db.queue)
 	}
-	h.mu.Unlock()
+	db.mu.Unlock()
 	select {
-	case <-h.stopped:
+	case <-db.stopped:
 		return nil
-	case <-late:
-		h.abandoned.Store(true)
-		return fmt.Errorf("%w: it is left open", ErrStalled)
+	case <-timeout:
+		db.abandoned.Store(true)
+		return fmt.Errorf("%w: the files are left open", ErrStalled)
 	}
 }
 
-// run is the hold's goroutine.
-func (h *DB) run() {
-	defer close(h.stopped)
+// run is the DB's goroutine.
+func (db *DB) run() {
+	defer close(db.stopped)
 	var group []command
-	var next *command // taken from the queue, for after the group
+	var next *command // taken from the queue, to be run after the group
 	timer := time.NewTimer(repairInterval)
 	defer timer.Stop()
 	for {
@@ -282,34 +281,34 @@
 		if next != nil {
 			c, next = *next, nil
 		} else {
-			var mend <-chan time.Time
-			if h.engine == nil || h.logSuspect {
+			var retry <-chan time.Time
+			if db.engine == nil || db.logSuspect {
 				timer.Reset(repairInterval)
-				mend = timer.C
+				retry = timer.C
 			}
 			var open bool
 			select {
-			case c, open = <-h.queue:
-			case <-mend:
-				h.setWorking(true)
-				h.logTrouble(h.ensureWritable())
-				h.setWorking(false)
+			case c, open = <-db.queue:
+			case <-retry:
+				db.setWorking(true)
+				db.logTrouble(db.ensureWritable())
+				db.setWorking(false)
 				continue
 			}
 			if !open {
-				h.shutDown()
+				db.shutDown()
 				return
 			}
-			h.queuedBytes.Add(-c.size)
+			db.queuedBytes.Add(-c.size)
 		}
-		if h.abandoned.Load() {
-			c.done(fmt.Errorf("%w: closed meanwhile", ErrStalled))
+		if db.abandoned.Load() {
+			c.done(fmt.Errorf("%w: closed before the command was run", ErrStalled))
 			continue
 		}
-		h.setWorking(true)
+		db.setWorking(true)
 		if c.each != nil {
-			err := h.load(c)
-			h.setWorking(false)
+			err := db.load(c)
+			db.setWorking(false)
 			c.done(err)
 			continue
 		}
@@ -318,11 +317,11 @@
 	gather:
 		for puts < maxGroupPuts && size < maxGroupBytes {
 			select {
-			case c, open := <-h.queue:
+			case c, open := <-db.queue:
 				if !open {
 					break gather
 				}
-				h.queuedBytes.Add(-c.size)
+				db.queuedBytes.Add(-c.size)
 				if c.each != nil {
 					next = &c
 					break gather
@@ -333,34 +332,34 @@
 				break gather
 			}
 		}
-		h.writeGroup(group)
+		db.writeGroup(group)
 		clear(group)
-		h.checkpointIfDue()
-		h.setWorking(false)
+		db.checkpointIfDue()
+		db.setWorking(false)
 	}
 }
 
-func (h *DB) shutDown() {
-	if h.engine == nil {
+func (db *DB) shutDown() {
+	if db.engine == nil {
 		return
 	}
-	h.setWorking(true)
-	defer h.setWorking(false)
-	if h.logSuspect {
-		h.truncateLog()
+	db.setWorking(true)
+	defer db.setWorking(false)
+	if db.logSuspect {
+		db.truncateLog()
 	}
-	if err := h.engine.close(); err != nil {
-		h.opts.Log(fmt.Sprintf("%s: closing: %v", h.path, err))
+	if err := db.engine.close(); err != nil {
+		db.opts.Log(fmt.Sprintf("%s: closing: %v", db.path, err))
 	}
-	h.engine = nil
+	db.engine = nil
 }
 
-func (h *DB) load(c command) error {
-	if err := h.ensureOpen(); err != nil {
+func (db *DB) load(c command) error {
+	if err := db.ensureOpen(); err != nil {
 		return err
 	}
 	var own error
-	err := h.engine.each(c.table, func(key, value []byte) error {
+	err := db.engine.each(c.table, func(key, value []byte) error {
 		own = c.each(key, value)
 		return own
 	})
@@ -370,30 +369,30 @@
 	return wrap(err)
 }
 
-// writeGroup brings a group into force with one sync and answers each. A Write for which there is no room is left out.
-func (h *DB) writeGroup(group []command) {
-	again := true
+// writeGroup commits a group of Writes with one sync and answers each. Writes for which there is no space are left out.
+func (db *DB) writeGroup(group []command) {
+	mayCheckpoint := true
 	for len(group) > 0 {
-		at, err := h.commitGroup(group)
-		if again && at < 0 && errors.Is(err, ErrFull) && h.engine != nil && !h.logSuspect && !h.checkpointed && h.checkpoint() == nil {
-			again = false // the log is written from its start again, where it has its room already
+		at, err := db.commitGroup(group)
+		if mayCheckpoint && at < 0 && errors.Is(err, ErrFull) && db.engine != nil && !db.logSuspect && !db.checkpointed && db.checkpoint() == nil {
+			mayCheckpoint = false // retry: the log now starts over, in space that it already has
 			continue
 		}
 		if err == nil {
-			h.logTrouble(nil)
+			db.logTrouble(nil)
 			answer(group, nil)
 			return
 		}
 		if at < 0 || !errors.Is(err, ErrFull) {
-			h.logTrouble(err)
+			db.logTrouble(err)
 			answer(group, err)
 			return
 		}
-		if h.engine != nil && h.engine.grow() == nil {
+		if db.engine != nil && db.engine.grow() == nil {
 			continue
 		}
-		// There was no room for one Write: those before it pass without it, and it is answered in its turn.
-		h.writeGroup(group[:at])
+		// There was no space for one Write. Those before it are committed without it, and it is answered after them.
+		db.writeGroup(group[:at])
 		answer(group[at:at+1], err)
 		group = group[at+1:]
 	}
@@ -405,171 +404,171 @@
 	}
 }
 
-// commitGroup is one transaction. On an error nothing of it is in force, and `at` is the Write for which there was no room, or -1 if
-// it wasn't a single one.
-func (h *DB) commitGroup(group []command) (at int, err error) {
-	if err := h.ensureWritable(); err != nil {
+// commitGroup commits a group in one transaction. On an error nothing of it is applied, and at is the index of the Write that
+// failed, or -1 if the error concerns the whole group.
+func (db *DB) commitGroup(group []command) (at int, err error) {
+	if err := db.ensureWritable(); err != nil {
 		return -1, err
 	}
-	if err := h.engine.begin(); err != nil {
-		h.rollBack()
+	if err := db.engine.begin(); err != nil {
+		db.rollBack()
 		return -1, wrap(err)
 	}
 	for i := range group {
 		for k := range group[i].puts {
-			if err := h.engine.put(&group[i].puts[k]); err != nil {
-				h.rollBack()
+			if err := db.engine.put(&group[i].puts[k]); err != nil {
+				db.rollBack()
 				return i, wrap(err)
 			}
 		}
 	}
-	if h.opts.SimulatedDisk != nil {
-		if err := h.opts.SimulatedDisk(); err != nil {
-			h.rollBack()
+	if db.opts.SimulatedDisk != nil {
+		if err := db.opts.SimulatedDisk(); err != nil {
+			db.rollBack()
 			return -1, wrap(err)
 		}
 	}
-	if err := h.engine.commit(); err != nil {
-		// The disk may have all of it or a part. It must never come into force now that it is answered with an error.
-		h.rollBack()
-		h.truncateLog()
+	if err := db.engine.commit(); err != nil {
+		// The log may hold all or part of it. It must never take effect, since it is answered with an error.
+		db.rollBack()
+		db.truncateLog()
 		return -1, wrap(err)
 	}
 	commits.Add(1)
-	h.checkpointed = false
-	frames, _, err := h.engine.checkpoint(false)
-	if h.framesKnown = err == nil; h.framesKnown {
-		h.frames = frames
+	db.checkpointed = false
+	frames, _, err := db.engine.checkpoint(false)
+	if db.framesKnown = err == nil; db.framesKnown {
+		db.frames = frames
 	}
 	return -1, nil
 }
 
-// rollBack ends the transaction that failed. If that fails as well, the database is opened again before the next.
-func (h *DB) rollBack() {
-	if h.engine.inTransaction() {
-		if err := h.engine.rollback(); err != nil && h.engine.inTransaction() {
-			h.closeEngine(err)
+// rollBack ends a failed transaction. If that fails as well, the database is closed, to be reopened before the next one.
+func (db *DB) rollBack() {
+	if db.engine.inTransaction() {
+		if err := db.engine.rollback(); err != nil && db.engine.inTransaction() {
+			db.closeEngine(err)
 		}
 	}
 }
 
-// closeEngine closes the database after trouble that it can't get over by itself.
-func (h *DB) closeEngine(err error) {
-	h.logTrouble(err)
-	h.markSuspect()
-	h.engine.close() // moves what is in force and removes the log, if the disk allows
-	h.engine = nil
+// closeEngine closes the database after an error from which it can't recover.
+func (db *DB) closeEngine(err error) {
+	db.logTrouble(err)
+	db.markSuspect()
+	db.engine.close() // checkpoints and removes the log, if the disk allows
+	db.engine = nil
 }
 
-// markSuspect notes how much of the log is in force, before it is counted anew by whoever opens it next.
-func (h *DB) markSuspect() {
-	if h.logSuspect && h.validBytes >= 0 {
+// markSuspect records the valid length of the log, before a reopened database would count frames of a failed commit as valid.
+func (db *DB) markSuspect() {
+	if db.logSuspect && db.validBytes >= 0 {
 		return
 	}
-	h.logSuspect, h.validBytes = true, -1
-	frames, _, err := h.engine.checkpoint(false)
+	db.logSuspect, db.validBytes = true, -1
+	frames, _, err := db.engine.checkpoint(false)
 	switch {
 	case err == nil:
-	case h.checkpointed:
-		frames = 0 // all that the log had is in the database
-	case h.framesKnown:
-		frames = h.frames
+	case db.checkpointed:
+		frames = 0 // all of the log is in the database
+	case db.framesKnown:
+		frames = db.frames
 	default:
 		return
 	}
-	if h.validBytes = 0; frames > 0 {
-		h.validBytes = walHeader + int64(frames)*walFrame
+	if db.validBytes = 0; frames > 0 {
+		db.validBytes = walHeader + int64(frames)*walFrame
 	}
 }
 
-// truncateLog cuts off the log what a failed commit has left behind what is in force: whoever opens the files next would find it.
-func (h *DB) truncateLog() {
-	if h.engine != nil {
-		h.markSuspect()
+// truncateLog removes what a failed commit has left at the end of the log: the next opening would find it.
+func (db *DB) truncateLog() {
+	if db.engine != nil {
+		db.markSuspect()
 	}
 	switch {
-	case h.validBytes >= 0:
-		if err := truncateFile(h.path+"-wal", h.validBytes); err != nil {
-			h.logTrouble(wrap(err))
+	case db.validBytes >= 0:
+		if err := truncateFile(db.path+"-wal", db.validBytes); err != nil {
+			db.logTrouble(wrap(err))
 			return
 		}
-	case h.engine != nil:
-		h.logTrouble(wrap(errors.New("the log can't be counted")))
+	case db.engine != nil:
+		db.logTrouble(wrap(errors.New("the valid length of the log is unknown")))
 		return
-	default: // nothing can be told any more: what was told to be written goes first
+	default: // the valid length is unknown: keep the log, so that no acknowledged write is lost
 	}
-	reserveLog(h.path + "-wal")
-	h.logSuspect = false
+	reserveLog(db.path + "-wal")
+	db.logSuspect = false
 }
 
-// ensureOpen opens the database again if it was closed for trouble.
-func (h *DB) ensureOpen() error {
-	if h.logSuspect {
-		if h.truncateLog(); h.logSuspect {
-			return wrap(h.lastErr)
+// ensureOpen repairs a suspect log, and reopens the database if it was closed after an error.
+func (db *DB) ensureOpen() error {
+	if db.logSuspect {
+		if db.truncateLog(); db.logSuspect {
+			return wrap(db.lastErr)
 		}
 	}
-	if h.engine != nil {
+	if db.engine != nil {
 		return nil
 	}
-	db, err := h.reopen()
+	reopened, err := db.reopen()
 	if err != nil {
 		return wrap(err)
 	}
-	h.engine, h.logDurable, h.checkpointed, h.framesKnown, h.frames = db, false, false, false, 0
+	db.engine, db.logDurable, db.checkpointed, db.framesKnown, db.frames = reopened, false, false, false, 0
 	return nil
 }
 
-// ensureWritable makes the database fit to be written.
-func (h *DB) ensureWritable() error {
-	if err := h.ensureOpen(); err != nil {
+// ensureWritable opens the database if necessary and checks that it may be written.
+func (db *DB) ensureWritable() error {
+	if err := db.ensureOpen(); err != nil {
 		return err
 	}
-	// The log of an earlier process may not be on the disk, after a sync that failed: before anything is written behind it,
-	// it must be in the database for certain.
-	if !h.logDurable {
-		if err := h.checkpoint(); err != nil {
+	// After a failed sync, the log of an earlier process may be in memory only. Before anything is appended to it, it must be
+	// durably in the database.
+	if !db.logDurable {
+		if err := db.checkpoint(); err != nil {
 			return err
 		}
-		h.logDurable = true
+		db.logDurable = true
 	}
-	if h.frames >= maxFrames && time.Since(h.checkpointTried) >= repairInterval {
-		h.logTrouble(h.checkpoint())
+	if db.frames >= maxFrames && time.Since(db.checkpointTried) >= repairInterval {
+		db.logTrouble(db.checkpoint())
 	}
-	if h.frames >= maxFrames {
-		return fmt.Errorf("%w: the log has %d frames and can't be moved", h.checkpointErr, h.frames)
+	if db.frames >= maxFrames {
+		return fmt.Errorf("%w: the log has %d frames and can't be checkpointed", db.checkpointErr, db.frames)
 	}
 	return nil
 }
 
-// checkpointIfDue moves the log when it has grown.
-func (h *DB) checkpointIfDue() {
-	if h.engine != nil && !h.checkpointed && !h.logSuspect && h.frames >= h.checkpointAt {
-		h.logTrouble(h.checkpoint())
+// checkpointIfDue checkpoints the log if it has grown enough.
+func (db *DB) checkpointIfDue() {
+	if db.engine != nil && !db.checkpointed && !db.logSuspect && db.frames >= db.checkpointAt {
+		db.logTrouble(db.checkpoint())
 	}
 }
 
-// checkpoint moves the log into the database. Its file keeps its room on the disk and is written from the start again.
-func (h *DB) checkpoint() error {
-	frames, moved, err := h.engine.checkpoint(true)
+// checkpoint moves the log into the database. The log file keeps its space on the disk and is then written from the start.
+func (db *DB) checkpoint() error {
+	frames, moved, err := db.engine.checkpoint(true)
 	if err == nil && moved < frames {
-		err = fmt.Errorf("%d of %d frames were moved", moved, frames)
+		err = fmt.Errorf("only %d of %d frames were checkpointed", moved, frames)
 	}
 	if err != nil {
-		h.checkpointErr, h.checkpointTried, h.checkpointAt = wrap(fmt.Errorf("moving the log: %w", err)), time.Now(), h.frames+checkpointFrames
-		return h.checkpointErr
+		db.checkpointErr, db.checkpointTried, db.checkpointAt = wrap(fmt.Errorf("checkpoint: %w", err)), time.Now(), db.frames+checkpointFrames
+		return db.checkpointErr
 	}
-	h.checkpointErr, h.frames, h.checkpointAt, h.checkpointed = nil, 0, checkpointFrames, true
+	db.checkpointErr, db.frames, db.checkpointAt, db.checkpointed = nil, 0, checkpointFrames, true
 	return nil
 }
 
-// logTrouble logs trouble when it begins, and its end.
-func (h *DB) logTrouble(err error) {
+// logTrouble logs an error when it first occurs, and the recovery from it. A nil error means success.
+func (db *DB) logTrouble(err error) {
 	switch {
-	case err != nil && (h.lastErr == nil || h.lastErr.Error() != err.Error()):
-		h.opts.Log(fmt.Sprintf("%s: %v", h.path, err))
-	case err == nil && h.lastErr != nil:
-		h.opts.Log(fmt.Sprintf("%s: written again", h.path))
+	case err != nil && (db.lastErr == nil || db.lastErr.Error() != err.Error()):
+		db.opts.Log(fmt.Sprintf("%s: %v", db.path, err))
+	case err == nil && db.lastErr != nil:
+		db.opts.Log(fmt.Sprintf("%s: writes succeed again", db.path))
 	}
-	h.lastErr = err
+	db.lastErr = err
 }
--- a/internal/storage/db_test.go
+++ b/internal/storage/db_test.go
@@ -21,8 +21,8 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain keeps the tests' files in memory where it can: they are opened a thousand times, with a few syncs each, and what
-// power's loss leaves is made by hand. Benchmarks stay on the disk.
+// TestMain keeps the files in memory if possible: the tests open about a thousand databases, with a few syncs each, and construct
+// the effects of a power loss themselves. Benchmarks use the disk.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if info, err := os.Stat("/dev/shm"); err == nil && info.IsDir() && flag.Lookup("test.bench").Value.String() == "" {
@@ -33,21 +33,21 @@
 
 func openDB(t testing.TB, dir string, want Condition) *DB {
 	t.Helper()
-	h, start, err := Open(Options{Dir: dir})
-	if err != nil || start != want {
-		t.Fatal(start, err)
+	db, condition, err := Open(Options{Dir: dir})
+	if err != nil || condition != want {
+		t.Fatal(condition, err)
 	}
-	return h
+	return db
 }
 
-// writePuts writes and waits.
-func writePuts(h *DB, puts ...Put) error {
+// writePuts calls Write and waits for its result.
+func writePuts(db *DB, puts ...Put) error {
 	answer := make(chan error, 1)
-	h.Write(puts, func(err error) { answer <- err })
+	db.Write(puts, func(err error) { answer <- err })
 	return <-answer
 }
 
-// contents is what a hold has: values by table and key.
+// contents is the content of a database: values by table and key.
 type contents map[string]string
 
 func (s contents) with(puts []Put) contents {
@@ -62,12 +62,12 @@
 	return s
 }
 
-func loadAll(t testing.TB, h *DB) contents {
+func loadAll(t testing.TB, db *DB) contents {
 	t.Helper()
 	s := contents{}
 	for table := range Table(3) {
 		var last []byte
-		if err := h.Load(table, func(k, v []byte) error {
+		if err := db.Load(table, func(k, v []byte) error {
 			if last != nil && bytes.Compare(last, k) >= 0 {
 				t.Errorf("%q behind %q", k, last)
 			}
@@ -81,7 +81,7 @@
 	return s
 }
 
-// randomPuts are a few, of which some delete, some are empty and some take several pages.
+// randomPuts returns a few puts: some delete, some are empty and some take several pages.
 func randomPuts(rng *rand.Rand) []Put {
 	puts := make([]Put, 1+rng.IntN(6))
 	for i := range puts {
@@ -99,7 +99,7 @@
 	return puts
 }
 
-// fileSet are those of a folder, by name.
+// fileSet holds the files of a folder by name.
 type fileSet map[string][]byte
 
 func readFiles(t testing.TB, dir string) fileSet {
@@ -124,41 +124,40 @@
 	return dir
 }
 
-// reopen is what a hold finds in files that power's loss, or worse, has left.
+// reopen opens a copy of the files, as left by a power loss or other damage, and returns what is found.
 func (f fileSet) reopen(t testing.TB) (contents, Condition) {
 	t.Helper()
-	h, start, err := Open(Options{Dir: f.write(t)})
+	db, condition, err := Open(Options{Dir: f.write(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer h.Close()
-	s := loadAll(t, h)
-	if err := writePuts(h, Put{Key: []byte("after")}); err != nil {
-		t.Error("not written again:", err)
+	defer db.Close()
+	s := loadAll(t, db)
+	if err := writePuts(db, Put{Key: []byte("after")}); err != nil {
+		t.Error("not writable:", err)
 	}
-	return s, start
+	return s, condition
 }
 
-// filledDB is a folder with some transactions in the log of an open hold, and the states behind each.
-func filledDB(t testing.TB, n int) (h *DB, dir string, states []contents) {
+// filledDB returns an open database with n transactions in its log, its folder, and the contents after each transaction.
+func filledDB(t testing.TB, n int) (db *DB, dir string, states []contents) {
 	rng := rand.New(rand.NewPCG(1, uint64(n)))
-	dir = filepath.Join(t.TempDir(), "a?b%20", "c") // made when missing, and no name is too strange
-	h = openDB(t, dir, Empty)
-	t.Cleanup(func() { h.Close() })
+	dir = filepath.Join(t.TempDir(), "a?b%20", "c") // created if missing, with characters that need escaping
+	db = openDB(t, dir, Empty)
+	t.Cleanup(func() { db.Close() })
 	states = []contents{{}}
 	for range n {
 		puts := randomPuts(rng)
-		if err := writePuts(h, puts...); err != nil {
+		if err := writePuts(db, puts...); err != nil {
 			t.Fatal(err)
 		}
 		states = append(states, states[len(states)-1].with(puts))
 	}
-	return h, dir, states
+	return db, dir, states
 }
 
-// Power is lost with the log's end missing or torn anywhere: what is found is a whole number of transactions, all of those
-// that the log has in full.
-func TestLogCutAnywhere(t *testing.T) {
+// A power loss truncates or tears the log anywhere: exactly the transactions that are completely in the log are found.
+func TestLogTruncatedAnywhere(t *testing.T) {
 	t.Parallel()
 	_, dir, states := filledDB(t, 25)
 	whole := readFiles(t, dir)
@@ -166,7 +165,7 @@
 	if len(whole) != 2 || len(whole[fileName]) != chunkPages*pageSize {
 		t.Fatal("files", len(whole), len(whole[fileName]))
 	}
-	var ends []int // of transactions
+	var ends []int // offsets at which the transactions end
 	for at := walHeader; at+walFrame <= len(log); at += walFrame {
 		if binary.BigEndian.Uint32(log[at+4:]) != 0 {
 			ends = append(ends, at+walFrame)
@@ -176,40 +175,40 @@
 		t.Fatal(len(ends), "transactions in the log")
 	}
 	check := func(name string, cut []byte, want int) {
-		s, start := fileSet{fileName: whole[fileName], fileName + "-wal": cut}.reopen(t)
-		if start != Intact || !maps.Equal(s, states[want]) {
-			t.Errorf("%s: %v, not the first %d transactions", name, start, want)
+		s, condition := fileSet{fileName: whole[fileName], fileName + "-wal": cut}.reopen(t)
+		if condition != Intact || !maps.Equal(s, states[want]) {
+			t.Errorf("%s: %v, not the first %d transactions", name, condition, want)
 		}
 	}
-	for at := 0; at <= len(log); at += walFrame / 2 { // the header's half, mid-frame, and frame boundaries within 16 bytes
+	for at := 0; at <= len(log); at += walFrame / 2 { // half of the header, mid-frame, and frame boundaries within 16 bytes
 		for _, n := range []int{at, at + walHeader} {
 			n = min(n, len(log))
 			have, _ := slices.BinarySearch(ends, n+1)
 			check(fmt.Sprint("cut at ", n), log[:n], have)
 		}
 	}
-	// The last transaction's writes came to the disk in another order: its last frame is there, another is not.
+	// The writes of the last transaction reached the disk in another order: its last frame is there, another is not.
 	last := bytes.Clone(log)
 	clear(last[ends[23]+100 : ends[23]+1000])
 	check("a hole", last, 24)
-	// An older copy of all is whole.
+	// An older copy of all files is intact.
 	check("old", log[:ends[7]], 8)
 }
 
-// Power is lost while the log is moved: any pages of the database are old, new or torn.
-func TestMoveTornAnywhere(t *testing.T) {
+// Power is lost during a checkpoint: any page of the database may be old, new or torn.
+func TestCheckpointTornAnywhere(t *testing.T) {
 	t.Parallel()
-	h, dir, states := filledDB(t, 25)
+	db, dir, states := filledDB(t, 25)
 	before := readFiles(t, dir)
-	if err := writePuts(h); err != nil { // the goroutine has come to rest
+	if err := writePuts(db); err != nil { // the goroutine is idle now
 		t.Fatal(err)
 	}
-	if err := h.Close(); err != nil {
+	if err := db.Close(); err != nil {
 		t.Fatal(err)
 	}
 	after := readFiles(t, dir)
 	if len(after) != 1 {
-		t.Fatal("a log after Close")
+		t.Fatal("the log is still there after Close")
 	}
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -222,37 +221,37 @@
 				copy(mix[at:at+512], after[fileName][at:])
 			}
 		}
-		if s, start := (fileSet{fileName: mix, fileName + "-wal": before[fileName+"-wal"]}).reopen(t); start != Intact || !maps.Equal(s, states[25]) {
-			t.Errorf("seed %d: %v, %d of %d", seed, start, len(s), len(states[25]))
+		if s, condition := (fileSet{fileName: mix, fileName + "-wal": before[fileName+"-wal"]}).reopen(t); condition != Intact || !maps.Equal(s, states[25]) {
+			t.Errorf("seed %d: %v, %d of %d", seed, condition, len(s), len(states[25]))
 		}
 	}
 }
 
-// The file is cut at a page, or one is overwritten: it is known as damage, or nothing is missing.
+// The file is truncated at a page, or a page is overwritten: the damage is detected, or nothing is missing.
 func TestDamage(t *testing.T) {
 	t.Parallel()
-	h, dir, states := filledDB(t, 60)
-	h.Close()
-	db := readFiles(t, dir)[fileName]
-	db = db[:int(binary.BigEndian.Uint32(db[28:]))*pageSize] // without the room to grow
-	if s, start := (fileSet{fileName: db}).reopen(t); start != Intact || !maps.Equal(s, states[60]) {
-		t.Fatal(start)
+	db, dir, states := filledDB(t, 60)
+	db.Close()
+	file := readFiles(t, dir)[fileName]
+	file = file[:int(binary.BigEndian.Uint32(file[28:]))*pageSize] // without the preallocated pages
+	if s, condition := (fileSet{fileName: file}).reopen(t); condition != Intact || !maps.Equal(s, states[60]) {
+		t.Fatal(condition)
 	}
 	damaged, tried := 0, 0
 	check := func(name string, f fileSet) {
 		tried++
-		switch s, start := f.reopen(t); {
-		case start == Damaged && len(s) == 0:
+		switch s, condition := f.reopen(t); {
+		case condition == Damaged && len(s) == 0:
 			damaged++
-		case start == Intact && maps.Equal(s, states[60]):
-		case start == Empty && len(f[fileName]) == 0:
+		case condition == Intact && maps.Equal(s, states[60]):
+		case condition == Empty && len(f[fileName]) == 0:
 		default:
-			t.Errorf("%s: %v with %d rows", name, start, len(s))
+			t.Errorf("%s: %v with %d rows", name, condition, len(s))
 		}
 	}
 	rng := rand.New(rand.NewPCG(5, 5))
-	for at := 0; at < len(db); at += pageSize {
-		check(fmt.Sprint("cut at ", at), fileSet{fileName: db[:at]})
+	for at := 0; at < len(file); at += pageSize {
+		check(fmt.Sprint("cut at ", at), fileSet{fileName: file[:at]})
 		for name, spoil := range map[string]func([]byte){
 			"noise": func(page []byte) {
 				for i := range page {
@@ -261,9 +260,9 @@
 			},
 			"zeros":     func(page []byte) { clear(page) },
 			"one byte":  func(page []byte) { page[100+rng.IntN(pageSize-100)] ^= 4 },
-			"another's": func(page []byte) { copy(page, db[(at+pageSize)%len(db):]) },
+			"another's": func(page []byte) { copy(page, file[(at+pageSize)%len(file):]) },
 		} {
-			bad := bytes.Clone(db)
+			bad := bytes.Clone(file)
 			spoil(bad[at : at+pageSize])
 			check(fmt.Sprint(name, " at ", at), fileSet{fileName: bad})
 		}
@@ -271,36 +270,36 @@
 	check("text", fileSet{fileName: []byte(strings.Repeat("no database ", 999))})
 	check("a log alone", fileSet{fileName + "-wal": make([]byte, 9999)})
 	if damaged < tried/2 {
-		t.Errorf("%d of %d were known as damage", damaged, tried)
+		t.Errorf("%d of %d cases were detected as damage", damaged, tried)
 	}
-	// The files stand aside, one of each, and the new one lives.
-	dir = fileSet{fileName: db[:pageSize], fileName + "-wal": []byte("x")}.write(t)
+	// The damaged files are quarantined, one of each, and the new file is usable.
+	dir = fileSet{fileName: file[:pageSize], fileName + "-wal": []byte("x")}.write(t)
 	for range 2 {
-		h := openDB(t, dir, Damaged)
-		if err := writePuts(h, Put{Value: []byte("new")}); err != nil {
+		db := openDB(t, dir, Damaged)
+		if err := writePuts(db, Put{Value: []byte("new")}); err != nil {
 			t.Fatal(err)
 		}
-		h.Close()
+		db.Close()
 		if b, err := os.ReadFile(filepath.Join(dir, fileName+damagedSuffix)); err != nil || len(b) == 0 {
 			t.Error(err)
 		}
-		h = openDB(t, dir, Intact)
-		if s := loadAll(t, h); len(s) != 1 {
+		db = openDB(t, dir, Intact)
+		if s := loadAll(t, db); len(s) != 1 {
 			t.Error(s)
 		}
-		h.Close()
+		db.Close()
 		os.Truncate(filepath.Join(dir, fileName), pageSize)
 	}
 }
 
-// The file's bound is reached: what has no room is refused alone, and what is deleted makes room.
+// The size limit of the file is reached: only Writes without space are refused, and deletions free space.
 func TestFull(t *testing.T) {
 	t.Parallel()
-	h, _, err := Open(Options{Dir: t.TempDir(), MaxBytes: 128 * pageSize})
+	db, _, err := Open(Options{Dir: t.TempDir(), MaxBytes: 128 * pageSize})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer h.Close()
+	defer db.Close()
 	want := contents{}
 	value := bytes.Repeat([]byte("x"), 700)
 	rng := rand.New(rand.NewPCG(8, 8))
@@ -309,7 +308,7 @@
 	for round := range 3 {
 		for {
 			p := Put{1, key(), value}
-			if err := writePuts(h, p); err != nil {
+			if err := writePuts(db, p); err != nil {
 				if !errors.Is(err, ErrFull) {
 					t.Fatal(err)
 				}
@@ -319,9 +318,9 @@
 			want = want.with([]Put{p})
 		}
 		if len(want) < 100 {
-			t.Fatal("full with ", len(want))
+			t.Fatal("full, number of rows: ", len(want))
 		}
-		// A group whose members have room, none, none, and room.
+		// Of this group, the first and the last Write have space, the two between have none.
 		group := [][]Put{{{Table: 1, Key: keys[0]}}, {{1, key(), bytes.Repeat(value, 99)}}, {{2, key(), value}, {2, key(), bytes.Repeat(value, 99)}},
 			{{Table: 1, Key: keys[1]}, {1, keys[2], []byte("short")}}}
 		answers := make([]error, len(group))
@@ -329,41 +328,41 @@
 		for i, puts := range group {
 			commands = append(commands, command{puts: puts, done: func(err error) { answers[i] = err }})
 		}
-		h.onGoroutine(func() { h.writeGroup(commands) })
+		db.onGoroutine(func() { db.writeGroup(commands) })
 		if answers[0] != nil || !errors.Is(answers[1], ErrFull) || !errors.Is(answers[2], ErrFull) || answers[3] != nil {
 			t.Fatal(answers)
 		}
 		want = want.with(group[0]).with(group[3])
-		if s := loadAll(t, h); !maps.Equal(s, want) {
+		if s := loadAll(t, db); !maps.Equal(s, want) {
 			t.Fatalf("%d rows, not %d", len(s), len(want))
 		}
 		rng.Shuffle(len(keys), func(i, j int) { keys[i], keys[j] = keys[j], keys[i] })
 		for _, k := range keys[round:] {
-			if err := writePuts(h, Put{Table: 1, Key: k}); err != nil {
+			if err := writePuts(db, Put{Table: 1, Key: k}); err != nil {
 				t.Fatal(err)
 			}
 			want = want.with([]Put{{Table: 1, Key: k}})
 		}
 		keys = keys[:round]
 	}
-	if err := writePuts(h, Put{Value: make([]byte, MaxWrite+1)}); !errors.Is(err, ErrFull) {
+	if err := writePuts(db, Put{Value: make([]byte, MaxWrite+1)}); !errors.Is(err, ErrFull) {
 		t.Error(err)
 	}
 }
 
-// onGoroutine has f called on the hold's goroutine.
-func (h *DB) onGoroutine(f func()) {
-	h.Load(0, func(k, v []byte) error { return nil }) // what was queued is done
+// onGoroutine runs f on the DB's goroutine.
+func (db *DB) onGoroutine(f func()) {
+	db.Load(0, func(k, v []byte) error { return nil }) // wait for what is queued
 	ended := make(chan struct{})
-	h.send(command{each: nil, puts: nil, done: func(error) { f(); close(ended) }})
+	db.send(command{each: nil, puts: nil, done: func(error) { f(); close(ended) }})
 	<-ended
 }
 
-// A real disk is full: on a file system of 3 MB that others have filled.
+// A real disk is full: a file system of 3 MB that is filled by other files.
 func TestDiskFull(t *testing.T) {
 	dir := t.TempDir()
 	if err := syscall.Mount("none", dir, "tmpfs", 0, "size=3m"); err != nil {
-		t.Skip("no right to mount: ", err)
+		t.Skip("no permission to mount: ", err)
 	}
 	defer syscall.Unmount(dir, 0)
 	other := filepath.Join(dir, "other")
@@ -383,13 +382,13 @@
 		t.Fatal(err)
 	}
 	os.Remove(other)
-	h := openDB(t, filepath.Join(dir, "a"), Empty)
-	defer func() { h.Close() }()
+	db := openDB(t, filepath.Join(dir, "a"), Empty)
+	defer func() { db.Close() }()
 	rng := rand.New(rand.NewPCG(9, 9))
 	want, refused := contents{}, 0
 	step := func() error {
 		puts := randomPuts(rng)
-		err := writePuts(h, puts...)
+		err := writePuts(db, puts...)
 		switch {
 		case err == nil:
 			want = want.with(puts)
@@ -402,7 +401,7 @@
 	}
 	same := func(when string) {
 		t.Helper()
-		if s := loadAll(t, h); !maps.Equal(s, want) {
+		if s := loadAll(t, db); !maps.Equal(s, want) {
 			t.Fatalf("%s: %d rows, not %d", when, len(s), len(want))
 		}
 	}
@@ -410,15 +409,15 @@
 		step()
 	}
 	fill()
-	for range 600 { // the room that was reserved is used up, or reused
+	for range 600 { // the reserved space is used up or reused
 		step()
 	}
 	if refused > 0 {
-		t.Errorf("%d refused of those that have room", refused)
+		t.Errorf("%d writes refused though there is space", refused)
 	}
-	for i := 0; refused == 0 && i < 1000; i++ { // until there is none
+	for i := 0; refused == 0 && i < 1000; i++ { // until there is no space
 		p := Put{2, fmt.Append(nil, "more", i), make([]byte, 9000)}
-		if err := writePuts(h, p); err == nil {
+		if err := writePuts(db, p); err == nil {
 			want = want.with([]Put{p})
 		} else if refused++; !errors.Is(err, ErrFull) {
 			t.Fatal(err)
@@ -427,42 +426,42 @@
 	if refused == 0 {
 		t.Error("never full")
 	}
-	for i := range 1000 { // the log is moved meanwhile
+	for i := range 1000 { // with checkpoints in between
 		p := Put{Table: 2, Key: fmt.Append(nil, "more", i)}
-		if err := writePuts(h, p); err != nil {
+		if err := writePuts(db, p); err != nil {
 			t.Fatal("not deleted while full:", err)
 		}
 		want = want.with([]Put{p})
 	}
 	same("while full")
-	if s, start := readFiles(t, filepath.Join(dir, "a")).reopen(t); start != Intact || !maps.Equal(s, want) {
-		t.Errorf("power is lost while full: %v, %d rows, not %d", start, len(s), len(want))
+	if s, condition := readFiles(t, filepath.Join(dir, "a")).reopen(t); condition != Intact || !maps.Equal(s, want) {
+		t.Errorf("after a power loss while full: %v, %d rows, not %d", condition, len(s), len(want))
 	}
-	h.Close()
-	h = openDB(t, filepath.Join(dir, "a"), Intact)
+	db.Close()
+	db = openDB(t, filepath.Join(dir, "a"), Intact)
 	same("opened while full")
 	step()
 	os.Remove(other)
-	h.Close()
-	h = openDB(t, filepath.Join(dir, "a"), Intact)
+	db.Close()
+	db = openDB(t, filepath.Join(dir, "a"), Intact)
 	refused = 0
 	for range 50 {
 		step()
 	}
-	same("well again")
+	same("after the disk was freed")
 	if refused > 0 {
-		t.Errorf("%d refused behind it", refused)
+		t.Errorf("%d writes refused after the disk was freed", refused)
 	}
 }
 
 var errSync = sqlite3.Error{Code: sqlite3.ErrIoErr, ExtendedCode: sqlite3.ErrIoErrFsync, SystemErrno: syscall.EIO}
 
-// faultyEngine is a store on a disk that fails.
+// faultyEngine is an engine on a disk that fails.
 type faultyEngine struct {
 	engine
 	t     testing.TB
 	dir   string
-	fails func(oneIn int) error // the next call; nil: it does not
+	fails func(oneIn int) error // returns the error of the next call, or nil; failures may be drawn with probability 1/oneIn
 	puts  []Put
 }
 
@@ -482,7 +481,7 @@
 	return f.engine.put(p)
 }
 
-// commit fails as one does whose sync failed: all of the transaction, or a part, stands in the log.
+// commit fails like one whose sync failed: the whole transaction is in the log.
 func (f *faultyEngine) commit() error {
 	failed := f.fails(3)
 	if failed == nil {
@@ -516,13 +515,13 @@
 
 func (f *faultyEngine) rollback() error {
 	if err := f.fails(3); err != nil {
-		return err // and the transaction stays open
+		return err // the transaction stays open
 	}
 	return f.engine.rollback()
 }
 
 func (f *faultyEngine) checkpoint(move bool) (int, int, error) {
-	if move { // counting doesn't touch the disk
+	if move { // counting frames doesn't access the disk
 		if err := f.fails(3); err != nil {
 			return 0, 0, err
 		}
@@ -537,18 +536,18 @@
 	return f.engine.each(t, each)
 }
 
-// openDB is a hold on such a disk, without its goroutine: the test takes its steps.
-func (f *faultyEngine) openDB(t *testing.T) (h *DB, opened *int) {
+// openDB opens a DB on this engine, without its goroutine: the test runs the steps. reopened counts how often it was reopened.
+func (f *faultyEngine) openDB(t *testing.T) (db *DB, reopened *int) {
 	f.t, f.dir = t, t.TempDir()
 	o := Options{Dir: f.dir, MaxBytes: defaultMaxBytes, Log: func(string) {}}
-	db, _, err := openFolder(&o)
+	inner, _, err := openFolder(&o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, opened = newDB(o, f), new(int)
-	f.engine = db
-	reopen := h.reopen
-	h.reopen = func() (engine, error) {
+	db, reopened = newDB(o, f), new(int)
+	f.engine = inner
+	reopen := db.reopen
+	db.reopen = func() (engine, error) {
 		if err := f.fails(2); err != nil {
 			return nil, err
 		}
@@ -556,67 +555,67 @@
 		if err != nil {
 			return nil, err
 		}
-		*opened++
+		*reopened++
 		f.engine = s
 		return f, nil
 	}
-	return h, opened
+	return db, reopened
 }
 
-// The disk fails in all ways at random. Whenever the process stops, what is found is exactly what was told to be written.
+// All calls fail at random. Whenever the process stops, exactly the acknowledged writes are found.
 func TestFailingDisk(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 11))
-		ill := false
+		failing := false
 		f := &faultyEngine{fails: func(oneIn int) error {
-			if ill && rng.IntN(oneIn) == 0 {
+			if failing && rng.IntN(oneIn) == 0 {
 				return errSync
 			}
 			return nil
 		}}
-		h, reopens := f.openDB(t)
+		db, reopens := f.openDB(t)
 		want := contents{}
 		failed := 0
-		// The steps of the goroutine, one at a time.
+		// The steps of the DB's goroutine, one at a time.
 		for i := range 60 {
-			ill = i%20 < 15
+			failing = i%20 < 15
 			puts := randomPuts(rng)
 			var answer error
-			h.writeGroup([]command{{puts: puts, done: func(err error) { answer = err }}})
-			h.checkpointIfDue()
+			db.writeGroup([]command{{puts: puts, done: func(err error) { answer = err }}})
+			db.checkpointIfDue()
 			switch {
 			case answer == nil:
 				want = want.with(puts)
-			case !ill && i%20 > 15:
-				t.Errorf("seed %d, %d: fails on a disk that is well: %v", seed, i, answer)
+			case !failing && i%20 > 15:
+				t.Errorf("seed %d, %d: a write fails on a working disk: %v", seed, i, answer)
 			case !errors.Is(answer, ErrDisk):
 				t.Error(answer)
 			default:
 				failed++
 			}
 			if i%4 == 0 || answer != nil {
-				if s, start := readFiles(t, f.dir).reopen(t); start != Intact || !maps.Equal(s, want) {
-					t.Fatalf("seed %d, %d: %v, %d rows, not %d", seed, i, start, len(s), len(want))
+				if s, condition := readFiles(t, f.dir).reopen(t); condition != Intact || !maps.Equal(s, want) {
+					t.Fatalf("seed %d, %d: %v, %d rows, not %d", seed, i, condition, len(s), len(want))
 				}
 			}
 		}
 		if failed == 0 || *reopens == 0 {
-			t.Errorf("seed %d: %d failed, %d times opened again", seed, failed, *reopens)
+			t.Errorf("seed %d: %d writes failed, reopened %d times", seed, failed, *reopens)
 		}
-		h.shutDown()
+		db.shutDown()
 	}
 }
 
-// Each call to the store fails once in its turn, amid groups of writes. Each of a group hears of it, or that it stands; what is
-// found on the disk at that moment, and behind the end, is what was told; and nothing else fails for it.
+// In each run a different call to the engine fails, during groups of writes. Each write of the group is answered with the error
+// or with success; what is found on disk at that moment and at the end matches the answers; and nothing else fails.
 func TestEachCallFailsOnce(t *testing.T) {
 	t.Parallel()
 	errNoRoom := sqlite3.Error{Code: sqlite3.ErrFull, SystemErrno: syscall.ENOSPC}
 	for _, failure := range []error{errSync, errNoRoom} {
-		told := 0
+		reported := 0
 		for turn := 1; ; turn++ {
-			rng := rand.New(rand.NewPCG(7, 7)) // the same steps in each turn
+			rng := rand.New(rand.NewPCG(7, 7)) // the same steps in each run
 			calls := 0
 			f := &faultyEngine{fails: func(int) error {
 				if calls++; calls == turn {
@@ -624,7 +623,7 @@
 				}
 				return nil
 			}}
-			h, _ := f.openDB(t)
+			db, _ := f.openDB(t)
 			want, troubled := contents{}, 0
 			for step := range 6 {
 				before := calls
@@ -633,28 +632,28 @@
 				for i := range answers {
 					group = append(group, command{puts: randomPuts(rng), done: func(err error) { answers[i] = err }})
 				}
-				h.checkpointAt = 20 // the log is moved now and then
-				h.writeGroup(slices.Clone(group))
-				h.checkpointIfDue()
+				db.checkpointAt = 20 // with checkpoints now and then
+				db.writeGroup(slices.Clone(group))
+				db.checkpointIfDue()
 				for i, err := range answers {
 					if err == nil {
 						want = want.with(group[i].puts)
-					} else if told++; !errors.Is(err, wrap(failure)) && !errors.Is(err, ErrDisk) && !errors.Is(err, ErrFull) {
+					} else if reported++; !errors.Is(err, wrap(failure)) && !errors.Is(err, ErrDisk) && !errors.Is(err, ErrFull) {
 						t.Error(err)
 					}
 				}
 				if hit := before < turn && turn <= calls; answers != [4]error{} && !hit {
-					t.Errorf("call %d: step %d fails on a disk that is well: %v", turn, step, answers)
+					t.Errorf("call %d: step %d fails on a working disk: %v", turn, step, answers)
 				} else if hit {
 					troubled++
-					if s, start := readFiles(t, f.dir).reopen(t); start != Intact || !maps.Equal(s, want) {
-						t.Errorf("call %d, step %d, %v: %v, %d rows, not %d", turn, step, answers, start, len(s), len(want))
+					if s, condition := readFiles(t, f.dir).reopen(t); condition != Intact || !maps.Equal(s, want) {
+						t.Errorf("call %d, step %d, %v: %v, %d rows, not %d", turn, step, answers, condition, len(s), len(want))
 					}
 				}
 				got := contents{}
 				for table := range Table(3) {
 					before = calls
-					err := h.load(command{table: table, each: func(k, v []byte) error {
+					err := db.load(command{table: table, each: func(k, v []byte) error {
 						got[string(append([]byte{byte(table)}, k...))] = string(v)
 						return nil
 					}})
@@ -669,13 +668,13 @@
 					t.Errorf("call %d, step %d: %d rows loaded, not %d", turn, step, len(got), len(want))
 				}
 			}
-			h.shutDown()
-			if s, start := readFiles(t, f.dir).reopen(t); start != Intact || !maps.Equal(s, want) {
-				t.Errorf("call %d, behind the end: %v, %d rows, not %d", turn, start, len(s), len(want))
+			db.shutDown()
+			if s, condition := readFiles(t, f.dir).reopen(t); condition != Intact || !maps.Equal(s, want) {
+				t.Errorf("call %d, at the end: %v, %d rows, not %d", turn, condition, len(s), len(want))
 			}
 			if calls < turn {
-				if troubled > 0 || told == 0 {
-					t.Errorf("%v: %d calls, of which %d were told as failed", failure, turn, told)
+				if troubled > 0 || reported == 0 {
+					t.Errorf("%v: %d calls, %d writes reported as failed", failure, turn, reported)
 				}
 				break
 			}
@@ -683,7 +682,7 @@
 	}
 }
 
-// hangingEngine is a store whose commits wait.
+// hangingEngine is an engine whose commits wait until they are released.
 type hangingEngine struct {
 	engine
 	entered, released chan struct{}
@@ -697,22 +696,22 @@
 	return s.engine.commit()
 }
 
-// The disk hangs: nobody waits for it, what queued meanwhile goes with one sync, and Close leaves.
+// The disk hangs: Write doesn't block, what queued meanwhile is committed with one sync, and Close gives up after its timeout.
 func TestHangingDisk(t *testing.T) {
 	t.Parallel()
 	o := Options{Dir: t.TempDir(), MaxBytes: defaultMaxBytes, Log: func(string) {}}
-	db, _, err := openFolder(&o)
+	inner, _, err := openFolder(&o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &hangingEngine{engine: db, entered: make(chan struct{}), released: make(chan struct{})}
-	h := newDB(o, s)
-	h.stallLimit = time.Hour
-	go h.run()
+	s := &hangingEngine{engine: inner, entered: make(chan struct{}), released: make(chan struct{})}
+	db := newDB(o, s)
+	db.stallLimit = time.Hour
+	go db.run()
 	answers := make(chan error, 2*MaxQueue)
 	put := func(n int) {
 		for i := range n {
-			h.Write([]Put{{Key: fmt.Append(nil, i), Value: []byte("v")}}, func(err error) { answers <- err })
+			db.Write([]Put{{Key: fmt.Append(nil, i), Value: []byte("v")}}, func(err error) { answers <- err })
 		}
 	}
 	all := func(n int, want error) {
@@ -723,13 +722,13 @@
 			}
 		}
 	}
-	if h.Stalled() != 0 {
+	if db.Stalled() != 0 {
 		t.Error("stalled with nothing to do")
 	}
 	put(1)
 	<-s.entered
 	put(200)
-	if h.Stalled() <= 0 {
+	if db.Stalled() <= 0 {
 		t.Error("not stalled")
 	}
 	s.released <- struct{}{}
@@ -743,48 +742,48 @@
 	<-s.entered
 	put(MaxQueue + 7)
 	all(7, ErrBusy)
-	h.stallLimit = 1
+	db.stallLimit = 1
 	put(1)
 	all(1, ErrStalled)
-	late := make(chan time.Time, 1)
-	late <- time.Time{}
-	if err := h.close(late); !errors.Is(err, ErrStalled) {
+	timeout := make(chan time.Time, 1)
+	timeout <- time.Time{}
+	if err := db.close(timeout); !errors.Is(err, ErrStalled) {
 		t.Error(err)
 	}
-	h.stallLimit = time.Hour
+	db.stallLimit = time.Hour
 	put(1)
 	all(1, ErrDisk)
 	s.released <- struct{}{}
-	all(1, nil) // it was under way
+	all(1, nil) // its commit was under way
 	all(MaxQueue, ErrStalled)
-	if err := h.Close(); err != nil {
+	if err := db.Close(); err != nil {
 		t.Error(err)
 	}
-	h = openDB(t, o.Dir, Intact)
-	defer h.Close()
-	if s := loadAll(t, h); len(s) != 200 {
+	db = openDB(t, o.Dir, Intact)
+	defer db.Close()
+	if s := loadAll(t, db); len(s) != 200 {
 		t.Error(len(s))
 	}
 }
 
-// What can't be opened is left as it is.
+// A file that can't be opened is left unchanged.
 func TestRefused(t *testing.T) {
 	if dir := os.Getenv("HOLD_OF_ANOTHER"); dir != "" {
 		if _, _, err := Open(Options{Dir: dir}); !errors.Is(err, ErrDisk) || !strings.Contains(err.Error(), "locked") {
-			t.Error("another process's:", err)
+			t.Error("opened by another process:", err)
 		}
 		return
 	}
 	t.Parallel()
 	dir := t.TempDir()
-	h := openDB(t, dir, Empty)
-	defer h.Close()
+	db := openDB(t, dir, Empty)
+	defer db.Close()
 	other := exec.Command(os.Args[0], "-test.run=TestRefused")
 	other.Env = append(os.Environ(), "HOLD_OF_ANOTHER="+dir)
 	if out, err := other.CombinedOutput(); err != nil {
 		t.Errorf("%v\n%s", err, out)
 	}
-	if err := writePuts(h, Put{Value: []byte("undisturbed")}); err != nil {
+	if err := writePuts(db, Put{Value: []byte("undisturbed")}); err != nil {
 		t.Error(err)
 	}
 	dir = t.TempDir()
@@ -796,7 +795,7 @@
 			t.Errorf("%s: %v", d, err)
 		}
 	}
-	// Of a later version, whole.
+	// An intact file of a later schema version.
 	dir = t.TempDir()
 	l, err := connect(filepath.Join(dir, fileName), 99, "FULL")
 	if err != nil {
@@ -809,18 +808,18 @@
 	}
 	l.close()
 	before := readFiles(t, dir)
-	if _, start, err := Open(Options{Dir: dir}); !errors.Is(err, ErrDisk) || start == Damaged || !strings.Contains(err.Error(), "version 7") {
-		t.Error(start, err)
+	if _, condition, err := Open(Options{Dir: dir}); !errors.Is(err, ErrDisk) || condition == Damaged || !strings.Contains(err.Error(), "version 7") {
+		t.Error(condition, err)
 	}
 	if !maps.EqualFunc(before, readFiles(t, dir), bytes.Equal) {
-		t.Error("it was changed")
+		t.Error("the file was changed")
 	}
-	// Its making was cut short at any page.
+	// The creation of a file was interrupted.
 	for n := range 2 {
-		h := openDB(t, fileSet{fileName: nil}.write(t), Empty)
-		if err := writePuts(h, Put{Value: []byte{byte(n)}}); err != nil {
+		db := openDB(t, fileSet{fileName: nil}.write(t), Empty)
+		if err := writePuts(db, Put{Value: []byte{byte(n)}}); err != nil {
 			t.Error(err)
 		}
-		h.Close()
+		db.Close()
 	}
 }
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -15,113 +15,114 @@
 const (
 	fileName       = "hold.db"
 	fallocKeepSize = 1          // FALLOC_FL_KEEP_SIZE
-	damagedSuffix  = ".damaged" // behind the name of a file that was damaged; one of each is kept
+	damagedSuffix  = ".damaged" // appended to the names of damaged files; one of each is kept
 )
 
 var suffixes = []string{"", "-wal", "-journal"}
 
-// openFolder opens what stands in the folder, and begins anew where it is damaged.
+// openFolder opens the database in the folder. If it is damaged, it is quarantined and an empty one is created.
 func openFolder(o *Options) (engine, Condition, error) {
 	if err := makeDir(o.Dir); err != nil {
 		return nil, Empty, wrap(err)
 	}
 	path := filepath.Join(o.Dir, fileName)
-	l, start, err := openFile(path, o)
+	e, condition, err := openFile(path, o)
 	var damage *damageError
 	if errors.As(err, &damage) {
-		o.Log(fmt.Sprintf("%s is damaged and put aside: %v", path, err))
+		o.Log(fmt.Sprintf("%s is damaged and quarantined: %v", path, err))
 		if err := quarantine(path, osFileOps); err != nil {
-			return nil, Damaged, wrap(fmt.Errorf("put aside what is damaged: %w", err))
+			return nil, Damaged, wrap(fmt.Errorf("quarantine: %w", err))
 		}
-		start = Damaged
-		l, _, err = openFile(path, o)
+		condition = Damaged
+		e, _, err = openFile(path, o)
 		if err = wrap(err); errors.Is(err, ErrFull) {
-			o.Log("no room for a new file: the damaged ones are removed")
+			o.Log("no space for a new file: the damaged files are removed")
 			for _, s := range suffixes {
 				os.Remove(path + damagedSuffix + s)
-				os.Remove(path + s) // what was begun
+				os.Remove(path + s) // the incomplete new file
 			}
-			l, _, err = openFile(path, o)
+			e, _, err = openFile(path, o)
 		}
 	}
 	if err != nil {
-		return nil, start, wrap(err)
+		return nil, condition, wrap(err)
 	}
-	if err := o.syncNames(o.Dir); err != nil { // before anything is told to be written, its files must have their names for certain
-		l.close()
-		return nil, start, wrap(err)
+	if err := o.syncNames(o.Dir); err != nil { // the file names must be durable before any write is acknowledged
+		e.close()
+		return nil, condition, wrap(err)
 	}
-	return l, start, nil
+	return e, condition, nil
 }
 
-// openFile opens the file and looks at all of it, or makes one. Damage is a damageError.
-func openFile(path string, o *Options) (l *sqliteEngine, start Condition, err error) {
-	start, err = inspect(path)
+// openFile opens the file and verifies all of it, or creates one. Damage is reported as a damageError.
+func openFile(path string, o *Options) (e *sqliteEngine, condition Condition, err error) {
+	condition, err = inspect(path)
 	if err != nil {
-		return nil, start, err
+		return nil, condition, err
 	}
 	defer func() {
 		if err == nil {
 			return
 		}
-		if l != nil {
-			l.close()
-			l = nil
+		if e != nil {
+			e.close()
+			e = nil
 		}
-		var e sqlite3.Error
-		if errors.As(err, &e) && (e.Code == sqlite3.ErrCorrupt || e.Code == sqlite3.ErrNotADB) {
-			err = &damageError{e.Error()}
+		var sqliteErr sqlite3.Error
+		if errors.As(err, &sqliteErr) && (sqliteErr.Code == sqlite3.ErrCorrupt || sqliteErr.Code == sqlite3.ErrNotADB) {
+			err = &damageError{sqliteErr.Error()}
 		}
 	}()
-	if l, err = connect(path, max((o.MaxBytes+chunkPages*pageSize-1)/(chunkPages*pageSize), 1)*chunkPages, o.synchronousMode()); err != nil {
-		return l, start, err
+	if e, err = connect(path, max((o.MaxBytes+chunkPages*pageSize-1)/(chunkPages*pageSize), 1)*chunkPages, o.synchronousMode()); err != nil {
+		return e, condition, err
 	}
-	version, err := l.queryRow("PRAGMA user_version")
+	version, err := e.queryRow("PRAGMA user_version")
 	if err != nil {
-		return l, start, err
+		return e, condition, err
 	}
-	tables, err := l.queryRow("SELECT count(*), total(sql=" + "'" + schema + "') FROM sqlite_schema")
+	tables, err := e.queryRow("SELECT count(*), total(sql=" + "'" + schema + "') FROM sqlite_schema")
 	if err != nil {
-		return l, start, err
+		return e, condition, err
 	}
 	switch v, n := version[0], tables[0]; {
-	case v == int64(0) && n == int64(0): // new, or its making was cut short
-		start = Empty
+	case v == int64(0) && n == int64(0): // new, or its creation was interrupted
+		condition = Empty
 		for _, q := range []string{"BEGIN IMMEDIATE", schema, fmt.Sprintf("PRAGMA user_version=%d", schemaVersion), "COMMIT"} {
-			if _, err = l.conn.Exec(q, nil); err != nil {
-				return l, start, err
+			if _, err = e.conn.Exec(q, nil); err != nil {
+				return e, condition, err
 			}
 		}
 	case v != int64(schemaVersion):
-		if found, err := l.queryRow("PRAGMA quick_check(1)"); err != nil {
-			return l, start, err
+		if found, err := e.queryRow("PRAGMA quick_check(1)"); err != nil {
+			return e, condition, err
 		} else if found[0] != "ok" {
-			return l, start, &damageError{fmt.Sprint("quick_check: ", found[0])}
+			return e, condition, &damageError{fmt.Sprint("quick_check: ", found[0])}
 		}
-		return l, start, fmt.Errorf("%s has schema version %v, this program knows %d", path, v, schemaVersion)
+		return e, condition, fmt.Errorf("%s has schema version %v, this program knows %d", path, v, schemaVersion)
 	case n != int64(1) || tables[1] != float64(1):
-		return l, start, &damageError{fmt.Sprintf("the schema is not that of version %d", schemaVersion)}
+		return e, condition, &damageError{fmt.Sprintf("the schema is not that of version %d", schemaVersion)}
 	default:
-		if err = l.verify(); err != nil {
-			return l, start, err
+		if err = e.verify(); err != nil {
+			return e, condition, err
 		}
 	}
-	if err = l.prepare(); err != nil {
-		return l, start, err
+	if err = e.prepare(); err != nil {
+		return e, condition, err
 	}
-	// What an earlier process wrote may have been read from memory and not be on the disk. Nobody may act on it before.
-	if _, _, err := l.checkpoint(true); err != nil {
-		o.Log(fmt.Sprintf("%s: moving the log: %v", path, err))
-		if err := syncFile(path + "-wal"); err != nil { // the disk is full, perhaps: what is there can be read
-			return l, start, err
+	// What an earlier process wrote may have been read from the page cache without being on disk. It must be durable before
+	// anybody acts on it.
+	if _, _, err := e.checkpoint(true); err != nil {
+		o.Log(fmt.Sprintf("%s: checkpoint: %v", path, err))
+		if err := syncFile(path + "-wal"); err != nil { // the disk may be full: the content can still be read
+			return e, condition, err
 		}
 	}
 	reserveLog(path + "-wal")
-	return l, start, nil
+	return e, condition, nil
 }
 
-// reserveLog takes the room that the log needs until it is moved, so that a disk that others fill doesn't stop the hold. Its
-// size stays as it is. Where that can't be had, the hold does without.
+// reserveLog allocates the space that the log needs until the next checkpoint, so that writes go on when others fill the disk.
+// The file size doesn't change. Errors are ignored: the log then has no reserve.
 func reserveLog(path string) {
 	if f, err := os.OpenFile(path, os.O_WRONLY, 0); err == nil {
 		syscall.Fallocate(int(f.Fd()), fallocKeepSize, 0, walHeader+checkpointFrames*walFrame+maxGroupBytes)
@@ -138,26 +139,26 @@
 	return f.Sync()
 }
 
-// inspect reads what can be told without SQLite: whether there is a file, and whether its first page can be one of a hold.
+// inspect checks without SQLite whether the file exists, and whether its header can be that of a database of this package.
 func inspect(path string) (Condition, error) {
 	log, err := os.Stat(path + "-wal")
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return Empty, err
 	}
-	logged := err == nil && log.Size() > walHeader
+	hasLog := err == nil && log.Size() > walHeader
 	f, err := os.Open(path)
 	switch {
-	case errors.Is(err, fs.ErrNotExist) && logged:
+	case errors.Is(err, fs.ErrNotExist) && hasLog:
 		return Damaged, &damageError{"a log without its database"}
 	case errors.Is(err, fs.ErrNotExist):
 		return Empty, nil
 	case err != nil:
 		return Empty, err
 	}
-	defer f.Close() // before SQLite opens it: closing a file drops the locks that the process has on it
+	defer f.Close() // before SQLite opens it: closing a file drops all locks that the process has on it
 	var head [100]byte
 	switch n, err := io.ReadFull(f, head[:]); {
-	case n == 0 && err == io.EOF && logged:
+	case n == 0 && err == io.EOF && hasLog:
 		return Damaged, &damageError{"a log with an empty database"}
 	case n == 0 && err == io.EOF:
 		return Empty, nil
@@ -165,13 +166,13 @@
 		return Empty, err
 	case n < len(head), string(head[:16]) != "SQLite format 3\x00",
 		int(head[16])<<8|int(head[17]) != pageSize, head[20] != 0, head[21] != 64, head[22] != 32, head[23] != 32:
-		return Damaged, &damageError{"the header of the file is not a hold's"}
+		return Damaged, &damageError{"the header of the file is not valid"}
 	}
 	return Intact, nil
 }
 
-// fileOps changes the names of files in a folder. A change lasts for certain once the folder is synced; before that each may
-// be kept or lost by itself at a loss of power.
+// fileOps renames and removes files in a folder. A change is durable once the folder is synced; before that, a loss of power may
+// keep or undo each change independently.
 type fileOps struct {
 	rename func(from, to string) error
 	remove func(path string) error
@@ -180,8 +181,8 @@
 
 var osFileOps = fileOps{os.Rename, os.Remove, syncDir}
 
-// quarantine puts the files aside, in the place of those of the time before. The database goes first, and for certain: a log
-// without one is known as damage, while a database without its log would be taken for whole.
+// quarantine renames the files, replacing those quarantined before. The database goes first, and durably so: a log without a
+// database is recognized as damage, while a database without its log would be taken as intact.
 func quarantine(path string, n fileOps) error {
 	for _, s := range suffixes {
 		if err := n.rename(path+s, path+damagedSuffix+s); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -196,7 +197,7 @@
 	return nil
 }
 
-// makeDir makes the folder, and its name certain.
+// makeDir creates the folder, durably.
 func makeDir(dir string) error {
 	if info, err := os.Stat(dir); err == nil {
 		if !info.IsDir() {
@@ -210,7 +211,7 @@
 	return syncDir(filepath.Dir(dir))
 }
 
-// synchronousMode is SQLite's word for how surely a commit is on the disk.
+// synchronousMode returns SQLite's setting for syncing commits.
 func (o Options) synchronousMode() string {
 	if o.SimulatedDisk != nil {
 		return "OFF"
@@ -218,7 +219,7 @@
 	return "FULL"
 }
 
-// syncNames is syncDir for a disk that is one.
+// syncNames syncs a folder, unless the disk is simulated.
 func (o Options) syncNames(dir string) error {
 	if o.SimulatedDisk != nil {
 		return nil
@@ -235,7 +236,7 @@
 	return d.Sync()
 }
 
-// truncateFile ends the log behind so many bytes, for certain. SQLite has no locks on it that would go with the file's closing.
+// truncateFile durably shortens the log to size bytes, if it is longer. SQLite has no locks on the log that closing it would drop.
 func truncateFile(path string, size int64) error {
 	f, err := os.OpenFile(path, os.O_WRONLY, 0)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -254,7 +255,7 @@
 	return f.Sync()
 }
 
-// wrap puts an error into the closed list.
+// wrap returns an error that is one of the exported errors of this package.
 func wrap(err error) error {
 	if err == nil {
 		return nil
@@ -264,9 +265,9 @@
 			return err
 		}
 	}
-	var e sqlite3.Error
+	var sqliteErr sqlite3.Error
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) ||
-		errors.As(err, &e) && (e.Code == sqlite3.ErrFull || e.SystemErrno == syscall.ENOSPC || e.SystemErrno == syscall.EDQUOT) {
+		errors.As(err, &sqliteErr) && (sqliteErr.Code == sqlite3.ErrFull || sqliteErr.SystemErrno == syscall.ENOSPC || sqliteErr.SystemErrno == syscall.EDQUOT) {
 		return fmt.Errorf("%w: %w", ErrFull, err)
 	}
 	return fmt.Errorf("%w: %w", ErrDisk, err)
--- a/internal/storage/sqlite.go
+++ b/internal/storage/sqlite.go
@@ -14,24 +14,24 @@
 	sqlite3 "github.com/mattn/go-sqlite3"
 )
 
-// engine is what the hold asks of its database. Tests put one between that fails.
+// engine is the database below a DB. Tests insert one that fails.
 type engine interface {
 	begin() error
-	put(p *Put) error // in force with the commit
+	put(p *Put) error // takes effect with the commit
 	commit() error
 	rollback() error
-	inTransaction() bool // a transaction is open
+	inTransaction() bool
 	each(t Table, f func(key, value []byte) error) error
-	// checkpoint moves what the log (the -wal file) holds into the database, or only counts: frames of the log that are in
-	// force, and those of them that the database has for certain.
+	// checkpoint moves the content of the log (the -wal file) into the database if move is set. It returns the number of valid
+	// frames in the log, and how many of them are durably in the database.
 	checkpoint(move bool) (frames, moved int, err error)
-	// grow takes room on the disk for more pages. Until then puts that need them fail, as moving the log would.
+	// grow allocates disk space for more pages. Without it, puts that need them fail, so that a checkpoint never runs out of space.
 	grow() error
-	close() error // moves the log first, if it can
+	close() error // checkpoints the log first, if possible
 }
 
-// A row of kv is a key with its value behind a CRC-32C (little-endian) of table, key and value: SQLite has no sums of its
-// own outside the log.
+// A row of kv is a key and a value that is preceded by a CRC-32C (little-endian) of table, key and value, since SQLite has
+// checksums only in the log.
 const (
 	schemaVersion = 1
 	schema        = "CREATE TABLE kv(t INTEGER, k BLOB, v BLOB, PRIMARY KEY(t,k)) WITHOUT ROWID"
@@ -39,11 +39,12 @@
 	walHeader     = 32
 	walFrame      = 24 + pageSize
 	checksumBytes = 4
-	chunkPages    = 64 // hold.db grows by so many: 256 KiB
+	chunkPages    = 64 // by which hold.db grows: 256 KiB
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
+// checksum returns the checksum that is stored with a row.
 func checksum(t Table, key, value []byte) uint32 {
 	head := [5]byte{byte(t)}
 	binary.LittleEndian.PutUint32(head[1:], uint32(len(key)))
@@ -51,79 +52,80 @@
 	return crc32.Update(crc32.Update(c, castagnoli, key), castagnoli, value)
 }
 
-// damageError says that the content of the files is not what was written.
+// damageError reports that the content of the files is not what was written.
 type damageError struct{ why string }
 
 func (e *damageError) Error() string { return e.why }
 
-// sqliteEngine is the store: a connection of the driver, without database/sql, which costs a lock and a few allocations per call.
+// sqliteEngine implements engine with a connection of the SQLite driver. It avoids database/sql, which costs a lock and a few
+// allocations per call.
 type sqliteEngine struct {
 	conn                                                                                          *sqlite3.SQLiteConn
 	beginStmt, commitStmt, rollbackStmt, putStmt, deleteStmt, eachStmt, checkpointStmt, countStmt *sqlite3.SQLiteStmt
 	args                                                                                          [3]driver.NamedValue
-	tableArgs                                                                                     [256]driver.Value // boxed once
+	tableArgs                                                                                     [256]driver.Value // as driver values, to avoid allocations
 	buf                                                                                           []byte
 	path                                                                                          string
-	maxPages, maxPagesEver                                                                        int64 // that the file may have now, and ever
+	maxPages, maxPagesEver                                                                        int64 // pages that the file may have now, and at most
 }
 
 var background = context.Background()
 
-// connect opens the file, or makes an empty one. Nothing of the schema is looked at.
+// connect opens or creates the file. It doesn't read the schema.
 func connect(path string, maxPages int64, sync string) (*sqliteEngine, error) {
-	// EXCLUSIVE before the first access to the log keeps its index on the heap: no -shm file, nothing mapped.
+	// With EXCLUSIVE set before the first access, SQLite keeps the log's index on the heap: no -shm file, no memory mapping.
 	u := url.URL{Scheme: "file", Path: path, RawQuery: "_busy_timeout=0&_mutex=no&_locking_mode=EXCLUSIVE&_synchronous=" + sync}
 	conn, err := (&sqlite3.SQLiteDriver{}).Open(u.String())
 	if err != nil {
 		return nil, err
 	}
-	l := &sqliteEngine{conn: conn.(*sqlite3.SQLiteConn), path: path, maxPages: maxPages, maxPagesEver: maxPages}
+	e := &sqliteEngine{conn: conn.(*sqlite3.SQLiteConn), path: path, maxPages: maxPages, maxPagesEver: maxPages}
 	for _, q := range []string{
 		fmt.Sprintf("PRAGMA page_size=%d", pageSize),
 		"PRAGMA temp_store=MEMORY", "PRAGMA mmap_size=0", "PRAGMA cache_size=-1024", "PRAGMA cell_size_check=ON",
 		"PRAGMA wal_autocheckpoint=0", fmt.Sprintf("PRAGMA max_page_count=%d", maxPages),
 	} {
-		if _, err := l.conn.Exec(q, nil); err != nil {
-			l.close()
+		if _, err := e.conn.Exec(q, nil); err != nil {
+			e.close()
 			return nil, err
 		}
 	}
-	mode, err := l.queryRow("PRAGMA journal_mode=WAL")
+	mode, err := e.queryRow("PRAGMA journal_mode=WAL")
 	if err == nil {
-		err = l.conn.SetFileControlInt("main", sqlite3.SQLITE_FCNTL_CHUNK_SIZE, chunkPages*pageSize)
+		err = e.conn.SetFileControlInt("main", sqlite3.SQLITE_FCNTL_CHUNK_SIZE, chunkPages*pageSize)
 	}
 	if err == nil && mode[0] != "wal" {
-		err = fmt.Errorf("the journal's mode is %v, not wal", mode[0])
+		err = fmt.Errorf("the journal mode is %v, not wal", mode[0])
 	}
 	if err != nil {
-		l.close()
+		e.close()
 		return nil, err
 	}
-	return l, nil
+	return e, nil
 }
 
-// prepare keeps the statements, once the schema is there.
-func (l *sqliteEngine) prepare() error {
+// prepare prepares the statements. The schema must exist.
+func (e *sqliteEngine) prepare() error {
 	for _, p := range []struct {
 		to  **sqlite3.SQLiteStmt
 		sql string
 	}{
-		{&l.beginStmt, "BEGIN IMMEDIATE"}, {&l.commitStmt, "COMMIT"}, {&l.rollbackStmt, "ROLLBACK"},
-		{&l.putStmt, "INSERT OR REPLACE INTO kv(t,k,v) VALUES(?,?,?)"}, {&l.deleteStmt, "DELETE FROM kv WHERE t=? AND k=?"},
-		{&l.eachStmt, "SELECT k,v FROM kv WHERE t=? ORDER BY k"},
-		{&l.checkpointStmt, "PRAGMA wal_checkpoint(PASSIVE)"}, {&l.countStmt, "PRAGMA wal_checkpoint(NOOP)"},
+		{&e.beginStmt, "BEGIN IMMEDIATE"}, {&e.commitStmt, "COMMIT"}, {&e.rollbackStmt, "ROLLBACK"},
+		{&e.putStmt, "INSERT OR REPLACE INTO kv(t,k,v) VALUES(?,?,?)"}, {&e.deleteStmt, "DELETE FROM kv WHERE t=? AND k=?"},
+		{&e.eachStmt, "SELECT k,v FROM kv WHERE t=? ORDER BY k"},
+		{&e.checkpointStmt, "PRAGMA wal_checkpoint(PASSIVE)"}, {&e.countStmt, "PRAGMA wal_checkpoint(NOOP)"},
 	} {
-		s, err := l.conn.Prepare(p.sql)
+		s, err := e.conn.Prepare(p.sql)
 		if err != nil {
 			return err
 		}
 		*p.to = s.(*sqlite3.SQLiteStmt)
 	}
-	for i := range l.tableArgs {
-		l.tableArgs[i] = int64(i)
+	for i := range e.tableArgs {
+		e.tableArgs[i] = int64(i)
 	}
-	for i := range l.args {
-		l.args[i].Ordinal = i + 1
+	for i := range e.args {
+		e.args[i].Ordinal = i + 1
 	}
 	return nil
 }
@@ -133,31 +135,31 @@
 	return err
 }
 
-func (l *sqliteEngine) begin() error        { return execStmt(l.beginStmt, nil) }
-func (l *sqliteEngine) commit() error       { return execStmt(l.commitStmt, nil) }
-func (l *sqliteEngine) rollback() error     { return execStmt(l.rollbackStmt, nil) }
-func (l *sqliteEngine) inTransaction() bool { return !l.conn.AutoCommit() }
+func (e *sqliteEngine) begin() error        { return execStmt(e.beginStmt, nil) }
+func (e *sqliteEngine) commit() error       { return execStmt(e.commitStmt, nil) }
+func (e *sqliteEngine) rollback() error     { return execStmt(e.rollbackStmt, nil) }
+func (e *sqliteEngine) inTransaction() bool { return !e.conn.AutoCommit() }
 
 var noKey = []byte{}
 
-func (l *sqliteEngine) put(p *Put) error {
+func (e *sqliteEngine) put(p *Put) error {
 	key := p.Key
 	if key == nil {
-		key = noKey // nil would be NULL
+		key = noKey // nil would be stored as NULL
 	}
-	l.args[0].Value, l.args[1].Value = l.tableArgs[p.Table], key
+	e.args[0].Value, e.args[1].Value = e.tableArgs[p.Table], key
 	if p.Value == nil {
-		return execStmt(l.deleteStmt, l.args[:2])
+		return execStmt(e.deleteStmt, e.args[:2])
 	}
-	l.buf = binary.LittleEndian.AppendUint32(l.buf[:0], checksum(p.Table, key, p.Value))
-	l.buf = append(l.buf, p.Value...)
-	l.args[2].Value = l.buf
-	return execStmt(l.putStmt, l.args[:])
+	e.buf = binary.LittleEndian.AppendUint32(e.buf[:0], checksum(p.Table, key, p.Value))
+	e.buf = append(e.buf, p.Value...)
+	e.args[2].Value = e.buf
+	return execStmt(e.putStmt, e.args[:])
 }
 
-func (l *sqliteEngine) each(t Table, f func(key, value []byte) error) error {
-	l.args[0].Value = l.tableArgs[t]
-	rows, err := l.eachStmt.QueryContext(background, l.args[:1])
+func (e *sqliteEngine) each(t Table, f func(key, value []byte) error) error {
+	e.args[0].Value = e.tableArgs[t]
+	rows, err := e.eachStmt.QueryContext(background, e.args[:1])
 	if err != nil {
 		return err
 	}
@@ -180,26 +182,26 @@
 	}
 }
 
-// verifyRow is a row's key and value as they were put.
+// verifyRow checks a row's checksum and returns its key and value.
 func verifyRow(t Table, k, v driver.Value) (key, value []byte, err error) {
 	key, ok := k.([]byte)
 	sealed, ok2 := v.([]byte)
 	if !ok || !ok2 || len(sealed) < checksumBytes || binary.LittleEndian.Uint32(sealed) != checksum(t, key, sealed[checksumBytes:]) {
-		return nil, nil, &damageError{fmt.Sprintf("table %d: the sum of a row is wrong", t)}
+		return nil, nil, &damageError{fmt.Sprintf("table %d: wrong checksum of a row", t)}
 	}
 	return key, sealed[checksumBytes:len(sealed):len(sealed)], nil
 }
 
-// verify looks at the structure of the file and at the sum of each row.
-func (l *sqliteEngine) verify() error {
-	found, err := l.queryRow("PRAGMA quick_check(1)")
+// verify checks the structure of the file and the checksum of each row.
+func (e *sqliteEngine) verify() error {
+	found, err := e.queryRow("PRAGMA quick_check(1)")
 	if err != nil {
 		return err
 	}
 	if s, _ := found[0].(string); s != "ok" {
 		return &damageError{fmt.Sprint("quick_check: ", found[0])}
 	}
-	rows, err := l.conn.Query("SELECT t,k,v FROM kv", nil)
+	rows, err := e.conn.Query("SELECT t,k,v FROM kv", nil)
 	if err != nil {
 		return err
 	}
@@ -214,7 +216,7 @@
 		}
 		t, ok := row[0].(int64)
 		if !ok || t < 0 || t > 255 {
-			return &damageError{fmt.Sprintf("a row of table %v", row[0])}
+			return &damageError{fmt.Sprintf("a row of the invalid table %v", row[0])}
 		}
 		if _, _, err := verifyRow(Table(t), row[1], row[2]); err != nil {
 			return err
@@ -222,9 +224,9 @@
 	}
 }
 
-// queryRow is the first row of a query's answer.
-func (l *sqliteEngine) queryRow(query string) ([]driver.Value, error) {
-	rows, err := l.conn.Query(query, nil)
+// queryRow returns the first row of a query.
+func (e *sqliteEngine) queryRow(query string) ([]driver.Value, error) {
+	rows, err := e.conn.Query(query, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -236,10 +238,10 @@
 	return row, nil
 }
 
-func (l *sqliteEngine) checkpoint(move bool) (frames, moved int, err error) {
-	s := l.countStmt
+func (e *sqliteEngine) checkpoint(move bool) (frames, moved int, err error) {
+	s := e.countStmt
 	if move {
-		s = l.checkpointStmt
+		s = e.checkpointStmt
 	}
 	rows, err := s.QueryContext(background, nil)
 	if err != nil {
@@ -252,7 +254,7 @@
 	}
 	rows.Close()
 	if move {
-		if err := l.limitToAllocated(); err != nil {
+		if err := e.limitToAllocated(); err != nil {
 			return 0, 0, err
 		}
 	}
@@ -261,50 +263,50 @@
 	return int(max(a, 0)), int(max(b, 0)), nil
 }
 
-// limitToAllocated lets the file have the pages that it has room for on the disk, so that moving the log never needs more. SQLite cuts
-// it to a whole number of chunks with each moving.
-func (l *sqliteEngine) limitToAllocated() error {
-	info, err := os.Stat(l.path)
+// limitToAllocated limits the file to the pages that are allocated on the disk, so that a checkpoint never needs more. SQLite
+// truncates the file to a whole number of chunks in each checkpoint.
+func (e *sqliteEngine) limitToAllocated() error {
+	info, err := os.Stat(e.path)
 	if err != nil {
 		return err
 	}
-	return l.setMaxPages(min(info.Size()/pageSize, l.maxPagesEver))
+	return e.setMaxPages(min(info.Size()/pageSize, e.maxPagesEver))
 }
 
-func (l *sqliteEngine) setMaxPages(pages int64) error {
-	if pages == l.maxPages {
+func (e *sqliteEngine) setMaxPages(pages int64) error {
+	if pages == e.maxPages {
 		return nil
 	}
-	_, err := l.conn.Exec(fmt.Sprintf("PRAGMA max_page_count=%d", max(pages, 1)), nil)
+	_, err := e.conn.Exec(fmt.Sprintf("PRAGMA max_page_count=%d", max(pages, 1)), nil)
 	if err == nil {
-		l.maxPages = pages
+		e.maxPages = pages
 	}
 	return err
 }
 
-func (l *sqliteEngine) grow() error {
-	if l.maxPages >= l.maxPagesEver {
-		return errors.New("the file's bound is reached")
+func (e *sqliteEngine) grow() error {
+	if e.maxPages >= e.maxPagesEver {
+		return errors.New("the size limit of the file is reached")
 	}
-	// SQLite writes a byte to each block. Its error doesn't reach the driver: what counts is how far it came.
-	before := l.maxPages
-	if err := l.conn.SetFileControlInt64("main", sqlite3.SQLITE_FCNTL_SIZE_HINT, (l.maxPages+1)*pageSize); err != nil {
+	// SQLite writes a byte to each block. The driver doesn't report its errors, so the resulting size is checked.
+	before := e.maxPages
+	if err := e.conn.SetFileControlInt64("main", sqlite3.SQLITE_FCNTL_SIZE_HINT, (e.maxPages+1)*pageSize); err != nil {
 		return err
 	}
-	if err := l.limitToAllocated(); err != nil {
+	if err := e.limitToAllocated(); err != nil {
 		return err
 	}
-	if l.maxPages <= before {
-		return errors.New("the disk has no room for more pages")
+	if e.maxPages <= before {
+		return errors.New("no space left on the disk for more pages")
 	}
 	return nil
 }
 
-func (l *sqliteEngine) close() error {
-	for _, s := range []*sqlite3.SQLiteStmt{l.beginStmt, l.commitStmt, l.rollbackStmt, l.putStmt, l.deleteStmt, l.eachStmt, l.checkpointStmt, l.countStmt} {
+func (e *sqliteEngine) close() error {
+	for _, s := range []*sqlite3.SQLiteStmt{e.beginStmt, e.commitStmt, e.rollbackStmt, e.putStmt, e.deleteStmt, e.eachStmt, e.checkpointStmt, e.countStmt} {
 		if s != nil {
 			s.Close()
 		}
 	}
-	return l.conn.Close()
+	return e.conn.Close()
 }
--- a/internal/store/interruption_test.go
+++ b/internal/store/interruption_test.go
@@ -25,27 +25,27 @@
 
 // failAfter lets n syncs succeed. Then the next sync fails, or the voter restarts on what is on disk. done reports that there
 // were no more syncs to interrupt.
-func (d *testVoter) failAfter(t *testing.T, n int, fails bool) (again *testVoter, done bool) {
+func (voter *testVoter) failAfter(t *testing.T, n int, fails bool) (again *testVoter, done bool) {
 	for range n {
-		d.runQueue()
-		if len(d.fake.pending) == 0 {
+		voter.runQueue()
+		if len(voter.fake.pending) == 0 {
 			return nil, true
 		}
-		d.fake.sync(nil)
+		voter.fake.sync(nil)
 	}
-	d.runQueue()
-	if len(d.fake.pending) == 0 {
+	voter.runQueue()
+	if len(voter.fake.pending) == 0 {
 		return nil, true
 	}
 	if fails {
-		d.fake.sync(storage.ErrDisk)
-		for len(d.queue) > 0 {
-			d.runQueue()
+		voter.fake.sync(storage.ErrDisk)
+		for len(voter.queue) > 0 {
+			voter.runQueue()
 		}
-		return d, false
+		return voter, false
 	}
 	again = newTestVoter(t, Options{})
-	again.condition, again.fake = storage.Intact, d.fake
+	again.condition, again.fake = storage.Intact, voter.fake
 	again.fake.pending = nil
 	again.openDisk()
 	again.recovering = true // no test here needs a repair to run
@@ -61,17 +61,17 @@
 	for _, fails := range []bool{false, true} {
 		n, done := 0, false
 		for ; !done; n++ {
-			d := newTestVoter(t, Options{})
-			d.openDisk()
-			d.voterSet = messages.Roll{Epoch: 1, Voters: voters}
-			d.locate()
-			d.fake.rows[tableMeta] = map[string][]byte{"roll": d.putVoterSet().Value, "incs": d.putIncarnations().Value}
-			d.setState(Repairing)
-			d.restore(2, []recoveredState{m}, nil)
+			voter := newTestVoter(t, Options{})
+			voter.openDisk()
+			voter.voterSet = messages.Roll{Epoch: 1, Voters: voters}
+			voter.locate()
+			voter.fake.rows[tableMeta] = map[string][]byte{"roll": voter.putVoterSet().Value, "incs": voter.putIncarnations().Value}
+			voter.setState(Repairing)
+			voter.restore(2, []recoveredState{m}, nil)
 			var again *testVoter
-			if again, done = d.failAfter(t, n, fails); done {
-				if d.state != Serving {
-					t.Errorf("%s after %d syncs", d.state, n)
+			if again, done = voter.failAfter(t, n, fails); done {
+				if voter.state != Serving {
+					t.Errorf("%s after %d syncs", voter.state, n)
 				}
 				break
 			}
@@ -104,30 +104,30 @@
 		for _, fails := range []bool{false, true} {
 			n, done := 0, false
 			for ; !done; n++ {
-				d := newTestVoter(t, Options{Bootstrap: kept, InitialVoters: voters})
-				d.condition = storage.Empty
-				d.openDisk()
-				d.settle()
+				voter := newTestVoter(t, Options{Bootstrap: kept, InitialVoters: voters})
+				voter.condition = storage.Empty
+				voter.openDisk()
+				voter.settle()
 				state, own := NonVoter, 0
 				if kept {
 					state, own = Serving, 1
-					d.write([]storage.Put{putClaim("own", id(99)), putItem(older), putBallot("accepted", older.Ballot), putBallot("chosen", older.Ballot)}, func(error) {})
-					d.seal.Closed, d.sealDurable = true, true
-					d.write([]storage.Put{d.putSeal()}, func(error) {})
-					d.settle()
-					d.claims.Claim(0, "own", id(99))
+					voter.write([]storage.Put{putClaim("own", id(99)), putItem(older), putBallot("accepted", older.Ballot), putBallot("chosen", older.Ballot)}, func(error) {})
+					voter.seal.Closed, voter.sealDurable = true, true
+					voter.write([]storage.Put{voter.putSeal()}, func(error) {})
+					voter.settle()
+					voter.claims.Claim(0, "own", id(99))
 				} else {
-					d.voterSet = messages.Roll{Epoch: 1, Voters: []messages.Voter{{Addr: "x:1"}, {Addr: "b:1"}, {Addr: "c:1"}}}
-					d.locate()
-					d.fake.rows[tableMeta] = map[string][]byte{"roll": d.putVoterSet().Value, "incs": d.putIncarnations().Value}
-					d.setState(NonVoter)
+					voter.voterSet = messages.Roll{Epoch: 1, Voters: []messages.Voter{{Addr: "x:1"}, {Addr: "b:1"}, {Addr: "c:1"}}}
+					voter.locate()
+					voter.fake.rows[tableMeta] = map[string][]byte{"roll": voter.putVoterSet().Value, "incs": voter.putIncarnations().Value}
+					voter.setState(NonVoter)
 				}
-				d.takingOver = true
-				d.installHandover(next, []handedState{h, h}, kept, nil)
+				voter.takingOver = true
+				voter.installHandover(next, []handedState{h, h}, kept, nil)
 				var again *testVoter
-				if again, done = d.failAfter(t, n, fails); done {
-					if d.state != Serving || d.voterSet.Epoch != 2 || !d.valueInherited() {
-						t.Errorf("kept %v: %s in epoch %d after %d syncs", kept, d.state, d.voterSet.Epoch, n)
+				if again, done = voter.failAfter(t, n, fails); done {
+					if voter.state != Serving || voter.voterSet.Epoch != 2 || !voter.valueInherited() {
+						t.Errorf("kept %v: %s in epoch %d after %d syncs", kept, voter.state, voter.voterSet.Epoch, n)
 					}
 					break
 				}
--- a/internal/store/reconfig_test.go
+++ b/internal/store/reconfig_test.go
@@ -16,23 +16,23 @@
 // A voter that accepted a successor of its voter set grants nothing from then on. It answers and hands over its state only once
 // that is on disk, and keeps refusing after a restart. Only the lease for changing the voter set can still be had from it.
 func TestVoterAfterItsEpoch(t *testing.T) {
-	d := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
-	d.condition = storage.Empty
-	d.leases = lease.NewGranter(-lease.Span)
-	d.openDisk()
-	d.settle()
-	claim := func(d *testVoter, key string) errcode.Kind {
-		r := d.call(messages.Claim, messages.ClaimCall{Key: key, ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1})
-		d.settle()
+	voter := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
+	voter.condition = storage.Empty
+	voter.leases = lease.NewGranter(-lease.Span)
+	voter.openDisk()
+	voter.settle()
+	claim := func(voter *testVoter, key string) errcode.Kind {
+		r := voter.call(messages.Claim, messages.ClaimCall{Key: key, ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1})
+		voter.settle()
 		return errcode.Of(r.err)
 	}
-	if k := claim(d, "before"); k != errcode.OK {
+	if k := claim(voter, "before"); k != errcode.OK {
 		t.Fatal(k)
 	}
 	next := messages.Roll{Epoch: 2, Voters: voters, Was: voters}
-	accept := d.call(messages.Succeed, messages.SucceedCall{Epoch: 1, B: configuration.Ballot{N: 1, By: 1}, Next: &next})
-	hand := func(d *testVoter) (h messages.Handed, k errcode.Kind) {
-		r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2})
+	accept := voter.call(messages.Succeed, messages.SucceedCall{Epoch: 1, B: configuration.Ballot{N: 1, By: 1}, Next: &next})
+	hand := func(voter *testVoter) (h messages.Handed, k errcode.Kind) {
+		r := voter.call(messages.Handover, messages.HandoverCall{Epoch: 2})
 		if r.err == nil {
 			if err := rpc.Decode(r.body, &h); err != nil {
 				t.Fatal(err)
@@ -40,35 +40,35 @@
 		}
 		return h, errcode.Of(r.err)
 	}
-	if _, k := hand(d); accept.count != 0 || k != errcode.Gone {
+	if _, k := hand(voter); accept.count != 0 || k != errcode.Gone {
 		t.Errorf("%d answers, handed over %v, before the seal is on disk", accept.count, k)
 	}
-	if r := d.call(messages.Claim, messages.ClaimCall{Key: "amid", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
+	if r := voter.call(messages.Claim, messages.ClaimCall{Key: "amid", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
 		t.Errorf("a claim while the seal is being written: %v", r.err)
 	}
-	d.settle()
+	voter.settle()
 	var a reconfig.Answer
 	if accept.count != 1 || rpc.Decode(accept.body, &a) != nil || !a.Given {
 		t.Fatalf("%d answers, %+v", accept.count, a)
 	}
 	again := newTestVoter(t, Options{})
-	again.condition, again.fake = storage.Intact, d.fake
+	again.condition, again.fake = storage.Intact, voter.fake
 	again.leases = lease.NewGranter(-lease.Span)
 	again.openDisk()
 	again.settle()
-	for name, d := range map[string]*testVoter{"sealed": d, "sealed and restarted": again} {
-		if k := claim(d, "after"); k != errcode.Gone {
+	for name, voter := range map[string]*testVoter{"sealed": voter, "sealed and restarted": again} {
+		if k := claim(voter, "after"); k != errcode.Gone {
 			t.Errorf("%s: a claim: %v", name, k)
 		}
-		if r := d.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 9}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
+		if r := voter.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 9}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
 			t.Errorf("%s: a promise: %v", name, r.err)
 		}
 		for of, want := range map[lease.Name]errcode.Kind{lease.CatchUp: errcode.Gone, lease.VoterChange: errcode.OK} {
-			if r := d.call(messages.Lease, messages.LeaseCall{Duty: of, By: 7, Epoch: 1}); errcode.Of(r.err) != want {
+			if r := voter.call(messages.Lease, messages.LeaseCall{Duty: of, By: 7, Epoch: 1}); errcode.Of(r.err) != want {
 				t.Errorf("%s: the lease %s: %v", name, of, r.err)
 			}
 		}
-		if h, k := hand(d); k != errcode.OK || h.Estate.Holds || len(h.Claims) != 1 {
+		if h, k := hand(voter); k != errcode.OK || h.Estate.Holds || len(h.Claims) != 1 {
 			t.Errorf("%s: handed over %v, %+v", name, k, h)
 		}
 	}
@@ -85,20 +85,20 @@
 		{"replaced", []messages.Voter{{Addr: "d:1"}, {Addr: "b:1"}, {Addr: "c:1"}}, NonVoter},
 		{"on another disk", []messages.Voter{{Addr: "a:1", Disk: 5}, {Addr: "b:1"}, {Addr: "d:1"}}, Repairing},
 	} {
-		d := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
-		d.condition, d.leases = storage.Empty, lease.NewGranter(0)
-		d.openDisk()
-		d.settle()
-		d.recovering = true // no test here needs a repair to run
-		d.call(messages.Relieve, messages.RelieveCall{Roll: messages.Roll{Epoch: 2, Voters: c.next, Was: voters}})
-		if r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2}); errcode.Of(r.err) != errcode.Gone {
+		voter := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
+		voter.condition, voter.leases = storage.Empty, lease.NewGranter(0)
+		voter.openDisk()
+		voter.settle()
+		voter.recovering = true // no test here needs a repair to run
+		voter.call(messages.Relieve, messages.RelieveCall{Roll: messages.Roll{Epoch: 2, Voters: c.next, Was: voters}})
+		if r := voter.call(messages.Handover, messages.HandoverCall{Epoch: 2}); errcode.Of(r.err) != errcode.Gone {
 			t.Errorf("%s: handed over before it is on disk: %v", c.name, r.err)
 		}
-		d.settle()
-		if r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2}); d.state != c.want || r.err != nil {
-			t.Errorf("%s: %s, handed over: %v", c.name, d.state, r.err)
+		voter.settle()
+		if r := voter.call(messages.Handover, messages.HandoverCall{Epoch: 2}); voter.state != c.want || r.err != nil {
+			t.Errorf("%s: %s, handed over: %v", c.name, voter.state, r.err)
 		}
-		if r := d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
+		if r := voter.call(messages.Claim, messages.ClaimCall{Key: "k", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
 			t.Errorf("%s: a claim of the old epoch: %v", c.name, r.err)
 		}
 	}
--- a/internal/store/register_test.go
+++ b/internal/store/register_test.go
@@ -31,10 +31,10 @@
 }
 
 // callAndSettle makes a call, completes all pending writes and returns the answer.
-func callAndSettle[T any](t *testing.T, d *testVoter, kind uint8, v any) (answer T) {
+func callAndSettle[T any](t *testing.T, voter *testVoter, kind uint8, v any) (answer T) {
 	t.Helper()
-	r := d.call(kind, v)
-	d.settle()
+	r := voter.call(kind, v)
+	voter.settle()
 	if r.count != 1 || r.err != nil || rpc.Decode(r.body, &answer) != nil {
 		t.Fatalf("kind %d: %d answers, %v", kind, r.count, r.err)
 	}
@@ -42,9 +42,9 @@
 }
 
 // restarted returns a voter that was started on the disk of another.
-func restarted(t *testing.T, d *testVoter) *testVoter {
+func restarted(t *testing.T, voter *testVoter) *testVoter {
 	again := newTestVoter(t, Options{})
-	again.fake, again.condition = d.fake, storage.Intact
+	again.fake, again.condition = voter.fake, storage.Intact
 	again.openDisk()
 	again.settle()
 	return again
@@ -53,41 +53,41 @@
 // A member that missed many changes receives them in pages from two senders, with a failed write and a restart after each page.
 // It holds and reports no chosen value before the last page, and does not report the accepted value that it has discarded.
 func TestPages(t *testing.T) {
-	d := newServingVoter(t)
+	voter := newServingVoter(t)
 	old, fork := itemsOf("r", ballotOf(1), 3, 10), itemsOf("fork", ballotOf(2), 2, 10)
-	callAndSettle[messages.Accepted](t, d, messages.Accept, messages.AcceptCall{B: ballotOf(1), Changes: old, Epoch: 1})
-	callAndSettle[messages.Accepted](t, d, messages.Learn, messages.LearnCall{B: ballotOf(1)})
-	callAndSettle[messages.Accepted](t, d, messages.Accept, messages.AcceptCall{B: ballotOf(2), Base: ballotOf(1), Changes: fork, Epoch: 1})
+	callAndSettle[messages.Accepted](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(1), Changes: old, Epoch: 1})
+	callAndSettle[messages.Accepted](t, voter, messages.Learn, messages.LearnCall{B: ballotOf(1)})
+	callAndSettle[messages.Accepted](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(2), Base: ballotOf(1), Changes: fork, Epoch: 1})
 	seven := configuration.SetOf(old...).With(itemsOf("r", ballotOf(5), 2, 10)...).With(itemsOf("s", ballotOf(7), 700, 1000)...)
 	nine := seven.With(itemsOf("s", ballotOf(9), 1, 20)...).With(itemsOf("t", ballotOf(9), 1, 20)...)
 	turn := func(p consensus.Page) bool {
 		t.Helper()
-		return callAndSettle[messages.Accepted](t, d, messages.Turn, messages.TurnCall{Page: p, Epoch: 1}).Taken
+		return callAndSettle[messages.Accepted](t, voter, messages.Turn, messages.TurnCall{Page: p, Epoch: 1}).Taken
 	}
 	first := consensus.PageOf(nine, ballotOf(9), ballotOf(1))
 	if first.Upto != ballotOf(5) || turn(consensus.PageOf(nine, ballotOf(9), ballotOf(5))) {
 		t.Fatalf("the first page ends at %v, or a page that does not continue it was taken", first.Upto)
 	}
-	r := d.call(messages.Turn, messages.TurnCall{Page: first, Epoch: 1})
-	d.fake.sync(storage.ErrDisk)
-	if d.settle(); errcode.Of(r.err) != errcode.DiskOut || d.acceptor.Accepted != ballotOf(2) || d.acceptor.CatchesUp() {
-		t.Fatalf("a page that was not written: %v, accepted %v", r.err, d.acceptor.Accepted)
+	r := voter.call(messages.Turn, messages.TurnCall{Page: first, Epoch: 1})
+	voter.fake.sync(storage.ErrDisk)
+	if voter.settle(); errcode.Of(r.err) != errcode.DiskOut || voter.acceptor.Accepted != ballotOf(2) || voter.acceptor.CatchesUp() {
+		t.Fatalf("a page that was not written: %v, accepted %v", r.err, voter.acceptor.Accepted)
 	}
 	for i, p := range []consensus.Page{first, consensus.PageOf(seven, ballotOf(7), ballotOf(5)), consensus.PageOf(nine, ballotOf(9), ballotOf(7))} {
 		if !turn(p) || turn(p) {
 			t.Fatalf("page %d: not taken, or twice", i)
 		}
-		d = restarted(t, d)
-		w := callAndSettle[messages.Watched](t, d, messages.Watch, messages.WatchCall{})
-		m := d.recoveryReply(messages.MusterCall{})
-		state := d.reportedState()
+		voter = restarted(t, voter)
+		w := callAndSettle[messages.Watched](t, voter, messages.Watch, messages.WatchCall{})
+		m := voter.recoveryReply(messages.MusterCall{})
+		state := voter.reportedState()
 		if i == 2 {
-			if w.Chosen != ballotOf(9) || w.Known != ballotOf(9) || d.acceptor.Accepted != ballotOf(9) || !sameItems(d.acceptor.Stands, nine) || !sameItems(d.acceptor.Value, nine) || state != "serving" {
-				t.Errorf("after the last page: %s, chosen %v of %v, %d items", state, w.Chosen, w.Known, d.acceptor.Stands.Len())
+			if w.Chosen != ballotOf(9) || w.Known != ballotOf(9) || voter.acceptor.Accepted != ballotOf(9) || !sameItems(voter.acceptor.Stands, nine) || !sameItems(voter.acceptor.Value, nine) || state != "serving" {
+				t.Errorf("after the last page: %s, chosen %v of %v, %d items", state, w.Chosen, w.Known, voter.acceptor.Stands.Len())
 			}
 			break
 		}
-		p := callAndSettle[consensus.Promise](t, d, messages.Prepare, messages.PrepareCall{B: ballotOf(20 + uint64(i)), Epoch: 1})
+		p := callAndSettle[consensus.Promise](t, voter, messages.Prepare, messages.PrepareCall{B: ballotOf(20 + uint64(i)), Epoch: 1})
 		if w.Known != ballotOf(9) || w.Chosen != p.Chosen || len(w.Items) > 0 || !p.Given || !p.Accepted.IsZero() || len(p.Items) > 0 || p.Known != ballotOf(9) || state != "catching up" {
 			t.Errorf("after page %d: %s, chosen %v of %v, %d items, promise %+v", i, state, w.Chosen, w.Known, len(w.Items), p)
 		}
@@ -99,26 +99,26 @@
 
 // A member that catches up also accepts proposals, if it lacks little. It is complete once such a proposal is chosen.
 func TestAcceptWhileCatchingUp(t *testing.T) {
-	d := newServingVoter(t)
+	voter := newServingVoter(t)
 	nine := configuration.SetOf(itemsOf("r", ballotOf(5), 300, 1000)...).With(itemsOf("s", ballotOf(9), 3, 10)...)
 	next := nine.With(itemsOf("r", ballotOf(11), 1, 10)...)
-	if !callAndSettle[messages.Accepted](t, d, messages.Turn, messages.TurnCall{Page: consensus.PageOf(nine, ballotOf(9), ballotOf(0)), Epoch: 1}).Taken || !d.acceptor.CatchesUp() {
-		t.Fatalf("complete up to %v of %v", d.acceptor.Chosen, d.acceptor.Target)
+	if !callAndSettle[messages.Accepted](t, voter, messages.Turn, messages.TurnCall{Page: consensus.PageOf(nine, ballotOf(9), ballotOf(0)), Epoch: 1}).Taken || !voter.acceptor.CatchesUp() {
+		t.Fatalf("complete up to %v of %v", voter.acceptor.Chosen, voter.acceptor.Target)
 	}
 	for base, want := range map[uint64]bool{9: false, 5: true} {
-		a := callAndSettle[messages.Accepted](t, d, messages.Accept, messages.AcceptCall{B: ballotOf(11), Base: ballotOf(base), Changes: consensus.Since(next, ballotOf(base)), Epoch: 1})
+		a := callAndSettle[messages.Accepted](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(11), Base: ballotOf(base), Changes: consensus.Since(next, ballotOf(base)), Epoch: 1})
 		if a.Taken != want {
 			t.Errorf("changes after ballot %d taken: %v", base, a.Taken)
 		}
 	}
-	d = restarted(t, d)
-	if d.acceptor.Accepted != ballotOf(11) || !sameItems(d.acceptor.Value, next) {
-		t.Errorf("accepted %v, %d items", d.acceptor.Accepted, d.acceptor.Value.Len())
+	voter = restarted(t, voter)
+	if voter.acceptor.Accepted != ballotOf(11) || !sameItems(voter.acceptor.Value, next) {
+		t.Errorf("accepted %v, %d items", voter.acceptor.Accepted, voter.acceptor.Value.Len())
 	}
-	callAndSettle[messages.Accepted](t, d, messages.Learn, messages.LearnCall{B: ballotOf(11)})
-	for _, d := range []*testVoter{d, restarted(t, d)} {
-		if d.acceptor.CatchesUp() || d.acceptor.Chosen != ballotOf(11) || !sameItems(d.acceptor.Stands, next) {
-			t.Errorf("chosen %v, %d items", d.acceptor.Chosen, d.acceptor.Stands.Len())
+	callAndSettle[messages.Accepted](t, voter, messages.Learn, messages.LearnCall{B: ballotOf(11)})
+	for _, voter := range []*testVoter{voter, restarted(t, voter)} {
+		if voter.acceptor.CatchesUp() || voter.acceptor.Chosen != ballotOf(11) || !sameItems(voter.acceptor.Stands, next) {
+			t.Errorf("chosen %v, %d items", voter.acceptor.Chosen, voter.acceptor.Stands.Len())
 		}
 	}
 }
@@ -134,34 +134,34 @@
 		return []handedState{{last: messages.Handed{Estate: e, Delta: consensus.Since(value, ballotOf(5))}, base: stands}}
 	}
 	for restartAt := range 4 {
-		d := newServingVoter(t)
-		callAndSettle[messages.Accepted](t, d, messages.Accept, messages.AcceptCall{B: ballotOf(1), Changes: itemsOf("r", ballotOf(1), 3, 10), Epoch: 1})
-		callAndSettle[messages.Accepted](t, d, messages.Learn, messages.LearnCall{B: ballotOf(1)})
-		d.seal.Closed, d.sealDurable, d.takingOver = true, true, true
-		d.write([]storage.Put{d.putSeal()}, func(error) {})
-		d.settle()
-		d.installHandover(next, got(), true, nil)
+		voter := newServingVoter(t)
+		callAndSettle[messages.Accepted](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(1), Changes: itemsOf("r", ballotOf(1), 3, 10), Epoch: 1})
+		callAndSettle[messages.Accepted](t, voter, messages.Learn, messages.LearnCall{B: ballotOf(1)})
+		voter.seal.Closed, voter.sealDurable, voter.takingOver = true, true, true
+		voter.write([]storage.Put{voter.putSeal()}, func(error) {})
+		voter.settle()
+		voter.installHandover(next, got(), true, nil)
 		for range 4 * restartAt {
-			d.runQueue()
-			if len(d.fake.pending) > 0 {
-				d.fake.sync(nil)
+			voter.runQueue()
+			if len(voter.fake.pending) > 0 {
+				voter.fake.sync(nil)
 			}
 		}
 		if restartAt > 0 {
-			d.runQueue()
-			h := callAndSettle[messages.Handed](t, restarted(t, d), messages.Handover, messages.HandoverCall{Epoch: 2})
+			voter.runQueue()
+			h := callAndSettle[messages.Handed](t, restarted(t, voter), messages.Handover, messages.HandoverCall{Epoch: 2})
 			if !h.Estate.Accepted.IsZero() || len(h.Items) > 0 || h.Estate.Promised.Less(ballotOf(5)) {
 				t.Errorf("handed over during the takeover: %+v", h.Estate)
 			}
-			d.fake.pending = nil // pending writes are lost
-			d = restarted(t, d)
-			d.takingOver = true
-			d.installHandover(next, got(), true, nil)
+			voter.fake.pending = nil // pending writes are lost
+			voter = restarted(t, voter)
+			voter.takingOver = true
+			voter.installHandover(next, got(), true, nil)
 		}
-		d.settle()
-		for name, d := range map[string]*testVoter{"": d, ", restarted": restarted(t, d)} {
-			if d.state != Serving || d.voterSet.Epoch != 2 || d.acceptor.CatchesUp() || d.acceptor.Chosen != ballotOf(5) || !sameItems(d.acceptor.Stands, stands) || !sameItems(d.acceptor.Value, value) {
-				t.Errorf("restarted after %d writes%s: %s in epoch %d, chosen %v, %d items of %d", 4*restartAt, name, d.state, d.voterSet.Epoch, d.acceptor.Chosen, d.acceptor.Stands.Len(), stands.Len())
+		voter.settle()
+		for name, voter := range map[string]*testVoter{"": voter, ", restarted": restarted(t, voter)} {
+			if voter.state != Serving || voter.voterSet.Epoch != 2 || voter.acceptor.CatchesUp() || voter.acceptor.Chosen != ballotOf(5) || !sameItems(voter.acceptor.Stands, stands) || !sameItems(voter.acceptor.Value, value) {
+				t.Errorf("restarted after %d writes%s: %s in epoch %d, chosen %v, %d items of %d", 4*restartAt, name, voter.state, voter.voterSet.Epoch, voter.acceptor.Chosen, voter.acceptor.Stands.Len(), stands.Len())
 			}
 		}
 	}
@@ -170,14 +170,14 @@
 // On a disk of the old layout, without a base, a member has to repair itself if its accepted value is not known to be chosen.
 func TestDiskWithoutABase(t *testing.T) {
 	for chosen, want := range map[uint64]State{3: Serving, 2: Repairing} {
-		d := newServingVoter(t)
+		voter := newServingVoter(t)
 		puts := []storage.Put{putBallot("accepted", ballotOf(3)), putBallot("promised", ballotOf(3)), putBallot("chosen", ballotOf(chosen))}
 		for _, i := range itemsOf("r", ballotOf(3), 3, 10) {
 			puts = append(puts, putItem(i))
 		}
-		d.write(puts, func(error) {})
-		d.settle()
-		if again := restarted(t, d); again.state != want || want == Serving && again.acceptor.Value.Len() != 3 {
+		voter.write(puts, func(error) {})
+		voter.settle()
+		if again := restarted(t, voter); again.state != want || want == Serving && again.acceptor.Value.Len() != 3 {
 			t.Errorf("chosen %d of 3: %s, %d items", chosen, again.state, again.acceptor.Value.Len())
 		}
 	}
@@ -186,15 +186,15 @@
 // During a takeover or a repair nothing else changes the register: a reported choice is not written.
 func TestLearnDuringTakeover(t *testing.T) {
 	for name, begin := range map[string]func(*testVoter){
-		"a takeover": func(d *testVoter) { d.takingOver = true },
-		"a repair":      func(d *testVoter) { d.state = Repairing },
-		"nothing":       func(*testVoter) {},
+		"a takeover": func(voter *testVoter) { voter.takingOver = true },
+		"a repair":   func(voter *testVoter) { voter.state = Repairing },
+		"nothing":    func(*testVoter) {},
 	} {
-		d := newServingVoter(t)
-		callAndSettle[messages.Accepted](t, d, messages.Accept, messages.AcceptCall{B: ballotOf(1), Changes: itemsOf("r", ballotOf(1), 3, 10), Epoch: 1})
-		begin(d)
-		d.call(messages.Learn, messages.LearnCall{B: ballotOf(1)})
-		if n := len(d.fake.pending); (n > 0) != (name == "nothing") {
+		voter := newServingVoter(t)
+		callAndSettle[messages.Accepted](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(1), Changes: itemsOf("r", ballotOf(1), 3, 10), Epoch: 1})
+		begin(voter)
+		voter.call(messages.Learn, messages.LearnCall{B: ballotOf(1)})
+		if n := len(voter.fake.pending); (n > 0) != (name == "nothing") {
 			t.Errorf("during %s: %d writes", name, n)
 		}
 	}
--- a/internal/store/server_test.go
+++ b/internal/store/server_test.go
@@ -17,11 +17,11 @@
 	"saltmast/internal/storage"
 )
 
-// A paper is a disk whose syncs the test times: what was written waits for sync, which brings it into force or fails it.
+// fakeDisk is a disk whose syncs the test controls: writes are pending until sync applies or fails them.
 type fakeDisk struct {
 	rows    map[storage.Table]map[string][]byte
 	pending []pendingWrite
-	loadErr error // of Load
+	loadErr error // returned by Load after all rows
 	stall   time.Duration
 }
 
@@ -32,21 +32,21 @@
 
 func newFakeDisk() *fakeDisk { return &fakeDisk{rows: map[storage.Table]map[string][]byte{}} }
 
-func (p *fakeDisk) Load(t storage.Table, each func(k, v []byte) error) error {
-	for _, k := range slices.Sorted(maps.Keys(p.rows[t])) {
-		if err := each([]byte(k), p.rows[t][k]); err != nil {
+func (f *fakeDisk) Load(t storage.Table, each func(k, v []byte) error) error {
+	for _, k := range slices.Sorted(maps.Keys(f.rows[t])) {
+		if err := each([]byte(k), f.rows[t][k]); err != nil {
 			return err
 		}
 	}
-	return p.loadErr
+	return f.loadErr
 }
 
-func (p *fakeDisk) Write(puts []storage.Put, done func(error)) {
+func (f *fakeDisk) Write(puts []storage.Put, done func(error)) {
 	size, waiting := 0, 0
 	for _, x := range puts {
 		size += len(x.Key) + len(x.Value)
 	}
-	for _, w := range p.pending {
+	for _, w := range f.pending {
 		for _, x := range w.puts {
 			waiting += len(x.Key) + len(x.Value)
 		}
@@ -57,38 +57,38 @@
 	case waiting+size > storage.MaxQueueBytes:
 		done(storage.ErrBusy)
 	default:
-		p.pending = append(p.pending, pendingWrite{puts, done})
+		f.pending = append(f.pending, pendingWrite{puts, done})
 	}
 }
 
-func (p *fakeDisk) Stalled() time.Duration { return p.stall }
-func (p *fakeDisk) Close() error           { return nil }
+func (f *fakeDisk) Stalled() time.Duration { return f.stall }
+func (f *fakeDisk) Close() error           { return nil }
 
-func (p *fakeDisk) sync(err error) {
-	w := p.pending[0]
-	p.pending = p.pending[1:]
+func (f *fakeDisk) sync(err error) {
+	w := f.pending[0]
+	f.pending = f.pending[1:]
 	for _, x := range w.puts {
 		switch {
 		case err != nil:
 		case x.Value == nil:
-			delete(p.rows[x.Table], string(x.Key))
+			delete(f.rows[x.Table], string(x.Key))
 		default:
-			if p.rows[x.Table] == nil {
-				p.rows[x.Table] = map[string][]byte{}
+			if f.rows[x.Table] == nil {
+				f.rows[x.Table] = map[string][]byte{}
 			}
-			p.rows[x.Table][string(x.Key)] = x.Value
+			f.rows[x.Table][string(x.Key)] = x.Value
 		}
 	}
 	w.done(err)
 }
 
-// A desk is the books of one purser without goroutines: what is done later waits in a queue.
+// testVoter is the state of one Server without goroutines: commands that are to run later are kept in queue.
 type testVoter struct {
 	*voterState
 	fake      *fakeDisk
-	condition storage.Condition // it is found
+	condition storage.Condition // reported when the disk is opened
 	queue     []func(*voterState)
-	marks     []messages.Mark // what harbourmasters know
+	marks     []messages.Mark // known to the registries
 }
 
 var voters = []messages.Voter{{Addr: "a:1"}, {Addr: "b:1"}, {Addr: "c:1"}}
@@ -96,57 +96,57 @@
 func newTestVoter(t *testing.T, o Options) *testVoter {
 	o.Addr, o.Window, o.Log = "a:1", time.Minute, func(event, text string) { t.Log(event, text) }
 	o.Seeds = func() []string { return nil }
-	d := &testVoter{fake: newFakeDisk()}
-	p := &Server{opts: o, enqueue: func(f func(*voterState)) { d.queue = append(d.queue, f) }}
-	p.openStorage = func(storage.Options) (disk, storage.Condition, error) { return d.fake, d.condition, nil }
-	p.runAsync = func(f func() func(*voterState)) { f()(d.voterState) }
-	p.fetchMarks = func(messages.Roll) []messages.Mark { return d.marks }
-	p.owner = rpc.Own(&voterState{}, 64) // hears of what a repair found, which no test here waits for
-	t.Cleanup(p.owner.End)
-	d.voterState = &voterState{srv: p, startedAt: time.Now(), state: NoDisk, index: -1}
-	d.resetContent()
-	return d
+	voter := &testVoter{fake: newFakeDisk()}
+	srv := &Server{opts: o, enqueue: func(f func(*voterState)) { voter.queue = append(voter.queue, f) }}
+	srv.openStorage = func(storage.Options) (disk, storage.Condition, error) { return voter.fake, voter.condition, nil }
+	srv.runAsync = func(f func() func(*voterState)) { f()(voter.voterState) }
+	srv.fetchMarks = func(messages.Roll) []messages.Mark { return voter.marks }
+	srv.owner = rpc.Own(&voterState{}, 64) // receives the results of repairs, which no test here uses
+	t.Cleanup(srv.owner.End)
+	voter.voterState = &voterState{srv: srv, startedAt: time.Now(), state: NoDisk, index: -1}
+	voter.resetContent()
+	return voter
 }
 
-// staleRows is what a repair that died has left on disk.
-func (d *testVoter) staleRows(t *testing.T) []storage.Put {
-	left, err := staleRows(d.fake)
+// staleRows returns deletions of what an interrupted repair has left on disk.
+func (voter *testVoter) staleRows(t *testing.T) []storage.Put {
+	left, err := staleRows(voter.fake)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return left
 }
 
-// settle syncs all that waits, and does all that is to be done later.
-func (d *testVoter) settle() {
-	for len(d.fake.pending)+len(d.queue) > 0 {
-		d.runQueue()
-		if len(d.fake.pending) > 0 {
-			d.fake.sync(nil)
+// settle completes all pending writes and queued commands.
+func (voter *testVoter) settle() {
+	for len(voter.fake.pending)+len(voter.queue) > 0 {
+		voter.runQueue()
+		if len(voter.fake.pending) > 0 {
+			voter.fake.sync(nil)
 		}
 	}
 }
 
-// runQueue does what is to be done later.
-func (d *testVoter) runQueue() {
-	l := d.queue
-	d.queue = nil
+// runQueue runs the queued commands.
+func (voter *testVoter) runQueue() {
+	l := voter.queue
+	voter.queue = nil
 	for _, f := range l {
-		f(d.voterState)
+		f(voter.voterState)
 	}
 }
 
-// callResult is what came of a call so far.
+// callResult holds the replies to a call so far.
 type callResult struct {
 	body  []byte
 	err   error
 	count int
 }
 
-func (d *testVoter) call(kind uint8, v any) *callResult {
+func (voter *testVoter) call(kind uint8, v any) *callResult {
 	r := &callResult{}
 	c := rpc.Local(kind, v, func(body []byte, err error) { r.body, r.err = body, err; r.count++ })
-	if err := d.dispatch(c); err != nil {
+	if err := voter.dispatch(c); err != nil {
 		c.Reply(nil, err)
 	}
 	return r
@@ -163,24 +163,24 @@
 	return g
 }
 
-// newServingVoter is a desk that counts.
+// newServingVoter returns a voter that has bootstrapped and serves.
 func newServingVoter(t *testing.T) *testVoter {
-	d := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
-	d.openDisk()
-	d.settle()
-	if d.state != Serving {
-		t.Fatalf("%s after the founding", d.state)
+	voter := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
+	voter.openDisk()
+	voter.settle()
+	if voter.state != Serving {
+		t.Fatalf("%s after the bootstrap", voter.state)
 	}
-	return d
+	return voter
 }
 
 func id(n uint64) idempotency.ID { return idempotency.ID{Life: 7, N: n, At: "x:1"} }
 
-// What a disk told before its reading failed counts for nothing: the next one may be empty.
-func TestDiskThatFailsAmidReading(t *testing.T) {
-	d := newServingVoter(t)
+// What was loaded from a disk before reading failed is discarded: the next disk may be empty.
+func TestDiskThatFailsWhileLoading(t *testing.T) {
+	voter := newServingVoter(t)
 	again := newTestVoter(t, Options{})
-	again.fake, again.condition = d.fake, storage.Intact
+	again.fake, again.condition = voter.fake, storage.Intact
 	again.fake.loadErr = errors.New("no more")
 	again.openDisk()
 	if again.state != NoDisk || again.disk != nil {
@@ -192,55 +192,55 @@
 		t.Errorf("%s on an empty disk, epoch %d, incarnations %v", again.state, again.voterSet.Epoch, again.incarnations)
 	}
 	if r := again.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(r.err) != errcode.CoreOut {
-		t.Errorf("a claim there: %v", r.err)
+		t.Errorf("a claim on it: %v", r.err)
 	}
 }
 
-// A founding that is not on disk yet is not begun again by a tick, nor is the disk opened a second time.
-func TestFoundingThatTakesLong(t *testing.T) {
+// While the first voter set is being written, a tick neither bootstraps again nor opens the disk a second time.
+func TestSlowBootstrap(t *testing.T) {
 	opened := 0
-	d := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
-	begin := d.srv.openStorage
-	d.srv.openStorage = func(o storage.Options) (disk, storage.Condition, error) { opened++; return begin(o) }
-	d.openDisk()
-	d.tick()
-	d.tick()
-	if d.settle(); opened != 1 || d.state != Serving {
-		t.Errorf("opened %d times, %s", opened, d.state)
+	voter := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
+	begin := voter.srv.openStorage
+	voter.srv.openStorage = func(o storage.Options) (disk, storage.Condition, error) { opened++; return begin(o) }
+	voter.openDisk()
+	voter.tick()
+	voter.tick()
+	if voter.settle(); opened != 1 || voter.state != Serving {
+		t.Errorf("opened %d times, %s", opened, voter.state)
 	}
 }
 
-// A repair that is on its way to disk is not overtaken by the next: its incarnation would be stale for good.
-func TestRepairThatTakesLong(t *testing.T) {
-	d := newTestVoter(t, Options{})
-	d.openDisk()
-	d.voterSet = messages.Roll{Epoch: 1, Voters: voters}
-	d.locate()
-	d.setState(Repairing)
+// No other repair begins while one is being written: the first would leave the member with a stale incarnation for good.
+func TestSlowRepair(t *testing.T) {
+	voter := newTestVoter(t, Options{})
+	voter.openDisk()
+	voter.voterSet = messages.Roll{Epoch: 1, Voters: voters}
+	voter.locate()
+	voter.setState(Repairing)
 	told := func(by int, inc uint64, claims ...messages.ClaimCall) recoveredState {
 		return recoveredState{last: messages.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{inc, 1, 1}}}, claims: claims}
 	}
-	d.recovering = true // as since it began
-	d.restore(2, []recoveredState{told(1, 2), told(2, 2)}, d.staleRows(t))
-	if !d.recovering {
+	voter.recovering = true // as set when the repair began
+	voter.restore(2, []recoveredState{told(1, 2), told(2, 2)}, voter.staleRows(t))
+	if !voter.recovering {
 		t.Fatal("the next tick would begin another repair")
 	}
-	d.settle()
-	if d.state != Serving || d.incarnations[0] != 2 || d.recovering {
-		t.Errorf("%s, incarnations %v, mustering %v", d.state, d.incarnations, d.recovering)
+	voter.settle()
+	if voter.state != Serving || voter.incarnations[0] != 2 || voter.recovering {
+		t.Errorf("%s, incarnations %v, mustering %v", voter.state, voter.incarnations, voter.recovering)
 	}
 }
 
-// A repair passes through the disk's queue however much it is, and leaves nothing on disk of one before that died.
-func TestRepairOfMuch(t *testing.T) {
-	d := newTestVoter(t, Options{})
-	d.fake.rows[tableClaims] = map[string][]byte{"stale": putClaim("stale", id(1)).Value}
+// A repair of any size fits through the storage queue, and removes everything that an interrupted repair left on disk.
+func TestRepairOfLargeState(t *testing.T) {
+	voter := newTestVoter(t, Options{})
+	voter.fake.rows[tableClaims] = map[string][]byte{"stale": putClaim("stale", id(1)).Value}
 	left := configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: "stale"}, Version: 3, Spec: []byte("{}")}
-	d.fake.rows[tableItems] = map[string][]byte{string(itemKey(left.Key)): putItem(left).Value}
-	d.openDisk()
-	d.voterSet = messages.Roll{Epoch: 1, Voters: voters}
-	d.locate()
-	d.setState(Repairing)
+	voter.fake.rows[tableItems] = map[string][]byte{string(itemKey(left.Key)): putItem(left).Value}
+	voter.openDisk()
+	voter.voterSet = messages.Roll{Epoch: 1, Voters: voters}
+	voter.locate()
+	voter.setState(Repairing)
 	one := configuration.Ballot{N: 1}
 	m := recoveredState{last: messages.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: one, Chosen: one, Base: one, Upto: one}}
 	const keys, items = 60000, 1500
@@ -250,56 +250,57 @@
 	for i := range items {
 		m.base = m.base.With(configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint(i)}, Version: 1, Ballot: one, Spec: make([]byte, 1000)})
 	}
-	d.restore(2, []recoveredState{m}, d.staleRows(t))
-	d.settle()
-	if d.state != Serving || len(d.fake.rows[tableClaims]) != keys || len(d.fake.rows[tableItems]) != items {
-		t.Errorf("%s, %d claims and %d items on disk", d.state, len(d.fake.rows[tableClaims]), len(d.fake.rows[tableItems]))
+	voter.restore(2, []recoveredState{m}, voter.staleRows(t))
+	voter.settle()
+	if voter.state != Serving || len(voter.fake.rows[tableClaims]) != keys || len(voter.fake.rows[tableItems]) != items {
+		t.Errorf("%s, %d claims and %d items on disk", voter.state, len(voter.fake.rows[tableClaims]), len(voter.fake.rows[tableItems]))
 	}
 }
 
-// A claim that comes again while its first write is on the way stays held when only the first fails.
+// A claim that is repeated while its first write is pending stays held if only the first write fails.
 func TestClaimAgainAfterFailedWrite(t *testing.T) {
-	d := newServingVoter(t)
+	voter := newServingVoter(t)
 	claim := func(n uint64) *callResult {
-		return d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
+		return voter.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
 	}
 	first, again := claim(1), claim(1)
-	d.fake.sync(storage.ErrDisk)
-	d.fake.sync(nil)
-	d.runQueue()
+	voter.fake.sync(storage.ErrDisk)
+	voter.fake.sync(nil)
+	voter.runQueue()
 	if errcode.Of(first.err) != errcode.DiskOut || !again.grant(t).Given {
 		t.Fatalf("the first: %v, again: %v", first.err, again.err)
 	}
 	other := claim(2)
-	d.settle()
+	voter.settle()
 	if g := other.grant(t); g.Given || g.Holder != id(1) {
-		t.Errorf("another was granted the key that is granted already: %+v", g)
+		t.Errorf("a key that is held was granted to another: %+v", g)
 	}
 }
 
-// A claim whose write failed after another was denied for it is free once its claimant has given it back, in order on disk.
+// A claim whose write failed stays held, and others are denied, until its claimant releases it. The writes reach the disk in
+// order.
 func TestClaimAfterFailedWrite(t *testing.T) {
-	d := newServingVoter(t)
+	voter := newServingVoter(t)
 	claim := func(n uint64) *callResult {
-		return d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
+		return voter.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
 	}
 	first, denied := claim(1), claim(2)
 	if denied.grant(t).Given {
 		t.Fatal("granted twice")
 	}
-	d.fake.sync(storage.ErrFull)
-	d.runQueue()
+	voter.fake.sync(storage.ErrFull)
+	voter.runQueue()
 	if claim(4).grant(t).Given {
-		t.Error("granted although the first may come again")
+		t.Error("granted although the first claim may be repeated")
 	}
-	d.call(messages.Release, messages.ReleaseCall{Key: "k", ID: id(2)}) // holds nothing
-	d.call(messages.Release, messages.ReleaseCall{Key: "k", ID: id(1)})
+	voter.call(messages.Release, messages.ReleaseCall{Key: "k", ID: id(2)}) // does not hold the key
+	voter.call(messages.Release, messages.ReleaseCall{Key: "k", ID: id(1)})
 	third := claim(3)
 	if third.count != 0 {
 		t.Error("granted before it is on disk")
 	}
-	d.settle()
-	if got, _ := readClaim(d.fake.rows[tableClaims]["k"]); got != id(3) {
+	voter.settle()
+	if got, _ := readClaim(voter.fake.rows[tableClaims]["k"]); got != id(3) {
 		t.Errorf("%v on disk", got)
 	}
 	if errcode.Of(first.err) != errcode.DiskOut || !third.grant(t).Given {
@@ -307,57 +308,57 @@
 	}
 }
 
-// Calls that come while a value is on its way to disk are worked on behind it, whether it got there or not.
-func TestCallsBehindAnAccept(t *testing.T) {
+// Calls that arrive while an accepted value is being written are handled after the write, whether it succeeds or fails.
+func TestCallsDuringAccept(t *testing.T) {
 	b1, b2 := configuration.Ballot{N: 1}, configuration.Ballot{N: 2}
 	item := configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: "r"}, Version: 1, Ballot: b1, Spec: []byte("{}")}
 	for _, fails := range []bool{false, true} {
-		d := newServingVoter(t)
-		acc := d.call(messages.Accept, messages.AcceptCall{B: b1, Changes: []configuration.Item{item}, Epoch: 1})
-		learn := d.call(messages.Learn, messages.LearnCall{B: b1})
-		prep := d.call(messages.Prepare, messages.PrepareCall{B: b2, Epoch: 1})
-		must := d.call(messages.Muster, messages.MusterCall{Addr: "b:1", Inc: 2})
+		voter := newServingVoter(t)
+		acc := voter.call(messages.Accept, messages.AcceptCall{B: b1, Changes: []configuration.Item{item}, Epoch: 1})
+		learn := voter.call(messages.Learn, messages.LearnCall{B: b1})
+		prep := voter.call(messages.Prepare, messages.PrepareCall{B: b2, Epoch: 1})
+		must := voter.call(messages.Muster, messages.MusterCall{Addr: "b:1", Inc: 2})
 		if acc.count+learn.count+prep.count+must.count != 0 {
 			t.Fatal("answered before the disk")
 		}
 		want := b1
 		if fails {
 			want = configuration.Ballot{}
-			d.fake.sync(storage.ErrDisk)
+			voter.fake.sync(storage.ErrDisk)
 		}
-		d.settle()
+		voter.settle()
 		var p consensus.Promise
 		var m messages.Mustered
 		if err := errors.Join(prep.err, learn.err, must.err, rpc.Decode(prep.body, &p), rpc.Decode(must.body, &m)); err != nil {
 			t.Fatal(err)
 		}
-		if (acc.err != nil) != fails || !p.Given || p.Accepted != want || m.Accepted != want || m.Promised != b2 || m.Vouch.Incs[1] != 2 || d.acceptor.Chosen != want {
+		if (acc.err != nil) != fails || !p.Given || p.Accepted != want || m.Accepted != want || m.Promised != b2 || m.Vouch.Incs[1] != 2 || voter.acceptor.Chosen != want {
 			t.Errorf("fails %v: %v, promise %+v, muster %+v", fails, acc.err, p, m)
 		}
-		if d.registerBusy || len(d.queuedCalls) > 0 {
-			t.Error("something waits on")
+		if voter.registerBusy || len(voter.queuedCalls) > 0 {
+			t.Error("calls are still queued")
 		}
 	}
 }
 
-// Of two claims that the others told of one key, this member may have granted either before its loss: it grants neither, nor
-// after a restart, and tells others so.
+// If the others report two different claims of one key, this member may have granted either before it lost its disk. It grants
+// neither, also after a restart, and reports the key as such.
 func TestRepairBetweenTwoClaims(t *testing.T) {
-	d := newTestVoter(t, Options{})
-	d.openDisk()
-	d.voterSet = messages.Roll{Epoch: 1, Voters: voters}
-	d.locate()
-	d.setState(Repairing)
+	voter := newTestVoter(t, Options{})
+	voter.openDisk()
+	voter.voterSet = messages.Roll{Epoch: 1, Voters: voters}
+	voter.locate()
+	voter.setState(Repairing)
 	told := func(by int, n uint64) recoveredState {
 		return recoveredState{last: messages.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{2, 1, 1}}}, claims: []messages.ClaimCall{{Key: "k", ID: id(n)}}}
 	}
-	d.restore(2, []recoveredState{told(1, 1), told(2, 2)}, d.staleRows(t))
-	d.writeInParts([]storage.Put{d.putVoterSet()}, func(*voterState, error) {})
-	d.settle()
+	voter.restore(2, []recoveredState{told(1, 1), told(2, 2)}, voter.staleRows(t))
+	voter.writeInParts([]storage.Put{voter.putVoterSet()}, func(*voterState, error) {})
+	voter.settle()
 	again := newTestVoter(t, Options{})
-	again.fake, again.condition = d.fake, storage.Intact
+	again.fake, again.condition = voter.fake, storage.Intact
 	again.openDisk()
-	for _, x := range []*testVoter{d, again} {
+	for _, x := range []*testVoter{voter, again} {
 		x.call(messages.Release, messages.ReleaseCall{Key: "k"})
 		for n := uint64(1); n <= 3; n++ {
 			r := x.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
@@ -367,15 +368,15 @@
 			}
 		}
 		if m := x.recoveryReply(messages.MusterCall{}); len(m.Claims) != 1 || !m.Claims[0].ID.IsZero() {
-			t.Errorf("tells %+v", m.Claims)
+			t.Errorf("reports %+v", m.Claims)
 		}
 	}
 }
 
-// What is known to be chosen is taken though more was promised, and the promise stays: a member that missed a change would
-// else be told of it again and again behind each reading.
-func TestChosenBehindAPromise(t *testing.T) {
-	d := newServingVoter(t)
+// A chosen value is taken even below a promise, and the promise stays. Otherwise a member that missed a change would be sent it
+// again after each read.
+func TestChosenBelowPromise(t *testing.T) {
+	voter := newServingVoter(t)
 	item := func(v configuration.Version, b uint64) configuration.Item {
 		return configuration.Item{Key: configuration.Key{Kind: configuration.Limits}, Version: v, Ballot: configuration.Ballot{N: b}, Spec: []byte("{}")}
 	}
@@ -386,92 +387,92 @@
 		if chosen {
 			kind, v = messages.Turn, messages.TurnCall{Page: consensus.Page{Upto: x, Target: x, Items: changes}, Epoch: 1}
 		}
-		r := d.call(kind, v)
-		d.settle()
+		r := voter.call(kind, v)
+		voter.settle()
 		if r.count != 1 || r.err != nil || rpc.Decode(r.body, &a) != nil {
 			t.Fatalf("%d answers, %v", r.count, r.err)
 		}
 		return a
 	}
-	d.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 9}, Epoch: 1})
-	d.settle()
+	voter.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 9}, Epoch: 1})
+	voter.settle()
 	if accept(7, false).Taken {
 		t.Fatal("a value below the promise was taken")
 	}
-	if !accept(7, true).Taken || d.acceptor.Chosen.N != 7 || d.acceptor.Promised.N != 9 {
-		t.Errorf("chosen %v, promised %v", d.acceptor.Chosen, d.acceptor.Promised)
+	if !accept(7, true).Taken || voter.acceptor.Chosen.N != 7 || voter.acceptor.Promised.N != 9 {
+		t.Errorf("chosen %v, promised %v", voter.acceptor.Chosen, voter.acceptor.Promised)
 	}
-	if accept(6, true).Taken || accept(8, false).Taken || d.acceptor.Accepted.N != 7 {
-		t.Errorf("accepted %v behind what was chosen and promised", d.acceptor.Accepted)
+	if accept(6, true).Taken || accept(8, false).Taken || voter.acceptor.Accepted.N != 7 {
+		t.Errorf("accepted %v behind what was chosen and promised", voter.acceptor.Accepted)
 	}
 	if !accept(9, false).Taken {
 		t.Error("the value that was promised for was not taken")
 	}
 }
 
-// A promise whose write failed, though that of its value did not, holds after a restart: a lower ballot would overwrite what may
-// be chosen.
-func TestPromiseThatOnlyItsValueTells(t *testing.T) {
-	d := newServingVoter(t)
-	d.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 2}, Epoch: 1})
-	d.fake.sync(storage.ErrFull)
-	d.call(messages.Accept, messages.AcceptCall{B: configuration.Ballot{N: 2}, Epoch: 1})
-	d.settle()
-	d.openDisk() // as after a restart
-	r := d.call(messages.Accept, messages.AcceptCall{B: configuration.Ballot{N: 1}, Epoch: 1})
-	d.settle()
+// A promise whose write failed still holds after a restart if the write of its value succeeded: a lower ballot could overwrite a
+// chosen value.
+func TestPromiseImpliedByAcceptedValue(t *testing.T) {
+	voter := newServingVoter(t)
+	voter.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 2}, Epoch: 1})
+	voter.fake.sync(storage.ErrFull)
+	voter.call(messages.Accept, messages.AcceptCall{B: configuration.Ballot{N: 2}, Epoch: 1})
+	voter.settle()
+	voter.openDisk() // as after a restart
+	r := voter.call(messages.Accept, messages.AcceptCall{B: configuration.Ballot{N: 1}, Epoch: 1})
+	voter.settle()
 	var a messages.Accepted
 	if r.err != nil || rpc.Decode(r.body, &a) != nil || a.Taken || a.Accepted.N != 2 {
 		t.Errorf("a lower ballot: %+v, %v", a, r.err)
 	}
 }
 
-// While a disk is being opened, which may hang, calls are answered, and nobody opens it again.
+// While a disk is being opened, which may hang, calls are answered and it is not opened a second time.
 func TestDiskThatOpensSlowly(t *testing.T) {
-	d := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
+	voter := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
 	var work []func() func(*voterState)
-	d.srv.runAsync = func(f func() func(*voterState)) { work = append(work, f) }
-	d.openDisk()
-	d.tick()
-	r := d.call(messages.Watch, messages.WatchCall{})
+	voter.srv.runAsync = func(f func() func(*voterState)) { work = append(work, f) }
+	voter.openDisk()
+	voter.tick()
+	r := voter.call(messages.Watch, messages.WatchCall{})
 	var w messages.Watched
 	if r.count != 1 || r.err != nil || rpc.Decode(r.body, &w) != nil || w.State != string(NoDisk) {
 		t.Errorf("%d answers, %v, %+v", r.count, r.err, w)
 	}
-	if c := d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(c.err) != errcode.CoreOut {
+	if c := voter.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(c.err) != errcode.CoreOut {
 		t.Errorf("a claim meanwhile: %v", c.err)
 	}
 	if len(work) != 1 {
 		t.Fatalf("opened %d times", len(work))
 	}
-	work[0]()(d.voterState)
-	d.settle()
-	if d.state != Serving {
-		t.Errorf("%s in the end", d.state)
+	work[0]()(voter.voterState)
+	voter.settle()
+	if voter.state != Serving {
+		t.Errorf("%s at the end", voter.state)
 	}
 }
 
-// Each sync fails once in its turn. Who waited for it hears so, no other call fails, and what was told stands after a loss of
-// power at the end.
+// In each run a different sync fails. The call that waited for it gets the error, no other call fails, and everything that was
+// acknowledged is there after a loss of power at the end.
 func TestEachSyncFailsOnce(t *testing.T) {
 	ballots := []configuration.Ballot{{N: 1}, {N: 2}}
 	for turn := 1; ; turn++ {
-		d := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
+		voter := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
 		syncs, failed := 0, 0
 		settle := func() {
-			for len(d.fake.pending)+len(d.queue) > 0 {
-				d.runQueue()
-				if len(d.fake.pending) > 0 {
+			for len(voter.fake.pending)+len(voter.queue) > 0 {
+				voter.runQueue()
+				if len(voter.fake.pending) > 0 {
 					var err error
 					if syncs++; syncs == turn {
 						err = storage.ErrFull
 					}
-					d.fake.sync(err)
+					voter.fake.sync(err)
 				}
 			}
 		}
 		call := func(kind uint8, v, answer any) bool {
-			r := d.call(kind, v)
+			r := voter.call(kind, v)
 			settle()
 			if r.count != 1 {
 				t.Fatalf("sync %d: %d answers", turn, r.count)
@@ -484,13 +485,13 @@
 			}
 			return false
 		}
-		d.openDisk()
+		voter.openDisk()
 		settle()
-		if turn == 1 { // the founding: it is begun again, as there may be nobody who could tell who counts
-			if d.state != NoDisk || len(d.fake.rows) > 0 {
-				t.Errorf("%s, %d tables on disk", d.state, len(d.fake.rows))
+		if turn == 1 { // the bootstrap is repeated, as no other store may know the voter set
+			if voter.state != NoDisk || len(voter.fake.rows) > 0 {
+				t.Errorf("%s, %d tables on disk", voter.state, len(voter.fake.rows))
 			}
-			d.tick()
+			voter.tick()
 			settle()
 		}
 		granted := map[string]idempotency.ID{}
@@ -528,7 +529,7 @@
 		change(ballots[1])
 		claim("b", 4)
 		again := newTestVoter(t, Options{})
-		again.fake, again.condition = d.fake, storage.Intact
+		again.fake, again.condition = voter.fake, storage.Intact
 		again.openDisk()
 		if failed > 1 || again.state != Serving || again.acceptor.Promised.Less(promised) || again.acceptor.Accepted.Less(accepted) || again.incarnations[1] < inc {
 			t.Errorf("sync %d: %d calls failed; %s, promised %v, not %v, accepted %v, not %v, incarnations %v",
@@ -543,109 +544,109 @@
 		}
 		if syncs < turn {
 			if failed > 0 || len(granted) != 2 || inc != 2 || promised != ballots[1] || accepted != ballots[1] {
-				t.Errorf("on a disk that is well %d calls failed: %v, %v, %v", failed, granted, promised, accepted)
+				t.Errorf("on a working disk %d calls failed: %v, %v, %v", failed, granted, promised, accepted)
 			}
 			break
 		}
 	}
 }
 
-// While a commit hangs, calls are refused at once, and served again behind it.
+// While a commit hangs, calls are refused immediately. They are served again afterwards.
 func TestDiskThatHangs(t *testing.T) {
-	d := newServingVoter(t)
+	voter := newServingVoter(t)
 	for _, stall := range []time.Duration{stalledAfter + 1, 0} {
-		d.fake.stall = stall
+		voter.fake.stall = stall
 		for kind, v := range map[uint8]any{
 			messages.Claim:   messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1},
 			messages.Prepare: messages.PrepareCall{B: configuration.Ballot{N: 1}, Epoch: 1},
 			messages.Accept:  messages.AcceptCall{B: configuration.Ballot{N: 1}, Epoch: 1},
 		} {
-			r := d.call(kind, v)
-			if stall > 0 && (r.count != 1 || errcode.Of(r.err) != errcode.DiskOut || len(d.fake.pending) > 0) {
+			r := voter.call(kind, v)
+			if stall > 0 && (r.count != 1 || errcode.Of(r.err) != errcode.DiskOut || len(voter.fake.pending) > 0) {
 				t.Errorf("kind %d: %d answers, %v", kind, r.count, r.err)
 			}
-			if d.settle(); stall == 0 && (r.count != 1 || r.err != nil) {
-				t.Errorf("kind %d behind it: %d answers, %v", kind, r.count, r.err)
+			if voter.settle(); stall == 0 && (r.count != 1 || r.err != nil) {
+				t.Errorf("kind %d afterwards: %d answers, %v", kind, r.count, r.err)
 			}
 		}
 	}
 }
 
-// A disk that fails each write for long is opened again, as after a start: where it turns out damaged, the member has to make up
-// for it, and founds nothing though it began with the very first start. One that is well again is used on.
+// A disk that fails all writes for long is opened again, as after a start. If it is damaged, the member has to repair it, and
+// does not bootstrap even if it was started with that option. A disk that has recovered is used again.
 func TestDiskThatGoesBad(t *testing.T) {
 	for _, damaged := range []bool{true, false} {
-		d := newServingVoter(t)
+		voter := newServingVoter(t)
 		claim := func(n uint64, err error) (a *callResult) {
-			a = d.call(messages.Claim, messages.ClaimCall{Key: fmt.Sprint("k", n), ID: id(n), Epoch: 1})
-			if len(d.fake.pending) > 0 {
-				d.fake.sync(err)
+			a = voter.call(messages.Claim, messages.ClaimCall{Key: fmt.Sprint("k", n), ID: id(n), Epoch: 1})
+			if len(voter.fake.pending) > 0 {
+				voter.fake.sync(err)
 			}
 			return a
 		}
 		claim(1, nil)
 		for n := range uint64(4) {
 			claim(2+n, storage.ErrDisk)
-			d.startedAt = d.startedAt.Add(-reopenAfter / 4)
+			voter.startedAt = voter.startedAt.Add(-reopenAfter / 4)
 			if n == 3 && damaged {
-				d.fake, d.condition = newFakeDisk(), storage.Damaged
+				voter.fake, voter.condition = newFakeDisk(), storage.Damaged
 			}
-			if d.tick(); n < 3 && (d.state != Serving || d.claims.Len() != int(2+n)) {
-				t.Fatalf("%s with %d keys after %d failures", d.state, d.claims.Len(), n+1)
+			if voter.tick(); n < 3 && (voter.state != Serving || voter.claims.Len() != int(2+n)) {
+				t.Fatalf("%s with %d keys after %d failures", voter.state, voter.claims.Len(), n+1)
 			}
 		}
-		d.settle()
+		voter.settle()
 		again := claim(1, nil)
 		switch {
-		case damaged && (d.state != NoVoterSet || errcode.Of(again.err) != errcode.CoreOut):
-			t.Errorf("%s with a damaged disk, a claim: %v", d.state, again.err)
-		case !damaged && (d.state != Serving || d.claims.Len() != 1 || !again.grant(t).Given):
-			t.Errorf("%s with %d keys", d.state, d.claims.Len())
+		case damaged && (voter.state != NoVoterSet || errcode.Of(again.err) != errcode.CoreOut):
+			t.Errorf("%s with a damaged disk, a claim: %v", voter.state, again.err)
+		case !damaged && (voter.state != Serving || voter.claims.Len() != 1 || !again.grant(t).Given):
+			t.Errorf("%s with %d keys", voter.state, voter.claims.Len())
 		}
 	}
-	// Amid a taking over the file stays: the rest of the books is on its way there.
-	amid := newServingVoter(t)
-	amid.srv.failingSince.Store(1)
-	amid.startedAt, amid.takingOver = amid.startedAt.Add(-2*reopenAfter), true
-	if amid.tick(); amid.disk != disk(amid.fake) || amid.state != Serving {
-		t.Error("a disk was opened anew amid a taking over")
-	}
-	amid.takingOver, amid.fake = false, newFakeDisk()
-	amid.tick()
-	if amid.settle(); amid.disk != disk(amid.fake) {
-		t.Error("a disk that fails was not opened anew behind a taking over")
-	}
-	// What was found damaged and could not be put aside is empty at the next look.
-	d := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
-	begin := d.srv.openStorage
-	d.srv.openStorage = func(storage.Options) (disk, storage.Condition, error) { return nil, storage.Damaged, storage.ErrFull }
-	d.openDisk()
-	d.srv.openStorage = begin
-	if d.tick(); d.state != NoVoterSet {
-		t.Errorf("%s behind a damaged disk", d.state)
+	// During a takeover the disk stays open: the rest of the state is still being written to it.
+	duringTakeover := newServingVoter(t)
+	duringTakeover.srv.failingSince.Store(1)
+	duringTakeover.startedAt, duringTakeover.takingOver = duringTakeover.startedAt.Add(-2*reopenAfter), true
+	if duringTakeover.tick(); duringTakeover.disk != disk(duringTakeover.fake) || duringTakeover.state != Serving {
+		t.Error("the disk was opened again during a takeover")
+	}
+	duringTakeover.takingOver, duringTakeover.fake = false, newFakeDisk()
+	duringTakeover.tick()
+	if duringTakeover.settle(); duringTakeover.disk != disk(duringTakeover.fake) {
+		t.Error("a failing disk was not opened again after a takeover")
+	}
+	// Files that were found damaged and could not be quarantined may be found empty the next time.
+	voter := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
+	begin := voter.srv.openStorage
+	voter.srv.openStorage = func(storage.Options) (disk, storage.Condition, error) { return nil, storage.Damaged, storage.ErrFull }
+	voter.openDisk()
+	voter.srv.openStorage = begin
+	if voter.tick(); voter.state != NoVoterSet {
+		t.Errorf("%s after a damaged disk", voter.state)
 	}
 }
 
-// A disk that is behind what was told from it is an older copy: whoever finds it says nothing as a member until it is made up for.
+// A disk that is behind a mark reported from it is an older copy: the member does not vote until it is repaired.
 func TestOlderCopyOfADisk(t *testing.T) {
-	d := newServingVoter(t)
+	voter := newServingVoter(t)
 	claim := func(n uint64) *callResult {
-		d.startedAt = d.startedAt.Add(-markInterval)
-		a := d.call(messages.Claim, messages.ClaimCall{Key: fmt.Sprint("k", n), ID: id(n), Epoch: 1})
-		d.settle()
+		voter.startedAt = voter.startedAt.Add(-markInterval)
+		a := voter.call(messages.Claim, messages.ClaimCall{Key: fmt.Sprint("k", n), ID: id(n), Epoch: 1})
+		voter.settle()
 		return a
 	}
 	copied := newFakeDisk()
 	for n := range uint64(3) {
 		if claim(n + 1); n == 0 {
-			for t, rows := range d.fake.rows {
+			for t, rows := range voter.fake.rows {
 				copied.rows[t] = maps.Clone(rows)
 			}
 		}
 	}
-	told := messages.Mark{Epoch: 1, Inc: 1, N: d.watchReply(configuration.Ballot{}).Mark}
+	told := messages.Mark{Epoch: 1, Inc: 1, N: voter.watchReply(configuration.Ballot{}).Mark}
 	if told.N != 3 {
-		t.Fatalf("mark %d after three writes that are some time apart", told.N)
+		t.Fatalf("mark %d after three writes at least markInterval apart", told.N)
 	}
 	for _, c := range []struct {
 		name string
@@ -653,11 +654,11 @@
 		told []messages.Mark
 		want State
 	}{
-		{"its own disk", d.fake, []messages.Mark{{}, told}, Serving},
-		{"a copy, and nobody who knows better", copied, []messages.Mark{{}}, Serving},
+		{"its own disk", voter.fake, []messages.Mark{{}, told}, Serving},
+		{"a copy, and no registry knows the mark", copied, []messages.Mark{{}}, Serving},
 		{"a copy", copied, []messages.Mark{{}, told}, Repairing},
-		{"a disk of before a repair", d.fake, []messages.Mark{{Epoch: 1, Inc: 2}}, Repairing},
-		{"a disk of before a change of the roll", d.fake, []messages.Mark{{Epoch: 2, Inc: 1}}, Repairing},
+		{"a disk from before a repair", voter.fake, []messages.Mark{{Epoch: 1, Inc: 2}}, Repairing},
+		{"a disk from before a change of the voter set", voter.fake, []messages.Mark{{Epoch: 2, Inc: 1}}, Repairing},
 	} {
 		n := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
 		n.fake, n.marks = newFakeDisk(), c.told
@@ -672,10 +673,10 @@
 			t.Errorf("%s: %s, a claim: %v", c.name, n.state, a.err)
 		}
 		if n.state == Repairing {
-			again := newTestVoter(t, Options{}) // nobody who knows is left, amid the repair
+			again := newTestVoter(t, Options{}) // restarted during the repair, when no registry knows the mark any more
 			again.fake = n.fake
 			if again.openDisk(); again.state != Repairing {
-				t.Errorf("%s, begun again amid its repair: %s", c.name, again.state)
+				t.Errorf("%s, restarted during its repair: %s", c.name, again.state)
 			}
 		}
 	}
