--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -74,8 +74,8 @@
 					a.frozen = 20 + rng.IntN(400)
 					continue
 				}
-				own := time.Duration(float64(now) * a.rate)
-				if a.lease.BeginRenewal(own) {
+				agentNow := time.Duration(float64(now) * a.rate)
+				if a.lease.BeginRenewal(agentNow) {
 					for m := range members {
 						for range 1 + rng.IntN(2) { // some requests are duplicated
 							if rng.IntN(8) > 0 {
@@ -84,7 +84,7 @@
 						}
 					}
 				}
-				if a.lease.Held(own) {
+				if a.lease.Held(agentNow) {
 					holds++
 				}
 			}
--- a/internal/lease/modelcheck_test.go
+++ b/internal/lease/modelcheck_test.go
@@ -25,8 +25,8 @@
 )
 
 type granter struct {
-	began, until time.Duration
-	by           uint8
+	startedAt, until time.Duration
+	holder           uint8
 }
 
 type holder struct {
@@ -89,7 +89,7 @@
 		n.at++
 		for i := range n.g { // expired grants are all alike
 			if g := &n.g[i]; k.granterNow(n.at) >= g.until {
-				g.by, g.until = 0, 0
+				g.holder, g.until = 0, 0
 			}
 		}
 		emit(n, "an eighth of a span")
@@ -103,21 +103,21 @@
 			if k.grantAfterRestart {
 				l.startedAt -= Span
 			}
-			n.g[i] = granter{began: l.startedAt}
+			n.g[i] = granter{startedAt: l.startedAt}
 			emit(n, "granter %d restarts", i)
 		}
 		for j := range holders {
 			for a, asked := range s.h[j].asks {
-				if asked == 0 || s.h[j].answers[a]&(1<<i) != 0 && g.by == uint8(j+1) && g.until == granterNow+Span {
+				if asked == 0 || s.h[j].answers[a]&(1<<i) != 0 && g.holder == uint8(j+1) && g.until == granterNow+Span {
 					continue
 				}
-				l := &Granter{startedAt: g.began, grants: map[Name]grant{}}
-				if g.by > 0 {
-					l.grants[CatchUp] = grant{uint64(g.by), g.until}
+				l := &Granter{startedAt: g.startedAt, grants: map[Name]grant{}}
+				if g.holder > 0 {
+					l.grants[CatchUp] = grant{uint64(g.holder), g.until}
 				}
 				if l.Grant(granterNow, CatchUp, uint64(j+1)) {
 					n := s
-					n.g[i].by, n.g[i].until = uint8(j+1), l.grants[CatchUp].expiresAt
+					n.g[i].holder, n.g[i].until = uint8(j+1), l.grants[CatchUp].expiresAt
 					if k.delay {
 						n.h[j].answers[a] |= 1 << i
 					} else if n := n; k.receive(&n, j, a, i) {
@@ -193,7 +193,7 @@
 
 func (s *world) weight(i int) (w uint64) {
 	g := s.g[i]
-	w = uint64(g.until/time.Millisecond)<<24 + uint64((g.began+Span)/time.Millisecond)<<9 + uint64(g.by)
+	w = uint64(g.until/time.Millisecond)<<24 + uint64((g.startedAt+Span)/time.Millisecond)<<9 + uint64(g.holder)
 	for j := range s.h {
 		w = w<<1 + uint64(s.h[j].grants>>i&1)
 		for a := range s.h[j].answers {
@@ -242,7 +242,7 @@
 		}
 		var first world
 		for i := range first.g {
-			first.g[i].began = -Span
+			first.g[i].startedAt = -Span
 		}
 		startedAt := time.Now()
 		n, err := modelcheck.Whole(first, c.k.next, c.k.violation, 5e6)
--- a/internal/storage/db.go
+++ b/internal/storage/db.go
@@ -358,13 +358,13 @@
 	if err := db.ensureOpen(); err != nil {
 		return err
 	}
-	var own error
+	var callbackErr error
 	err := db.engine.each(c.table, func(key, value []byte) error {
-		own = c.each(key, value)
-		return own
+		callbackErr = c.each(key, value)
+		return callbackErr
 	})
-	if own != nil {
-		return own
+	if callbackErr != nil {
+		return callbackErr
 	}
 	return wrap(err)
 }
--- a/internal/storage/db_test.go
+++ b/internal/storage/db_test.go
@@ -69,7 +69,7 @@
 		var last []byte
 		if err := db.Load(table, func(k, v []byte) error {
 			if last != nil && bytes.Compare(last, k) >= 0 {
-				t.Errorf("%q behind %q", k, last)
+				t.Errorf("%q after %q", k, last)
 			}
 			last = k
 			s[string(append([]byte{byte(table)}, k...))] = string(v)
--- a/internal/storage/sqlite.go
+++ b/internal/storage/sqlite.go
@@ -66,7 +66,7 @@
 	tableArgs                                                                                     [256]driver.Value // as driver values, to avoid allocations
 	buf                                                                                           []byte
 	path                                                                                          string
-	maxPages, maxPagesEver                                                                        int64 // pages that the file may have now, and at most
+	maxPages, pageLimit                                                                           int64 // pages that the file may have now, and at most
 }
 
 var background = context.Background()
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &sqliteEngine{conn: conn.(*sqlite3.SQLiteConn), path: path, maxPages: maxPages, maxPagesEver: maxPages}
+	e := &sqliteEngine{conn: conn.(*sqlite3.SQLiteConn), path: path, maxPages: maxPages, pageLimit: maxPages}
 	for _, q := range []string{
 		fmt.Sprintf("PRAGMA page_size=%d", pageSize),
 		"PRAGMA temp_store=MEMORY", "PRAGMA mmap_size=0", "PRAGMA cache_size=-1024", "PRAGMA cell_size_check=ON",
@@ -270,7 +270,7 @@
 	if err != nil {
 		return err
 	}
-	return e.setMaxPages(min(info.Size()/pageSize, e.maxPagesEver))
+	return e.setMaxPages(min(info.Size()/pageSize, e.pageLimit))
 }
 
 func (e *sqliteEngine) setMaxPages(pages int64) error {
@@ -285,7 +285,7 @@
 }
 
 func (e *sqliteEngine) grow() error {
-	if e.maxPages >= e.maxPagesEver {
+	if e.maxPages >= e.pageLimit {
 		return errors.New("the size limit of the file is reached")
 	}
 	// SQLite writes a byte to each block. The driver doesn't report its errors, so the resulting size is checked.
--- a/internal/store/interruption_test.go
+++ b/internal/store/interruption_test.go
@@ -108,9 +108,9 @@
 				voter.condition = storage.Empty
 				voter.openDisk()
 				voter.settle()
-				state, own := NonVoter, 0
+				state, ownClaims := NonVoter, 0
 				if kept {
-					state, own = Serving, 1
+					state, ownClaims = Serving, 1
 					voter.write([]storage.Put{putClaim("own", id(99)), putItem(older), putBallot("accepted", older.Ballot), putBallot("chosen", older.Ballot)}, func(error) {})
 					voter.seal.Closed, voter.sealDurable = true, true
 					voter.write([]storage.Put{voter.putSeal()}, func(error) {})
@@ -144,7 +144,7 @@
 				}
 				again.installHandover(next, []handedState{h, h}, kept, left)
 				again.settle()
-				if rows := again.fake.rows; again.state != Serving || again.voterSet.Epoch != 2 || len(rows[tableItems]) != len(items) || len(rows[tableClaims]) != len(claims)+own {
+				if rows := again.fake.rows; again.state != Serving || again.voterSet.Epoch != 2 || len(rows[tableItems]) != len(items) || len(rows[tableClaims]) != len(claims)+ownClaims {
 					t.Errorf("kept %v: %s in epoch %d after %d syncs and another try, %d items, %d claims", kept, again.state, again.voterSet.Epoch, n, len(rows[tableItems]), len(rows[tableClaims]))
 				}
 			}
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -39,8 +39,8 @@
 	if s.voterSet.Epoch == 0 {
 		return errcode.New(errcode.CoreOut, "%s", s.state)
 	}
-	at := s.voterSet.Place(m.Addr)
-	if m.Inc == 0 || at < 0 || s.index < 0 {
+	member := s.voterSet.Place(m.Addr)
+	if m.Inc == 0 || member < 0 || s.index < 0 {
 		c.Reply(messages.Mustered{Vouch: s.vouch(), Roll: s.voterSet}, nil)
 		return nil
 	}
@@ -51,10 +51,10 @@
 		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.replyError(c, s.serveRecovery(c, m)) })
 		return nil
 	}
-	if s.incarnations[at] > m.Inc {
-		return errcode.New(errcode.Preempted, "incarnation %d, here %d", m.Inc, s.incarnations[at])
+	if s.incarnations[member] > m.Inc {
+		return errcode.New(errcode.Preempted, "incarnation %d, here %d", m.Inc, s.incarnations[member])
 	}
-	s.incarnations[at] = m.Inc
+	s.incarnations[member] = m.Inc
 	s.write([]storage.Put{s.putIncarnations()}, func(err error) {
 		if err != nil {
 			reply(c, nil, err)
--- a/internal/store/server.go
+++ b/internal/store/server.go
@@ -649,6 +649,7 @@
 	return errcode.New(errcode.NoCall, "kind %d", c.Kind)
 }
 
+// decodeCall decodes the body of a call for its handler.
 func decodeCall[T any](c rpc.Call, f func(rpc.Call, T) error) error {
 	var v T
 	if err := rpc.Decode(c.Body, &v); err != nil {
@@ -766,14 +767,14 @@
 	return messages.Accepted{Vouch: s.vouch(), Taken: taken, Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: s.acceptor.Chosen}
 }
 
-// writeRegister writes a change of the register and calls taken on the owner's goroutine when the write has ended. Other calls
+// writeRegister writes a change of the register and calls done on the owner's goroutine when the write has ended. Other calls
 // that touch the register are queued until then.
-func (s *voterState) writeRegister(puts []storage.Put, taken func(*voterState, error)) {
+func (s *voterState) writeRegister(puts []storage.Put, done func(*voterState, error)) {
 	s.registerBusy = true
 	s.write(puts, func(err error) {
 		s.srv.enqueue(func(s *voterState) {
 			s.registerBusy = false
-			taken(s, err)
+			done(s, err)
 			queued := s.queuedCalls
 			s.queuedCalls = nil
 			for _, f := range queued {
@@ -789,12 +790,12 @@
 	for i := range s.acceptor.Value.Since(s.acceptor.Chosen) {
 		puts = append(puts, putItem(i))
 	}
-	was := s.acceptor.CatchesUp() // the proposal may have brought what was missing
+	wasCatchingUp := s.acceptor.CatchesUp() // the proposal may have brought what was missing
 	puts = append(puts, putBallot("chosen", of), storage.Put{Table: tableMeta, Key: []byte("target")})
 	s.writeRegister(puts, func(s *voterState, err error) {
 		if err == nil && s.acceptor.Learn(of) { // if the write fails, the next proposer reports the choice again
 			s.deltaRows = 0
-			s.logCatchUp(was)
+			s.logCatchUp(wasCatchingUp)
 			s.notifyWatchers()
 		}
 		done(s, err)
@@ -826,7 +827,7 @@
 		c.Reply(s.accepted(false), nil)
 		return nil
 	}
-	was := s.acceptor.CatchesUp()
+	wasCatchingUp := s.acceptor.CatchesUp()
 	next := *s.acceptor
 	next.Turn(m.Page)
 	puts, _ := s.putDelta(nil)
@@ -838,7 +839,7 @@
 		if err == nil {
 			s.acceptor.Turn(m.Page)
 			s.deltaRows = 0
-			s.logCatchUp(was)
+			s.logCatchUp(wasCatchingUp)
 			s.notifyWatchers()
 		}
 		reply(c, s.accepted(true), err)
@@ -846,10 +847,10 @@
 	return nil
 }
 
-// logCatchUp logs when catching up begins or ends. was tells whether it was under way before.
-func (s *voterState) logCatchUp(was bool) {
-	if is := s.acceptor.CatchesUp(); is != was {
-		s.srv.opts.Log("register", fmt.Sprintf("catching up %v: all up to ballot %d of %d", is, s.acceptor.Chosen.N, s.acceptor.Target.N))
+// logCatchUp logs when catching up begins or ends. wasCatchingUp is the state before the change.
+func (s *voterState) logCatchUp(wasCatchingUp bool) {
+	if catchingUp := s.acceptor.CatchesUp(); catchingUp != wasCatchingUp {
+		s.srv.opts.Log("register", fmt.Sprintf("catching up %v: complete up to ballot %d of %d", catchingUp, s.acceptor.Chosen.N, s.acceptor.Target.N))
 	}
 }
 
@@ -888,9 +889,9 @@
 		w.done = true
 		w.timer.Stop()
 		s.watchers = slices.DeleteFunc(s.watchers, func(o *watcher) bool { return o == w })
-		reply := s.watchReply(w.request.Have)
-		reply.HeldMs = uint32((s.now() - w.receivedAt).Milliseconds())
-		w.call.Reply(reply, nil)
+		update := s.watchReply(w.request.Have)
+		update.HeldMs = uint32((s.now() - w.receivedAt).Milliseconds())
+		w.call.Reply(update, nil)
 	}
 }
 
--- a/internal/store/server_test.go
+++ b/internal/store/server_test.go
@@ -217,11 +217,11 @@
 	voter.voterSet = messages.Roll{Epoch: 1, Voters: voters}
 	voter.locate()
 	voter.setState(Repairing)
-	told := func(by int, inc uint64, claims ...messages.ClaimCall) recoveredState {
+	recovered := func(by int, inc uint64, claims ...messages.ClaimCall) recoveredState {
 		return recoveredState{last: messages.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{inc, 1, 1}}}, claims: claims}
 	}
 	voter.recovering = true // as set when the repair began
-	voter.restore(2, []recoveredState{told(1, 2), told(2, 2)}, voter.staleRows(t))
+	voter.restore(2, []recoveredState{recovered(1, 2), recovered(2, 2)}, voter.staleRows(t))
 	if !voter.recovering {
 		t.Fatal("the next tick would begin another repair")
 	}
@@ -349,10 +349,10 @@
 	voter.voterSet = messages.Roll{Epoch: 1, Voters: voters}
 	voter.locate()
 	voter.setState(Repairing)
-	told := func(by int, n uint64) recoveredState {
+	recovered := func(by int, n uint64) recoveredState {
 		return recoveredState{last: messages.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{2, 1, 1}}}, claims: []messages.ClaimCall{{Key: "k", ID: id(n)}}}
 	}
-	voter.restore(2, []recoveredState{told(1, 1), told(2, 2)}, voter.staleRows(t))
+	voter.restore(2, []recoveredState{recovered(1, 1), recovered(2, 2)}, voter.staleRows(t))
 	voter.writeInParts([]storage.Put{voter.putVoterSet()}, func(*voterState, error) {})
 	voter.settle()
 	again := newTestVoter(t, Options{})
@@ -403,7 +403,7 @@
 		t.Errorf("chosen %v, promised %v", voter.acceptor.Chosen, voter.acceptor.Promised)
 	}
 	if accept(6, true).Taken || accept(8, false).Taken || voter.acceptor.Accepted.N != 7 {
-		t.Errorf("accepted %v behind what was chosen and promised", voter.acceptor.Accepted)
+		t.Errorf("accepted %v, below what was chosen or promised", voter.acceptor.Accepted)
 	}
 	if !accept(9, false).Taken {
 		t.Error("the value that was promised for was not taken")
@@ -440,7 +440,7 @@
 		t.Errorf("%d answers, %v, %+v", r.count, r.err, w)
 	}
 	if c := voter.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(c.err) != errcode.CoreOut {
-		t.Errorf("a claim meanwhile: %v", c.err)
+		t.Errorf("a claim while the disk was being opened: %v", c.err)
 	}
 	if len(work) != 1 {
 		t.Fatalf("opened %d times", len(work))
@@ -644,24 +644,24 @@
 			}
 		}
 	}
-	told := messages.Mark{Epoch: 1, Inc: 1, N: voter.watchReply(configuration.Ballot{}).Mark}
-	if told.N != 3 {
-		t.Fatalf("mark %d after three writes at least markInterval apart", told.N)
+	reported := messages.Mark{Epoch: 1, Inc: 1, N: voter.watchReply(configuration.Ballot{}).Mark}
+	if reported.N != 3 {
+		t.Fatalf("mark %d after three writes at least markInterval apart", reported.N)
 	}
 	for _, c := range []struct {
-		name string
-		disk *fakeDisk
-		told []messages.Mark
-		want State
+		name  string
+		disk  *fakeDisk
+		known []messages.Mark
+		want  State
 	}{
-		{"its own disk", voter.fake, []messages.Mark{{}, told}, Serving},
+		{"its own disk", voter.fake, []messages.Mark{{}, reported}, Serving},
 		{"a copy, and no registry knows the mark", copied, []messages.Mark{{}}, Serving},
-		{"a copy", copied, []messages.Mark{{}, told}, Repairing},
+		{"a copy", copied, []messages.Mark{{}, reported}, Repairing},
 		{"a disk from before a repair", voter.fake, []messages.Mark{{Epoch: 1, Inc: 2}}, Repairing},
 		{"a disk from before a change of the voter set", voter.fake, []messages.Mark{{Epoch: 2, Inc: 1}}, Repairing},
 	} {
 		n := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
-		n.fake, n.marks = newFakeDisk(), c.told
+		n.fake, n.marks = newFakeDisk(), c.known
 		for t, rows := range c.disk.rows {
 			n.fake.rows[t] = maps.Clone(rows)
 		}
