--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -16,107 +16,107 @@
 	"saltmast/internal/storage"
 )
 
-// A member that lost its disk may have promised, accepted and granted what it no longer knows. It says nothing as a member
-// until it has heard so many of the others that every majority it was ever part of has one among them; each of these has put
-// the new incarnation on disk before it tells what it holds, so that answers given before and after are never counted
-// together (ballot.Sound). With three members that means both others.
+// A member that lost its disk may have promised, accepted and granted things that it no longer knows. It does not vote until it
+// has read the state of enough others that every majority it was ever part of includes one of them. Each of these writes the
+// member's new incarnation to disk before it answers, so that votes from before and after the loss are never counted together
+// (consensus.Sound). With three members, both others are needed.
 
-// mustered is what one other told.
-type mustered struct {
-	m      messages.Mustered // the last part
+// recoveredState is the state that one other member sent.
+type recoveredState struct {
+	last   messages.Mustered // the last part
 	claims []messages.ClaimCall
-	base   configuration.Set // the value of m.Base
+	base   configuration.Set // the value of last.Base
 }
 
 const (
-	musterTime = 700 * time.Millisecond
-	claimsAt   = 2000 // claims a message
+	recoveryTimeout  = 700 * time.Millisecond
+	claimsPerMessage = 2000
 )
 
-// muster tells a member that lost its disk what is held here.
-func (b *books) muster(c rpc.Call, m messages.MusterCall) error {
-	b.p.Counts.Muster.Add(1)
-	if b.roll.Epoch == 0 {
-		return errcode.New(errcode.CoreOut, "%s", b.state)
+// serveRecovery sends the state of this member to one that lost its disk.
+func (s *voterState) serveRecovery(c rpc.Call, m messages.MusterCall) error {
+	s.srv.Counts.Recoveries.Add(1)
+	if s.voterSet.Epoch == 0 {
+		return errcode.New(errcode.CoreOut, "%s", s.state)
 	}
-	at := b.roll.Place(m.Addr)
-	if m.Inc == 0 || at < 0 || b.me < 0 {
-		c.Reply(messages.Mustered{Vouch: b.vouch(), Roll: b.roll}, nil)
+	member := s.voterSet.Place(m.Addr)
+	if m.Inc == 0 || member < 0 || s.index < 0 {
+		c.Reply(messages.Mustered{Vouch: s.vouch(), Roll: s.voterSet}, nil)
 		return nil
 	}
-	if b.state != Serving {
+	if s.state != Serving {
 		return errcode.New(errcode.Repairing, "")
 	}
-	if b.accepting {
-		b.queued = append(b.queued, func(b *books) { b.again(c, b.muster(c, m)) })
+	if s.registerBusy {
+		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.replyError(c, s.serveRecovery(c, m)) })
 		return nil
 	}
-	if b.incs[at] > m.Inc {
-		return errcode.New(errcode.Preempted, "incarnation %d, here %d", m.Inc, b.incs[at])
+	if s.incarnations[member] > m.Inc {
+		return errcode.New(errcode.Preempted, "incarnation %d, here %d", m.Inc, s.incarnations[member])
 	}
-	b.incs[at] = m.Inc
-	b.write([]storage.Put{b.putIncs()}, func(err error) {
+	s.incarnations[member] = m.Inc
+	s.write([]storage.Put{s.putIncarnations()}, func(err error) {
 		if err != nil {
 			reply(c, nil, err)
 			return
 		}
-		b.p.later(func(b *books) {
-			if b.state != Serving { // its own disk was given up meanwhile
+		s.srv.enqueue(func(s *voterState) {
+			if s.state != Serving { // this member's own disk was given up meanwhile
 				c.Reply(nil, errcode.New(errcode.Repairing, ""))
 				return
 			}
-			c.Reply(b.tell(m), nil)
+			c.Reply(s.recoveryReply(m), nil)
 		})
 	})
 	return nil
 }
 
-// tell is all that is held, the claims in parts by the order of their keys.
-func (b *books) tell(m messages.MusterCall) messages.Mustered {
-	r := b.register(m.Have)
-	t := messages.Mustered{Vouch: b.vouch(), Roll: b.roll, Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: r.chosen,
-		Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta, Former: b.inherited()}
-	if b.seal.Shut() || !b.seal.Promised.IsZero() {
-		s := b.seal
-		t.Seal = &s
+// recoveryReply returns the requested part of this member's state: first the items, then the claims in the order of their keys.
+func (s *voterState) recoveryReply(m messages.MusterCall) messages.Mustered {
+	r := s.registerPart(m.Have)
+	t := messages.Mustered{Vouch: s.vouch(), Roll: s.voterSet, Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: r.chosen,
+		Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta, Former: s.valueInherited()}
+	if s.seal.Shut() || !s.seal.Promised.IsZero() {
+		seal := s.seal
+		t.Seal = &seal
 	}
 	if t.Upto == t.Base {
-		t.Claims, t.More = b.page(m.From)
+		t.Claims, t.More = s.claimsAfter(m.From)
 	}
 	return t
 }
 
-// register is a part of the register, as it is told to a member that takes it over.
-type register struct {
-	chosen configuration.Ballot // of the base; zero: it was accepted alone
+// registerPart is a part of the register, as sent to a member that takes it over.
+type registerPart struct {
+	chosen configuration.Ballot // of the base; zero: the base is only accepted
 	base   configuration.Ballot
 	upto   configuration.Ballot
-	items  []configuration.Item // of the base, of ballots up to that
-	delta  []configuration.Item // of the accepted value, after the base, with the last part
+	items  []configuration.Item // of the base, of ballots up to upto
+	delta  []configuration.Item // what the accepted value changed after the base; sent with the last part
 }
 
-// register is the part with the items of ballots after have. A member that catches up holds no chosen value.
-func (b *books) register(have configuration.Ballot) (r register) {
-	from := b.acc.Stands
-	if r.chosen, r.base = b.acc.Chosen, b.acc.Chosen; b.acc.CatchesUp() {
-		r.chosen, r.base, from = configuration.Ballot{}, b.acc.Accepted, b.acc.Value
+// registerPart returns the part that follows ballot have. A member that catches up holds no chosen value.
+func (s *voterState) registerPart(have configuration.Ballot) (r registerPart) {
+	from := s.acceptor.Stands
+	if r.chosen, r.base = s.acceptor.Chosen, s.acceptor.Chosen; s.acceptor.CatchesUp() {
+		r.chosen, r.base, from = configuration.Ballot{}, s.acceptor.Accepted, s.acceptor.Value
 	}
 	p := consensus.PageOf(from, r.base, have)
 	if r.items, r.upto = p.Items, p.Upto; r.upto == r.base {
-		r.delta = consensus.Since(b.acc.Value, r.base)
+		r.delta = consensus.Since(s.acceptor.Value, r.base)
 	}
 	return r
 }
 
-// pursues reports whether a part of a register goes on where the one before it has ended: of what was accepted alone, the parts
-// have to be of one value.
-func pursues(chosen, accepted, wasChosen, wasAccepted configuration.Ballot) bool {
+// continues reports whether a part of a register continues the previous one. Parts of a value that is only accepted must all be
+// of the same value.
+func continues(chosen, accepted, wasChosen, wasAccepted configuration.Ballot) bool {
 	return !wasChosen.IsZero() && !chosen.IsZero() || chosen == wasChosen && accepted == wasAccepted
 }
 
-// page is a part of the claims, of keys after from.
-func (b *books) page(from string) (claims []messages.ClaimCall, more bool) {
-	b.ledger.All(func(key string, id idempotency.ID) {
+// claimsAfter returns the next part of the claims, with keys after from, and whether there are more.
+func (s *voterState) claimsAfter(from string) (claims []messages.ClaimCall, more bool) {
+	s.claims.All(func(key string, id idempotency.ID) {
 		if key > from {
 			claims = append(claims, messages.ClaimCall{Key: key, ID: id})
 		}
@@ -127,65 +127,65 @@
 		}
 		return 1
 	})
-	if len(claims) > claimsAt {
-		claims, more = claims[:claimsAt], true
+	if len(claims) > claimsPerMessage {
+		claims, more = claims[:claimsPerMessage], true
 	}
 	return claims, more
 }
 
-// repair asks others for the roll, or for all that this member has lost. One runs at a time, off the owner's goroutine, and is
-// over when what it found is on disk: one that began before would leave this member under an incarnation that others know as
-// over.
-func (b *books) repair() {
-	if b.mustering || b.disk == nil {
+// repair asks others for the voter set, or for everything that this member has lost. It runs off the owner's goroutine and ends
+// when its result is on disk. Only one runs at a time: if the next began earlier, the first could still complete and leave this
+// member with an incarnation that others know to be superseded.
+func (s *voterState) repair() {
+	if s.recovering || s.disk == nil {
 		return
 	}
-	b.mustering = true
-	roll, me, state, d := b.roll, b.me, b.state, b.disk
+	s.recovering = true
+	voterSet, index, state, d := s.voterSet, s.index, s.state, s.disk
 	var addrs []string
 	if state == Repairing {
-		for i, v := range roll.Voters {
-			if i != me {
+		for i, v := range voterSet.Voters {
+			if i != index {
 				addrs = append(addrs, v.Addr)
 			}
 		}
 	} else {
-		for _, s := range b.p.o.Seeds() {
-			if s != b.p.o.Addr {
-				addrs = append(addrs, s)
+		for _, seed := range s.srv.opts.Seeds() {
+			if seed != s.srv.opts.Addr {
+				addrs = append(addrs, seed)
 			}
 		}
 	}
 	go func() {
-		var f func(*books)
+		var f func(*voterState)
 		if state == Repairing {
-			f = b.p.recover(addrs, roll, me, d)
+			f = s.srv.collectRecovery(addrs, voterSet, index, d)
 		} else {
-			f = b.p.enrol(addrs)
+			f = s.srv.findVoterSet(addrs)
 		}
-		b.p.own.Send(func(b *books) {
+		s.srv.owner.Send(func(s *voterState) {
 			if f == nil {
-				b.mustering = false
+				s.recovering = false
 				return
 			}
-			f(b)
+			f(s)
 		})
 	}()
 }
 
-// ask makes one call to each address, and gives the answers that came.
-func ask[T any](p *Purser, addrs []string, kind uint8, call any, wait time.Duration) (out []T, from []string) {
-	type told struct {
+// askAll makes one call to each address and returns the successful answers with their addresses.
+func askAll[T any](srv *Server, addrs []string, kind uint8, call any, wait time.Duration) (out []T, from []string) {
+	type response struct {
 		v    T
 		addr string
 		err  error
 	}
-	ch := make(chan told, len(addrs))
+	ch := make(chan response, len(addrs))
 	for _, a := range addrs {
 		go func() {
-			c := rpc.NewClient(p.o.Net, a)
+			c := rpc.NewClient(srv.opts.Net, a)
 			defer c.Close()
-			t := told{addr: a}
+			t := response{addr: a}
 			t.err = c.Call(kind, call, &t.v, wait)
 			ch <- t
 		}()
@@ -198,173 +198,176 @@
 	return out, from
 }
 
-// enrol learns from others who counts.
-func (p *Purser) enrol(addrs []string) func(*books) {
-	told, _ := ask[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.o.Addr}, musterTime)
-	var roll messages.Roll
-	for _, t := range told {
-		if t.Roll.Epoch > roll.Epoch {
-			roll = t.Roll
+// findVoterSet asks others for the newest voter set. It returns nil if nobody knows one.
+func (srv *Server) findVoterSet(addrs []string) func(*voterState) {
+	answers, _ := askAll[messages.Mustered](srv, addrs, messages.Muster, messages.MusterCall{Addr: srv.opts.Addr}, recoveryTimeout)
+	var voterSet messages.Roll
+	for _, t := range answers {
+		if t.Roll.Epoch > voterSet.Epoch {
+			voterSet = t.Roll
 		}
 	}
-	if roll.Epoch == 0 {
+	if voterSet.Epoch == 0 {
 		return nil
 	}
-	return func(b *books) {
-		b.mustering = false
-		if b.roll.Epoch >= roll.Epoch || b.disk == nil {
+	return func(s *voterState) {
+		s.recovering = false
+		if s.voterSet.Epoch >= voterSet.Epoch || s.disk == nil {
 			return
 		}
-		if b.taking { // it takes an office over, and hears of the roll by that
+		if s.takingOver { // the takeover brings the voter set
 			return
 		}
-		b.roll = roll
-		b.place()
-		b.write([]storage.Put{b.putRoll(), b.putIncs()}, func(error) {}) // asked for again where it is lost
-		if b.me >= 0 {
-			b.set(Repairing)
-			b.repair()
+		s.voterSet = voterSet
+		s.locate()
+		s.write([]storage.Put{s.putVoterSet(), s.putIncarnations()}, func(error) {}) // if this fails, it is asked for again
+		if s.index >= 0 {
+			s.setState(Repairing)
+			s.repair()
 		} else {
-			b.set(Apart)
+			s.setState(NonVoter)
 		}
-		b.wake()
+		s.notifyWatchers()
 	}
 }
 
-// recover makes up for a lost disk.
-func (p *Purser) recover(addrs []string, roll messages.Roll, me int, d disk) func(*books) {
-	n := len(roll.Voters)
-	need := n - consensus.Majority(n) + 1 // with fewer others heard, a majority that held this member may have none among them
-	known, _ := ask[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.o.Addr}, musterTime)
+// collectRecovery reads the state of the other members under a new incarnation. It returns the command that restores it, or
+// nil if too few answered.
+func (srv *Server) collectRecovery(addrs []string, voterSet messages.Roll, index int, d disk) func(*voterState) {
+	n := len(voterSet.Voters)
+	need := n - consensus.Majority(n) + 1 // fewer could miss a majority that this member was part of
+	known, _ := askAll[messages.Mustered](srv, addrs, messages.Muster, messages.MusterCall{Addr: srv.opts.Addr}, recoveryTimeout)
 	for _, k := range known {
-		if k.Roll.Epoch > roll.Epoch {
-			return func(b *books) {
-				b.mustering = false
-				b.hear(k.Roll, func(error) {})
+		if k.Roll.Epoch > voterSet.Epoch {
+			return func(s *voterState) {
+				s.recovering = false
+				s.learnVoterSet(k.Roll, func(error) {})
 			}
 		}
 	}
 	if len(known) < need {
 		return nil
 	}
-	var inc uint64
+	var incarnation uint64
 	for _, k := range known {
-		if me < len(k.Vouch.Incs) {
-			inc = max(inc, k.Vouch.Incs[me])
+		if index < len(k.Vouch.Incs) {
+			incarnation = max(incarnation, k.Vouch.Incs[index])
 		}
 	}
-	inc++
-	var got []mustered
-	first, from := ask[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.o.Addr, Inc: inc}, musterTime)
+	incarnation++
+	var got []recoveredState
+	first, from := askAll[messages.Mustered](srv, addrs, messages.Muster, messages.MusterCall{Addr: srv.opts.Addr, Inc: incarnation}, recoveryTimeout)
 	for i, m := range first {
-		one := mustered{m: m, claims: m.Claims, base: configuration.SetOf(m.Items...)}
-		c := rpc.NewClient(p.o.Net, from[i])
+		state := recoveredState{last: m, claims: m.Claims, base: configuration.SetOf(m.Items...)}
+		c := rpc.NewClient(srv.opts.Net, from[i])
 		for m.More || m.Upto != m.Base {
-			call := messages.MusterCall{Addr: p.o.Addr, Inc: inc, Have: m.Upto}
+			call := messages.MusterCall{Addr: srv.opts.Addr, Inc: incarnation, Have: m.Upto}
 			if m.More {
 				call.From = m.Claims[len(m.Claims)-1].Key
 			}
 			m = messages.Mustered{}
-			if err := c.Call(messages.Muster, call, &m, musterTime); err != nil {
+			if err := c.Call(messages.Muster, call, &m, recoveryTimeout); err != nil {
 				c.Close()
 				return nil
 			}
-			if !pursues(m.Chosen, m.Accepted, one.m.Chosen, one.m.Accepted) {
+			if !continues(m.Chosen, m.Accepted, state.last.Chosen, state.last.Accepted) {
 				c.Close()
 				return nil
 			}
-			one.m, one.claims, one.base = m, append(one.claims, m.Claims...), one.base.With(m.Items...)
+			state.last, state.claims, state.base = m, append(state.claims, m.Claims...), state.base.With(m.Items...)
 		}
 		c.Close()
-		if m.Vouch.By >= 0 && m.Roll.Epoch == roll.Epoch {
-			got = append(got, one)
+		if m.Vouch.By >= 0 && m.Roll.Epoch == voterSet.Epoch {
+			got = append(got, state)
 		}
 	}
 	if len(got) < need {
 		return nil
 	}
-	left, err := leftovers(d)
+	left, err := staleRows(d)
 	if err != nil {
-		p.o.Log("repair", err.Error())
+		srv.opts.Log("repair", err.Error())
 		return nil
 	}
-	return func(b *books) { b.restore(inc, got, left) }
+	return func(s *voterState) { s.restore(incarnation, got, left) }
 }
 
-// restore takes what the others told, puts it on disk in place of what is left there, and counts again.
-func (b *books) restore(inc uint64, got []mustered, left []storage.Put) {
-	if b.state != Repairing || b.disk == nil {
-		b.mustering = false
+// restore merges the state of the other members and writes it to disk, after the deletions in left. Then this member votes again.
+func (s *voterState) restore(incarnation uint64, got []recoveredState, left []storage.Put) {
+	if s.state != Repairing || s.disk == nil {
+		s.recovering = false
 		return
 	}
-	b.clear()
-	b.seal, b.sealed, b.past, b.former = reconfig.Seal{}, false, nil, configuration.Ballot{}
-	incs := make([]uint64, len(b.roll.Voters))
-	incs[b.me] = inc
-	voted := false // somebody accepted the value in this epoch
+	s.resetContent()
+	s.seal, s.sealDurable, s.formerEpoch, s.inheritedBallot = reconfig.Seal{}, false, nil, configuration.Ballot{}
+	incarnations := make([]uint64, len(s.voterSet.Voters))
+	incarnations[s.index] = incarnation
+	voted := false // a member accepted the value in this epoch
 	var value configuration.Set
 	for _, g := range got {
-		for i, k := range g.m.Vouch.Incs {
-			if i < len(incs) && i != b.me {
-				incs[i] = max(incs[i], k)
+		for i, k := range g.last.Vouch.Incs {
+			if i < len(incarnations) && i != s.index {
+				incarnations[i] = max(incarnations[i], k)
 			}
 		}
-		if b.acc.Promised.Less(g.m.Promised) {
-			b.acc.Promised = g.m.Promised
+		if s.acceptor.Promised.Less(g.last.Promised) {
+			s.acceptor.Promised = g.last.Promised
 		}
-		if b.acc.Chosen.Less(g.m.Chosen) {
-			b.acc.Chosen, b.acc.Stands = g.m.Chosen, g.base
+		if s.acceptor.Chosen.Less(g.last.Chosen) {
+			s.acceptor.Chosen, s.acceptor.Stands = g.last.Chosen, g.base
 		}
-		if b.acc.Accepted.Less(g.m.Accepted) {
-			b.acc.Accepted, voted = g.m.Accepted, false
-			value = g.base.With(g.m.Delta...)
+		if s.acceptor.Accepted.Less(g.last.Accepted) {
+			s.acceptor.Accepted, voted = g.last.Accepted, false
+			value = g.base.With(g.last.Delta...)
 		}
-		voted = voted || g.m.Accepted == b.acc.Accepted && !g.m.Former
-		if g.m.Seal != nil {
-			b.seal.Learn(*g.m.Seal)
+		voted = voted || g.last.Accepted == s.acceptor.Accepted && !g.last.Former
+		if g.last.Seal != nil {
+			s.seal.Learn(*g.last.Seal)
 		}
 		for _, c := range g.claims {
-			b.ledger.Restore(b.now(), c.Key, c.ID)
+			s.claims.Restore(s.now(), c.Key, c.ID)
 		}
 	}
 	if !voted {
-		b.former = b.acc.Accepted
+		s.inheritedBallot = s.acceptor.Accepted
 	}
-	delta := consensus.Since(value, b.acc.Chosen)
-	b.acc.Value = b.acc.Stands.With(delta...)
-	puts, bundles := b.putDelta(delta)
-	b.bundles = bundles
-	puts = append(puts, putBallots(b.acc)...)
-	for i := range b.acc.Stands.All() {
+	delta := consensus.Since(value, s.acceptor.Chosen)
+	s.acceptor.Value = s.acceptor.Stands.With(delta...)
+	puts, rows := s.putDelta(delta)
+	s.deltaRows = rows
+	puts = append(puts, putBallots(s.acceptor)...)
+	for i := range s.acceptor.Stands.All() {
 		puts = append(puts, putItem(i))
 	}
-	b.ledger.All(func(key string, id idempotency.ID) { puts = append(puts, putClaim(key, id)) })
-	if b.roll.Epoch > 1 || b.seal.Shut() || !b.seal.Promised.IsZero() {
-		puts = append(puts, b.putChange()...)
+	s.claims.All(func(key string, id idempotency.ID) { puts = append(puts, putClaim(key, id)) })
+	if s.voterSet.Epoch > 1 || s.seal.Shut() || !s.seal.Promised.IsZero() {
+		puts = append(puts, s.putReconfig()...)
 	}
-	puts = append(left, puts...) // in one order: what shall be there comes after
-	saved := b.incs
-	b.incs = incs
-	puts = append(puts, b.putIncs()) // its incarnation comes last: before it, the repair is not done
-	b.incs = saved
-	b.save(puts, func(b *books, err error) {
-		b.mustering = false
+	puts = append(left, puts...) // deletions first
+	saved := s.incarnations
+	s.incarnations = incarnations
+	puts = append(puts, s.putIncarnations()) // last: without the incarnation on disk, the repair is not done
+	s.incarnations = saved
+	s.writeInParts(puts, func(s *voterState, err error) {
+		s.recovering = false
 		if err != nil {
-			b.p.o.Log("repair", err.Error())
+			s.srv.opts.Log("repair", err.Error())
 			return
 		}
-		b.incs, b.sealed = incs, b.seal.Shut()
-		b.set(Serving)
-		b.p.o.Log("repair", fmt.Sprintf("made up for by %d others: incarnation %d, %d items, %d keys", len(got), inc, b.acc.Value.Len(), b.ledger.Len()))
-		b.wake()
+		s.incarnations, s.sealDurable = incarnations, s.seal.Shut()
+		s.setState(Serving)
+		s.srv.opts.Log("repair", fmt.Sprintf("made up for by %d others: incarnation %d, %d items, %d keys", len(got), incarnation, s.acceptor.Value.Len(), s.claims.Len()))
+		s.notifyWatchers()
 	})
 }
 
-// leftovers are the deletions of all items and claims on disk: of a repair that died. It waits for the disk, and is not for the
-// owner's goroutine.
-func leftovers(d disk) ([]storage.Put, error) { return load(d, tableItems, tableDelta, tableClaims) }
+// staleRows returns deletions of all items and claims on disk, which an interrupted repair may have left. It blocks on the disk,
+// so it must not run on the owner's goroutine.
+func staleRows(d disk) ([]storage.Put, error) {
+	return deletions(d, tableItems, tableDelta, tableClaims)
+}
 
-func load(d disk, tables ...storage.Table) (out []storage.Put, err error) {
+func deletions(d disk, tables ...storage.Table) (out []storage.Put, err error) {
 	for _, t := range tables {
 		err = errors.Join(err, d.Load(t, func(k, _ []byte) error {
 			out = append(out, storage.Put{Table: t, Key: k})
@@ -374,25 +377,25 @@
 	return out, err
 }
 
-// Bounds of one part of what is saved: each passes through the disk's queue beside what else there is.
+// Bounds of one part of a long write, so that it fits into the storage queue beside other writes.
 const (
 	partPuts  = 1000
 	partBytes = 256 << 10
 )
 
-// save writes puts in parts, each when the one before is on disk. done hears of the end in its turn.
-func (b *books) save(puts []storage.Put, done func(*books, error)) {
+// writeInParts writes puts in parts, each after the previous one is on disk. done is called on the owner's goroutine.
+func (s *voterState) writeInParts(puts []storage.Put, done func(*voterState, error)) {
 	n := 0
 	for size := 0; n < len(puts) && n < partPuts && size < partBytes; n++ {
 		size += len(puts[n].Key) + len(puts[n].Value)
 	}
-	b.write(puts[:n], func(err error) {
-		b.p.later(func(b *books) {
+	s.write(puts[:n], func(err error) {
+		s.srv.enqueue(func(s *voterState) {
 			if err != nil || n == len(puts) {
-				done(b, err)
+				done(s, err)
 				return
 			}
-			b.save(puts[n:], done)
+			s.writeInParts(puts[n:], done)
 		})
 	})
 }
--- a/internal/store/report.go
+++ b/internal/store/report.go
@@ -10,32 +10,33 @@
 	"saltmast/internal/rpc"
 )
 
-// report tells what is known here. The owner hands over copies; ordering, cutting and encoding are done beside it.
-func (b *books) report(c rpc.Call) {
-	p, roll, me := b.p, b.roll, b.me
-	r := messages.Reported{Program: messages.ThePurser, Version: process.Version, Zone: p.o.Zone, Addr: p.o.Addr, UpMs: uint64(b.now().Milliseconds()),
-		Chosen: b.acc.Chosen, Epoch: roll.Epoch, Voters: roll.Voters}
-	own := &messages.PurserReport{State: b.standing(), Place: me, Incs: slices.Clone(b.incs), Promised: b.acc.Promised,
-		Accepted: b.acc.Accepted, Keys: b.ledger.Len()}
-	if b.disk != nil {
-		own.StallMs = uint32(min(b.disk.Stalled(), time.Hour).Milliseconds())
+// report replies the state of this store. The owner's goroutine only makes copies; they are sorted, cut and encoded off it.
+func (s *voterState) report(c rpc.Call) {
+	srv, voterSet, index := s.srv, s.voterSet, s.index
+	r := messages.Reported{Program: messages.ThePurser, Version: process.Version, Zone: srv.opts.Zone, Addr: srv.opts.Addr, UpMs: uint64(s.now().Milliseconds()),
+		Chosen: s.acceptor.Chosen, Epoch: voterSet.Epoch, Voters: voterSet.Voters}
+	own := &messages.PurserReport{State: s.reportedState(), Place: index, Incs: slices.Clone(s.incarnations), Promised: s.acceptor.Promised,
+		Accepted: s.acceptor.Accepted, Keys: s.claims.Len()}
+	if s.disk != nil {
+		own.StallMs = uint32(min(s.disk.Stalled(), time.Hour).Milliseconds())
 	}
-	b.duties.Each(b.now(), func(d lease.Name, by uint64, left time.Duration) {
-		own.Duties = append(own.Duties, messages.DutyReport{Duty: string(d), By: by, LeftMs: uint32(left.Milliseconds())})
+	s.leases.Each(s.now(), func(name lease.Name, holder uint64, left time.Duration) {
+		own.Duties = append(own.Duties, messages.DutyReport{Duty: string(name), By: holder, LeftMs: uint32(left.Milliseconds())})
 	})
 	r.Purser = own
-	items := messages.ItemReports(b.acc.Stands)
+	items := messages.ItemReports(s.acceptor.Stands)
 	go func() {
 		r.SetItems(items)
-		r.Counts, r.Traffic = Running{P: p}.Counts(), rpc.Totals()
+		r.Counts, r.Traffic = Running{Server: srv}.Counts(), rpc.Totals()
 		c.Reply(r, nil)
 	}()
 }
 
-// standing is the state as it is told: a member that catches up serves keys, and its register counts for nothing yet.
-func (b *books) standing() string {
-	if b.state == Serving && b.acc.CatchesUp() {
+// reportedState returns the state as shown to operators. A member that catches up serves keys, but its register does not count
+// yet.
+func (s *voterState) reportedState() string {
+	if s.state == Serving && s.acceptor.CatchesUp() {
 		return "catching up"
 	}
-	return string(b.state)
+	return string(s.state)
 }
