--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -69,7 +69,7 @@
 	clock       core.Clock
 	thriftFront *thriftfront.Front // nil: off
 
-	bodies    *bodybuffer.Account
+	bodies    *bodybuffer.Budget
 	service   *service       // nil: no second address
 	listeners []net.Listener // the clients' own, of all fronts
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -77,7 +77,7 @@
 		}
 	}
 	// A large body is turned away by its length: none of it is waited for.
-	large := fmt.Sprintf("POST /settle HTTP/1.1\r\nHost: a\r\nX-Call-Id: %s\r\nX-Budget-Ms: 700\r\nContent-Length: %d\r\n\r\n", id, bodybuffer.Most+1)
+	large := fmt.Sprintf("POST /settle HTTP/1.1\r\nHost: a\r\nX-Call-Id: %s\r\nX-Budget-Ms: 700\r\nContent-Length: %d\r\n\r\n", id, bodybuffer.MaxBody+1)
 	if got := status(t, dialRaw(t, a, large)); got != 413 {
 		t.Errorf("a large body: status %d, want 413", got)
 	}
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -47,7 +47,7 @@
 // settled reports whether nothing is held of bodies any more.
 func settled(t *testing.T, a *Agent) {
 	t.Helper()
-	until(t, "the account to be empty", func() bool { held, passing := a.bodies.Held(); return held == 0 && passing == 0 })
+	until(t, "the account to be empty", func() bool { held, passing := a.bodies.Usage(); return held == 0 && passing == 0 })
 }
 
 // Bodies arrive unchanged, kept or passed, however they are framed and cut.
@@ -105,7 +105,7 @@
 func TestLongAnswers(t *testing.T) {
 	t.Parallel()
 	long := noise(2<<20, 1)
-	longest := noise(bodybuffer.Most, 2)
+	longest := noise(bodybuffer.MaxBody, 2)
 	p := newPeer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
 		switch r.URL.Path {
 		case "/look/length":
@@ -168,8 +168,8 @@
 		if r.URL.Path != "/look/long" {
 			return echo(c, r, nil)
 		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bodybuffer.Most)
-		_, err := c.Write(make([]byte, bodybuffer.Most))
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bodybuffer.MaxBody)
+		_, err := c.Write(make([]byte, bodybuffer.MaxBody))
 		over <- err
 		return false
 	})
@@ -194,8 +194,8 @@
 		if r.URL.Path != "/look/long" {
 			return echo(c, r, nil)
 		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bodybuffer.Most)
-		c.Write(make([]byte, bodybuffer.Most))
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bodybuffer.MaxBody)
+		c.Write(make([]byte, bodybuffer.MaxBody))
 		return false
 	})
 	c := configOf(t, newLists(t).Addr, entry("s0", p.Addr(), "SERVING"))
@@ -407,7 +407,7 @@
 	c := dialRaw(t, a, post(id, "Transfer-Encoding: chunked\r\n"))
 	go func() {
 		piece := []byte("100000\r\n" + strings.Repeat("x", 1<<20) + "\r\n")
-		for range bodybuffer.Most>>20 + 1 {
+		for range bodybuffer.MaxBody>>20 + 1 {
 			if _, err := c.Write(piece); err != nil {
 				return
 			}
@@ -496,7 +496,7 @@
 			t.Errorf("one too many got %d", got)
 		}
 	}
-	if held, passing := a.bodies.Held(); held > 1<<20 || passing > 12 {
+	if held, passing := a.bodies.Usage(); held > 1<<20 || passing > 12 {
 		t.Errorf("%d bytes held, %d pass", held, passing)
 	}
 	close(gate)
--- a/internal/bodybuffer/keep.go
+++ b/internal/bodybuffer/budget.go
@@ -5,18 +5,18 @@
 import "sync"
 
 const (
-	// Most is how many bytes a body may have, either way.
-	Most = 32 << 20
-	// Small is how many bytes a body may have to be kept whatever else is held: the bound on open requests bounds their sum.
-	Small = 64 << 10
+	// MaxBody is how many bytes a body may have, either way.
+	MaxBody = 32 << 20
+	// SmallBody is how many bytes a body may have to be kept whatever else is held: the bound on open requests bounds their sum.
+	SmallBody = 64 << 10
 	// part of the account that one body may take: a few large ones must not leave the others none.
 	part = 8
-	// Growth is by how much a body of unknown length asks for more.
-	Growth = 64 << 10
+	// GrowthStep is by how much a body of unknown length asks for more.
+	GrowthStep = 64 << 10
 )
 
-// Account is what may be held of bodies over Small. It is safe for concurrent use.
-type Account struct {
+// Budget is what may be held of bodies over Small. It is safe for concurrent use.
+type Budget struct {
 	mu       sync.Mutex
 	limit    int64 // bytes
 	held     int64
@@ -26,63 +26,63 @@
 
 // New returns an account of so many bytes. passings bounds the bodies that pass at once: each holds a connection at both
 // sides for as long as it takes, and short requests need some too. 0: no bound.
-func New(limit int64, passings int) *Account { return &Account{limit: limit, passings: passings} }
+func New(limit int64, passings int) *Budget { return &Budget{limit: limit, passings: passings} }
 
 // Resize sets other bounds. What is held stays until it is given back.
-func (a *Account) Resize(limit int64, passings int) {
+func (a *Budget) Resize(limit int64, passings int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.limit, a.passings = limit, passings
 }
 
-// Held is how many bytes are held, and how many bodies pass.
-func (a *Account) Held() (bytes int64, passing int) {
+// Usage is how many bytes are held, and how many bodies pass.
+func (a *Budget) Usage() (bytes int64, passing int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.held, a.passing
 }
 
-// Way is what becomes of a body.
-type Way int
+// Mode is what becomes of a body.
+type Mode int
 
 const (
-	Kept     Way = iota // whole in memory before its request goes on: it can be sent again
-	Passed              // as it comes, once
-	TooLarge            // over Most: turned away before it is read
+	Buffered Mode = iota // whole in memory before its request goes on: it can be sent again
+	Streamed             // as it comes, once
+	TooLarge             // over Most: turned away before it is read
 )
 
-// Hold is one body's part of the account.
-type Hold struct {
-	a      *Account
+// Reservation is one body's part of the account.
+type Reservation struct {
+	a      *Budget
 	bytes  int64 // beyond Small, taken from the account
 	passes bool
 }
 
-// Begin decides for a body of a told length; -1: not told, and it is kept until Grow says no.
-func (a *Account) Begin(length int64) (*Hold, Way) {
-	h := &Hold{a: a}
+// Reserve decides for a body of a told length; -1: not told, and it is kept until Grow says no.
+func (a *Budget) Reserve(length int64) (*Reservation, Mode) {
+	h := &Reservation{a: a}
 	switch {
-	case length > Most:
+	case length > MaxBody:
 		return h, TooLarge
-	case length > Small && !h.take(length-Small):
-		return h, Passed
+	case length > SmallBody && !h.take(length-SmallBody):
+		return h, Streamed
 	}
-	return h, Kept
+	return h, Buffered
 }
 
 // Grow asks for room for a body that has grown to so many bytes. TooLarge: it may not be so long. Passed: there is none, and it
 // goes on as it comes.
-func (h *Hold) Grow(to int64) Way {
+func (h *Reservation) Grow(to int64) Mode {
 	switch {
-	case to > Most:
+	case to > MaxBody:
 		return TooLarge
-	case to-Small > h.bytes && !h.take(to-Small-h.bytes):
-		return Passed
+	case to-SmallBody > h.bytes && !h.take(to-SmallBody-h.bytes):
+		return Streamed
 	}
-	return Kept
+	return Buffered
 }
 
-func (h *Hold) take(bytes int64) bool {
+func (h *Reservation) take(bytes int64) bool {
 	h.a.mu.Lock()
 	defer h.a.mu.Unlock()
 	if h.bytes+bytes > h.a.limit/part || h.a.held+bytes > h.a.limit {
@@ -93,8 +93,8 @@
 	return true
 }
 
-// Pass says that the body goes on as it comes; false: too many do already.
-func (h *Hold) Pass() bool {
+// Stream says that the body goes on as it comes; false: too many do already.
+func (h *Reservation) Stream() bool {
 	h.a.mu.Lock()
 	defer h.a.mu.Unlock()
 	if !h.passes && h.a.passings > 0 && h.a.passing >= h.a.passings {
@@ -108,7 +108,7 @@
 }
 
 // Release gives back what is held. It may be called more than once.
-func (h *Hold) Release() {
+func (h *Reservation) Release() {
 	h.a.mu.Lock()
 	defer h.a.mu.Unlock()
 	h.a.held -= h.bytes
--- a/internal/bodybuffer/keep_test.go
+++ b/internal/bodybuffer/budget_test.go
@@ -10,16 +10,16 @@
 	const limit = 8 << 20
 	for _, tt := range []struct {
 		length int64
-		want   Way
-	}{{0, Kept}, {Small, Kept}, {Small + limit/part, Kept}, {Small + limit/part + 1, Passed}, {Most, Passed}, {Most + 1, TooLarge}, {-1, Kept}} {
-		if _, way := New(limit, 0).Begin(tt.length); way != tt.want {
+		want   Mode
+	}{{0, Buffered}, {SmallBody, Buffered}, {SmallBody + limit/part, Buffered}, {SmallBody + limit/part + 1, Streamed}, {MaxBody, Streamed}, {MaxBody + 1, TooLarge}, {-1, Buffered}} {
+		if _, way := New(limit, 0).Reserve(tt.length); way != tt.want {
 			t.Errorf("%d bytes: %d, want %d", tt.length, way, tt.want)
 		}
 	}
-	if _, way := New(0, 0).Begin(Small); way != Kept {
+	if _, way := New(0, 0).Reserve(SmallBody); way != Buffered {
 		t.Error("a small body is not kept where the account has nothing")
 	}
-	if _, way := New(0, 0).Begin(Small + 1); way != Passed {
+	if _, way := New(0, 0).Reserve(SmallBody + 1); way != Streamed {
 		t.Error("an account with nothing keeps")
 	}
 }
@@ -31,7 +31,7 @@
 		passings := rapid.IntRange(0, 3).Draw(t, "passings")
 		a := New(limit, passings)
 		type body struct {
-			h      *Hold
+			h      *Reservation
 			length int64
 			passes bool
 		}
@@ -40,30 +40,30 @@
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				length := int64(rapid.IntRange(-1, Most+2).Draw(t, "length"))
+				length := int64(rapid.IntRange(-1, MaxBody+2).Draw(t, "length"))
 				if rapid.Bool().Draw(t, "short") {
 					length %= 512 << 10
 				}
-				h, way := a.Begin(length)
+				h, way := a.Reserve(length)
 				b := &body{h: h}
-				if way == Kept && length > Small {
-					b.length = length - Small
+				if way == Buffered && length > SmallBody {
+					b.length = length - SmallBody
 					model += b.length
 				}
 				open = append(open, b)
 			case 1:
 				if len(open) > 0 {
 					b := open[rapid.IntRange(0, len(open)-1).Draw(t, "which")]
-					to := Small + b.length + int64(rapid.IntRange(0, Growth).Draw(t, "more"))
-					if b.h.Grow(to) == Kept {
-						model += to - Small - b.length
-						b.length = to - Small
+					to := SmallBody + b.length + int64(rapid.IntRange(0, GrowthStep).Draw(t, "more"))
+					if b.h.Grow(to) == Buffered {
+						model += to - SmallBody - b.length
+						b.length = to - SmallBody
 					}
 				}
 			case 2:
 				if len(open) > 0 {
 					b := open[rapid.IntRange(0, len(open)-1).Draw(t, "which")]
-					if b.h.Pass() && !b.passes {
+					if b.h.Stream() && !b.passes {
 						b.passes = true
 						passing++
 					}
@@ -81,7 +81,7 @@
 					}
 				}
 			}
-			held, n := a.Held()
+			held, n := a.Usage()
 			if held != model || n != passing || held > limit || passings > 0 && n > passings {
 				t.Fatalf("held %d of %d, by count %d; %d of %d pass, by count %d", held, limit, model, n, passings, passing)
 			}
@@ -89,7 +89,7 @@
 		for _, b := range open {
 			b.h.Release()
 		}
-		if held, n := a.Held(); held != 0 || n != 0 {
+		if held, n := a.Usage(); held != 0 || n != 0 {
 			t.Fatalf("%d bytes and %d bodies are left", held, n)
 		}
 	})
--- a/internal/dataplane/backend.go
+++ b/internal/dataplane/backend.go
@@ -39,7 +39,7 @@
 		if c, o = g.connect(ctx, a, cut); o != nil {
 			return *o
 		}
-		c.CloseOn(ctx)
+		c.CloseOnDone(ctx)
 		c.SetDeadline(end)
 		buf := getBuf()
 		msg := appendRequest((*buf)[:0], a, g.o.Service, time.Until(cut))
@@ -55,7 +55,7 @@
 			break
 		}
 		g.pool.Close(c) // not even its head can be there: nothing ran
-		if c.Since().IsZero() || !time.Now().Before(cut) || ctx.Err() != nil {
+		if c.IdleSince().IsZero() || !time.Now().Before(cut) || ctx.Err() != nil {
 			g.Counts.Away.Add(1)
 			return outcome{told: told{Code: errcode.Away}, err: err}
 		}
@@ -75,7 +75,7 @@
 	if err != nil {
 		again = false
 	}
-	c.Last = a.ID
+	c.LastUser = a.ID
 	if o.answer != nil && o.answer.Rest != nil {
 		o.answer.end = func(whole bool) { g.giveBack(c, in, whole && again, rested) }
 		return o
@@ -87,11 +87,11 @@
 // connect gives a connection to the backend that an ask is meant for; else the outcome.
 func (g *Gate) connect(ctx context.Context, a *ask, cut time.Time) (*links.Conn, *outcome) {
 	for {
-		c := g.pool.Take(a.Instance)
+		c := g.pool.Get(a.Instance)
 		if c == nil {
 			break
 		}
-		if c.Last != a.ID || a.ID == "" {
+		if c.LastUser != a.ID || a.ID == "" {
 			return c, nil
 		}
 		g.pool.Close(c) // a second copy of that answer may come, and could be taken for the answer to this
@@ -140,7 +140,7 @@
 		}
 		return outcome{told: told{Code: k, Sent: true}, err: err}, false, 0
 	}
-	first := c.Since().IsZero() // nothing was asked on it before
+	first := c.IdleSince().IsZero() // nothing was asked on it before
 	for strange, early := 0, 0; strange < maxStrange && early < maxEarly; {
 		most.left = maxAnswerHead
 		status, h, last, err := http1.ReadAnswer(in)
--- a/internal/dataplane/balancer.go
+++ b/internal/dataplane/balancer.go
@@ -24,7 +24,7 @@
 	bucket  retry.Bucket
 	rows    map[string]*row   // by node
 	of      map[string][]*row // by service
-	rations map[string]*retrybudget.Ration
+	rations map[string]*retrybudget.Budget
 	nodes   int             // the most that were known
 	silent  map[string]bool // addresses of proxies that the roster says don't answer
 	scratch []retry.Candidate
@@ -49,7 +49,7 @@
 
 // row is what is known of one backend.
 type row struct {
-	backends.Berth
+	backends.Backend
 	inFlight int
 	used     bool
 	warmAt   time.Duration
@@ -62,11 +62,11 @@
 
 // NewBalancer returns one that knows of no backends.
 func NewBalancer() *Balancer {
-	return &Balancer{bucket: retry.NewBucket(bucketTokens), rows: map[string]*row{}, of: map[string][]*row{}, rations: map[string]*retrybudget.Ration{}, nodes: 1}
+	return &Balancer{bucket: retry.NewBucket(bucketTokens), rows: map[string]*row{}, of: map[string][]*row{}, rations: map[string]*retrybudget.Budget{}, nodes: 1}
 }
 
 // Learn takes entries of the table of berths.
-func (h *Balancer) Learn(now time.Duration, news []backends.Berth) {
+func (h *Balancer) Learn(now time.Duration, news []backends.Backend) {
 	for _, b := range news {
 		if b.Addr == "" { // of a node that is gone, the version is all that is left
 			delete(h.rows, b.Node)
@@ -80,7 +80,7 @@
 		if r.Instance != b.Instance {
 			*r = row{inFlight: r.inFlight}
 		}
-		r.Berth = b
+		r.Backend = b
 		r.warmAt = now + time.Duration(b.WarmMs)*time.Millisecond
 		r.awayTill, r.away = 0, 0
 		r.silent = h.silent[b.Addr]
@@ -134,10 +134,10 @@
 	cold                          bool // still warming up, by its own word
 }
 
-func (h *Balancer) ration(service string) *retrybudget.Ration {
+func (h *Balancer) ration(service string) *retrybudget.Budget {
 	r := h.rations[service]
 	if r == nil {
-		r = &retrybudget.Ration{Window: h.Window, Ratio: h.Ratio, Allowance: h.Allowance, Machines: h.nodes}
+		r = &retrybudget.Budget{Window: h.Window, Ratio: h.Ratio, Allowance: h.Allowance, Machines: h.nodes}
 		h.rations[service] = r
 	}
 	return r
@@ -169,7 +169,7 @@
 }
 
 // First counts a request for a service.
-func (h *Balancer) First(now time.Duration, service string) { h.ration(service).First(now) }
+func (h *Balancer) First(now time.Duration, service string) { h.ration(service).AddRequest(now) }
 
 // Pick chooses a backend: a random one where this proxy has little in flight, of its own zone and the least loaded first,
 // else the one with the fewest; not the one that just failed.
@@ -265,7 +265,7 @@
 	if h.bucket.Tokens() < cost {
 		return 0, noTokens
 	}
-	if sent && !h.ration(service).Further(now) {
+	if sent && !h.ration(service).TryRetry(now) {
 		return 0, noRation
 	}
 	h.bucket.Spend(cost)
--- a/internal/dataplane/balancer_test.go
+++ b/internal/dataplane/balancer_test.go
@@ -16,9 +16,9 @@
 	h := NewBalancer()
 	h.Node, h.Zone, h.Ratio, h.Allowance, h.Window = "n0", "z", 10, 1e6, time.Minute
 	h.Rand = rand.New(rand.NewPCG(1, 1))
-	var bs []backends.Berth
+	var bs []backends.Backend
 	for i := range count {
-		bs = append(bs, backends.Berth{Node: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i), Zone: "z", Version: 1, Instance: fmt.Sprint("i", i),
+		bs = append(bs, backends.Backend{Node: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i), Zone: "z", Version: 1, Instance: fmt.Sprint("i", i),
 			Service: "s", Capacity: 4, State: backends.Serving})
 	}
 	h.Learn(0, bs)
@@ -81,7 +81,7 @@
 		t.Errorf("a retry with no time left: %v, %v tokens of %v", no, h.bucket.Tokens(), before)
 	}
 	h.Allowance, h.Ratio = 0, 0
-	h.rations = map[string]*retrybudget.Ration{}
+	h.rations = map[string]*retrybudget.Budget{}
 	if _, no := h.Again(0, slow, "s", 0, errcode.TurnedAway, true, time.Hour); no == granted || h.bucket.Tokens() != before {
 		t.Error("one more arrival beyond the ration")
 	}
@@ -147,11 +147,11 @@
 			t.Fatalf("%s was chosen, which can't be reached", c.node)
 		}
 	}
-	h.Learn(0, []backends.Berth{{Node: "n1", Version: 2, Instance: "i1", Service: "s", State: backends.Draining}})
+	h.Learn(0, []backends.Backend{{Node: "n1", Version: 2, Instance: "i1", Service: "s", State: backends.Draining}})
 	if c := h.Pick(awayLow/2, "s", "n0"); c.node != "n0" {
 		t.Errorf("%q was chosen where one is left", c.node)
 	}
-	h.Learn(0, []backends.Berth{{Node: "n0", Version: 2, Instance: "j", Service: "other", State: backends.Serving}})
+	h.Learn(0, []backends.Backend{{Node: "n0", Version: 2, Instance: "j", Service: "other", State: backends.Serving}})
 	if h.Pick(0, "s", "").ok {
 		t.Error("a backend that leaves, or of another service, was chosen")
 	}
--- a/internal/dataplane/client_left_test.go
+++ b/internal/dataplane/client_left_test.go
@@ -61,7 +61,7 @@
 		Heartbeat: time.Hour, Ratio: 1, Allowance: 100, Window: 10 * time.Second, KeyWindow: time.Minute, AnswerBytes: 1 << 20,
 		LinkMbps: narrowMbps, Net: p, Council: quorum.New(p), Log: func(event, text string) { t.Log(event, text) }})
 	second.limit(t, route, "{}")
-	second.Learn([]backends.Berth{w.Gate.Berth()})
+	second.Learn([]backends.Backend{w.Gate.Berth()})
 	go w.ServeGate(listen(w.p, "10.0.0.1:82"))
 	go second.Serve(listen(p, second.front))
 	t.Cleanup(func() {
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -70,7 +70,7 @@
 	o        Options
 	Gate     *Gate
 	balancer *rpc.Owner[Balancer]
-	book     *rpc.Owner[idempotency.Book[*Answer]]
+	book     *rpc.Owner[idempotency.Cache[*Answer]]
 	hops     *hops
 	left     *disconnect.Watcher // looks at the connections of clients with a request under way
 	claim    atomic.Uint64
@@ -108,20 +108,20 @@
 	}
 	g := &DataPlane{o: o, Gate: newGate(o, pacer), balancer: rpc.Own(h, 256), hops: newHops(o.Net, pacer),
 		left: disconnect.New(disconnect.Interval), conns: map[*client]bool{}}
-	g.book = rpc.Own(idempotency.NewBook[*Answer](o.KeyWindow, o.AnswerBytes/2), 256)
+	g.book = rpc.Own(idempotency.NewCache[*Answer](o.KeyWindow, o.AnswerBytes/2), 256)
 	return g
 }
 
 func (g *DataPlane) now() time.Duration { return time.Since(g.o.Begun) }
 
 // Learn takes news of backends.
-func (g *DataPlane) Learn(news []backends.Berth) {
+func (g *DataPlane) Learn(news []backends.Backend) {
 	g.balancer.Ask(func(h *Balancer) { h.Learn(g.now(), news) })
 }
 
 // Hear takes news of the backend beside this proxy, without waiting for them to be taken.
-func (g *DataPlane) Hear(b backends.Berth) {
-	g.balancer.Send(func(h *Balancer) { h.Learn(g.now(), []backends.Berth{b}) })
+func (g *DataPlane) Hear(b backends.Backend) {
+	g.balancer.Send(func(h *Balancer) { h.Learn(g.now(), []backends.Backend{b}) })
 }
 
 // Silence takes the addresses of proxies that don't answer, as the roster says, without waiting. addrs is not changed after.
@@ -199,12 +199,12 @@
 
 // recallOwn tells what is known here of a key that was claimed here.
 func (g *DataPlane) recallOwn(a *ask) outcome {
-	var op idempotency.Op[*Answer]
+	var op idempotency.Operation[*Answer]
 	known := false
-	g.book.Ask(func(b *idempotency.Book[*Answer]) { op, known = b.Look(a.Key) })
+	g.book.Ask(func(b *idempotency.Cache[*Answer]) { op, known = b.Lookup(a.Key) })
 	o := recalled(op, known, a.Claim)
 	if a.Claim.Life == g.o.Life && (!known || op.ID != a.Claim) { // of this life, and not the one that was sent: it is void
-		o.State = idempotency.Void
+		o.State = idempotency.NotExecuted
 	}
 	return o
 }
--- a/internal/dataplane/front.go
+++ b/internal/dataplane/front.go
@@ -416,7 +416,7 @@
 
 // ended counts a request that has ended.
 func (c *client) ended(v *voyage) {
-	if v.log.kind == errcode.ClientLeft || disconnect.Left(v.ctx) {
+	if v.log.kind == errcode.ClientLeft || disconnect.PeerClosed(v.ctx) {
 		v.log.gone = true
 		c.g.Counts.ClientLeft.Add(1)
 	}
@@ -546,7 +546,7 @@
 	var last *Answer  // a backend's own failure, if that is all there is
 	first := time.Now()
 	for retries := 0; ; retries++ {
-		if disconnect.Left(v.ctx) {
+		if disconnect.PeerClosed(v.ctx) {
 			k = errcode.ClientLeft
 			break
 		}
@@ -604,7 +604,7 @@
 		if o.Code != errcode.OK {
 			v.log.tried = causeOf[k]
 		}
-		if v.spent || sent >= max(1, v.route.MaxAttempts) || disconnect.Left(v.ctx) {
+		if v.spent || sent >= max(1, v.route.MaxAttempts) || disconnect.PeerClosed(v.ctx) {
 			break
 		}
 		failed = c.node
--- a/internal/dataplane/gate.go
+++ b/internal/dataplane/gate.go
@@ -25,16 +25,16 @@
 type Gate struct {
 	o     Options
 	pool  *links.Pool
-	book  *rpc.Owner[idempotency.Book[*Answer]]
+	book  *rpc.Owner[idempotency.Cache[*Answer]]
 	pacer *pacing.Pacer       // of what is sent to other proxies
 	left  *disconnect.Watcher // looks at the connections of other proxies with an ask under way
 
 	caller atomic.Pointer[string]
 
 	mu      sync.Mutex
-	berth   backends.Berth // what this proxy tells of itself
-	addr    string         // of the backend
-	count   uint64         // of its newest beat
+	berth   backends.Backend // what this proxy tells of itself
+	addr    string           // of the backend
+	count   uint64           // of its newest beat
 	beat    time.Time
 	looked  time.Time // whether beats come
 	warmAt  time.Time
@@ -42,10 +42,10 @@
 	ranks   [5]int // of running: by rank, the last for all beyond
 	queue   waits
 	order   int
-	kept    [4]kept              // places for those of each rank, from which those that rank behind are kept
-	past    []string             // lives that have ended
-	news    func(backends.Berth) // hears of each change
-	open    map[*resting]bool    // of other proxies
+	kept    [4]kept                // places for those of each rank, from which those that rank behind are kept
+	past    []string               // lives that have ended
+	news    func(backends.Backend) // hears of each change
+	open    map[*resting]bool      // of other proxies
 	ended   bool
 
 	Counts GateCounts
@@ -62,27 +62,27 @@
 
 func newGate(o Options, pacer *pacing.Pacer) *Gate {
 	g := &Gate{o: o, pacer: pacer, pool: links.New(backendIdle, backendDial, 0), left: disconnect.New(disconnect.Interval), open: map[*resting]bool{},
-		berth: backends.Berth{Node: o.Node, Addr: o.GateAddr, Zone: o.Zone, Life: o.Life, Version: 1, Service: o.Service}}
+		berth: backends.Backend{Node: o.Node, Addr: o.GateAddr, Zone: o.Zone, Life: o.Life, Version: 1, Service: o.Service}}
 	g.pool.Net = sock.On(o.Net)
-	g.book = rpc.Own(idempotency.NewBook[*Answer](o.KeyWindow, o.AnswerBytes/2), 256)
+	g.book = rpc.Own(idempotency.NewCache[*Answer](o.KeyWindow, o.AnswerBytes/2), 256)
 	return g
 }
 
 // Berth is what this proxy tells of itself now.
-func (g *Gate) Berth() backends.Berth {
+func (g *Gate) Berth() backends.Backend {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.told()
 }
 
-func (g *Gate) told() backends.Berth {
+func (g *Gate) told() backends.Backend {
 	b := g.berth
 	b.WarmMs = uint32(max(0, time.Until(g.warmAt).Milliseconds()))
 	return b
 }
 
 // change changes what is told. The caller holds g.mu.
-func (g *Gate) change(f func(b *backends.Berth)) {
+func (g *Gate) change(f func(b *backends.Backend)) {
 	f(&g.berth)
 	g.berth.Version++
 	if g.news != nil {
@@ -91,11 +91,11 @@
 }
 
 // Refute raises the version over another that is told of this node: of a former life.
-func (g *Gate) Refute(other backends.Berth) {
+func (g *Gate) Refute(other backends.Backend) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if other.Life != g.berth.Life && other.Version >= g.berth.Version {
-		g.change(func(b *backends.Berth) { b.Version = other.Version })
+		g.change(func(b *backends.Backend) { b.Version = other.Version })
 	}
 }
 
@@ -125,7 +125,7 @@
 		g.bury(g.berth.Instance)
 		g.turnOut() // what waits is meant for that life
 	}
-	g.change(func(b *backends.Berth) {
+	g.change(func(b *backends.Backend) {
 		b.Instance, b.Service, b.Release, b.Capacity, b.State = p.ID, p.Service, p.Release, p.Capacity, p.State
 	})
 	g.o.Log("backend", fmt.Sprintf("%s of %s: %s, capacity %d", p.ID, p.Service, p.State, p.Capacity))
@@ -154,7 +154,7 @@
 		g.bury(id)
 	}
 	if id == g.berth.Instance && g.berth.State != backends.None {
-		g.change(func(b *backends.Berth) { b.State = backends.None })
+		g.change(func(b *backends.Backend) { b.State = backends.None })
 		g.o.Log("backend", id+": ended")
 		g.turnOut()
 	}
@@ -176,7 +176,7 @@
 	}
 	g.looked = now
 	if g.berth.State != backends.None && now.Sub(g.beat) > 4*g.o.Heartbeat {
-		g.change(func(b *backends.Berth) { b.State = backends.None })
+		g.change(func(b *backends.Backend) { b.State = backends.None })
 		g.o.Log("backend", g.berth.Instance+": says nothing more")
 		g.turnOut()
 	}
@@ -187,7 +187,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ended = true
-	g.change(func(b *backends.Berth) { b.State = backends.None })
+	g.change(func(b *backends.Backend) { b.State = backends.None })
 	g.turnOut()
 }
 
@@ -196,14 +196,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.berth.Instance == id && g.berth.State == backends.Serving {
-		g.change(func(b *backends.Berth) { b.State = backends.None })
+		g.change(func(b *backends.Backend) { b.State = backends.None })
 		g.o.Log("backend", id+": refuses connections")
 		g.turnOut()
 	}
 }
 
 // OnChange has f hear of each change of what this proxy tells of itself. f must not call the gate.
-func (g *Gate) OnChange(f func(backends.Berth)) {
+func (g *Gate) OnChange(f func(backends.Backend)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.news = f
@@ -241,7 +241,7 @@
 		return g.tell(givenUp(false))
 	}
 	if a.Key != "" {
-		g.book.Ask(func(b *idempotency.Book[*Answer]) {
+		g.book.Ask(func(b *idempotency.Cache[*Answer]) {
 			b.Forget(a.Key, a.Claim)
 			b.Begin(time.Since(g.o.Begun), a.Key, a.Claim)
 		})
@@ -275,9 +275,9 @@
 		case o.Code == errcode.OK && o.answer.Rest == nil:
 			state, size = idempotency.Done, o.answer.size()
 		case o.Code.NotRun():
-			state = idempotency.Void
+			state = idempotency.NotExecuted
 		}
-		g.book.Ask(func(b *idempotency.Book[*Answer]) { b.End(a.Key, a.Claim, state, o.answer, size, "") })
+		g.book.Ask(func(b *idempotency.Cache[*Answer]) { b.Finish(a.Key, a.Claim, state, o.answer, size, "") })
 	}
 	return g.tell(o)
 }
@@ -290,10 +290,10 @@
 // recallAnswer tells the answer of a key that ran here.
 func (g *Gate) recallAnswer(a *ask) outcome {
 	g.Counts.Recalls.Add(1)
-	var op idempotency.Op[*Answer]
+	var op idempotency.Operation[*Answer]
 	known := false
-	g.book.Ask(func(b *idempotency.Book[*Answer]) { op, known = b.Look(a.Key) })
-	if op.State == idempotency.Void { // of one attempt; another under the same claim may be on its way here
+	g.book.Ask(func(b *idempotency.Cache[*Answer]) { op, known = b.Lookup(a.Key) })
+	if op.State == idempotency.NotExecuted { // of one attempt; another under the same claim may be on its way here
 		known = false
 	}
 	return recalled(op, known, a.Claim)
@@ -311,15 +311,15 @@
 }
 
 // recalled is what is told of an operation.
-func recalled(op idempotency.Op[*Answer], known bool, id idempotency.ID) outcome {
+func recalled(op idempotency.Operation[*Answer], known bool, id idempotency.ID) outcome {
 	switch {
 	case !known || op.ID != id:
 		return outcome{told: told{Code: errcode.Gone}}
 	case op.State == idempotency.Done:
 		return outcome{told: told{State: idempotency.Done}, answer: op.Answer}
-	case op.State == idempotency.AtWork:
+	case op.State == idempotency.InProgress:
 		return outcome{told: told{Code: errcode.KeyAtWork, State: op.State}}
-	case op.State == idempotency.Void:
+	case op.State == idempotency.NotExecuted:
 		return outcome{told: told{Code: errcode.KeySplit, State: op.State}}
 	}
 	return outcome{told: told{Code: errcode.KeyUnknown, State: op.State}}
--- a/internal/dataplane/gate_test.go
+++ b/internal/dataplane/gate_test.go
@@ -254,17 +254,17 @@
 	kept := &Answer{Status: 200, Header: []Field{{Name: HeaderID, Value: "first"}, {Name: HeaderSeal, Value: "s"}}}
 	for _, c := range []struct {
 		name  string
-		op    idempotency.Op[*Answer]
+		op    idempotency.Operation[*Answer]
 		known bool
 		by    idempotency.ID
 		want  errcode.Kind
 	}{
-		{"done", idempotency.Op[*Answer]{ID: id, State: idempotency.Done, Answer: kept}, true, id, errcode.OK},
-		{"another claim", idempotency.Op[*Answer]{ID: id, State: idempotency.Done, Answer: kept}, true, other, errcode.Gone},
-		{"unheard of", idempotency.Op[*Answer]{}, false, id, errcode.Gone},
-		{"at work", idempotency.Op[*Answer]{ID: id, State: idempotency.AtWork}, true, id, errcode.KeyAtWork},
-		{"unknown", idempotency.Op[*Answer]{ID: id, State: idempotency.Unknown}, true, id, errcode.KeyUnknown},
-		{"void", idempotency.Op[*Answer]{ID: id, State: idempotency.Void}, true, id, errcode.KeySplit},
+		{"done", idempotency.Operation[*Answer]{ID: id, State: idempotency.Done, Answer: kept}, true, id, errcode.OK},
+		{"another claim", idempotency.Operation[*Answer]{ID: id, State: idempotency.Done, Answer: kept}, true, other, errcode.Gone},
+		{"unheard of", idempotency.Operation[*Answer]{}, false, id, errcode.Gone},
+		{"at work", idempotency.Operation[*Answer]{ID: id, State: idempotency.InProgress}, true, id, errcode.KeyAtWork},
+		{"unknown", idempotency.Operation[*Answer]{ID: id, State: idempotency.Unknown}, true, id, errcode.KeyUnknown},
+		{"void", idempotency.Operation[*Answer]{ID: id, State: idempotency.NotExecuted}, true, id, errcode.KeySplit},
 	} {
 		if o := recalled(c.op, c.known, c.by); o.Code != c.want || (o.answer != nil) != (c.want == errcode.OK) {
 			t.Errorf("%s: %v, answer %v", c.name, o.Code, o.answer)
@@ -272,9 +272,9 @@
 	}
 	// The gate's own book tells of single attempts: none of them proves that a claim is void.
 	g := gateOf(t)
-	g.book.Ask(func(b *idempotency.Book[*Answer]) {
+	g.book.Ask(func(b *idempotency.Cache[*Answer]) {
 		b.Begin(0, "k", id)
-		b.End("k", id, idempotency.Void, nil, 0, "")
+		b.Finish("k", id, idempotency.NotExecuted, nil, 0, "")
 	})
 	if o := g.recallAnswer(&ask{Key: "k", Claim: id}); o.Code != errcode.Gone {
 		t.Errorf("an attempt that was declined: %v", o.Code)
--- a/internal/dataplane/hop.go
+++ b/internal/dataplane/hop.go
@@ -87,9 +87,9 @@
 	State   idempotency.State `cbor:"9,keyasint"`            // of a recall
 	Held    uint32            `cbor:"12,keyasint,omitempty"` // milliseconds that it waited for a place
 
-	Number  uint64              `cbor:"13,keyasint,omitempty"` // of the ask that it answers
-	Verdict idempotency.Verdict `cbor:"10,keyasint,omitempty"` // of a claim
-	Holder  *idempotency.ID     `cbor:"11,keyasint,omitempty"`
+	Number  uint64             `cbor:"13,keyasint,omitempty"` // of the ask that it answers
+	Verdict idempotency.Result `cbor:"10,keyasint,omitempty"` // of a claim
+	Holder  *idempotency.ID    `cbor:"11,keyasint,omitempty"`
 }
 
 // appendMessage appends a head and what is there of the body.
@@ -261,7 +261,7 @@
 
 // dial gives a connection to another proxy.
 func (h *hops) dial(ctx context.Context, addr string, cut time.Time) (*links.Conn, error) {
-	if c := h.pool.Take(addr); c != nil {
+	if c := h.pool.Get(addr); c != nil {
 		return c, nil
 	}
 	return h.pool.Dial(ctx, addr, addr, cut)
@@ -283,7 +283,7 @@
 		return outcome{told: told{Code: errcode.Away}, err: err, hop: true}
 	}
 	c.SetDeadline(cut)
-	c.CloseOn(ctx)
+	c.CloseOnDone(ctx)
 	o := h.exchange(ctx, c, a, body, stream, cut)
 	if o.answer == nil && ctx.Err() != nil && o.hop {
 		return givenUp(o.Sent)
--- a/internal/dataplane/hop_answer_test.go
+++ b/internal/dataplane/hop_answer_test.go
@@ -126,8 +126,8 @@
 			}
 		}()
 		o := f.h.do(context.Background(), f.addr, &ask{Kind: run, Length: pieces}, nil, strings.NewReader("short"), time.Now().Add(time.Second))
-		if o.Code != errcode.Full || f.h.pool.Idle(f.addr) != 0 {
-			t.Errorf("%+v, %v; %d kept", o.told, o.err, f.h.pool.Idle(f.addr))
+		if o.Code != errcode.Full || f.h.pool.IdleCount(f.addr) != 0 {
+			t.Errorf("%+v, %v; %d kept", o.told, o.err, f.h.pool.IdleCount(f.addr))
 		}
 	})
 }
@@ -159,11 +159,11 @@
 			t.Errorf("%+v, %v, after %d reads", o.told, o.err, reads)
 		}
 		time.Sleep(time.Second)
-		if w.Gate.closeQuiet(); h.pool.Idle("10.0.0.1:82") != 1 {
-			t.Errorf("%d connections kept", h.pool.Idle("10.0.0.1:82"))
+		if w.Gate.closeQuiet(); h.pool.IdleCount("10.0.0.1:82") != 1 {
+			t.Errorf("%d connections kept", h.pool.IdleCount("10.0.0.1:82"))
 		}
 		time.Sleep(time.Second)
-		if c := h.pool.Take("10.0.0.1:82"); c != nil || w.Gate.closeQuiet() != 0 {
+		if c := h.pool.Get("10.0.0.1:82"); c != nil || w.Gate.closeQuiet() != 0 {
 			t.Error("one that rests is not closed")
 		}
 		q.End()
--- a/internal/dataplane/keyed.go
+++ b/internal/dataplane/keyed.go
@@ -28,19 +28,19 @@
 	if v.key = v.r.Header.Get(HeaderKey); v.key == "" || len(v.key) > 512 {
 		return nil, errcode.Unreadable
 	}
-	id := idempotency.ID{Life: g.o.Life, N: g.claim.Add(1), At: g.o.GateAddr}
-	var known idempotency.Op[*Answer]
+	id := idempotency.ID{Life: g.o.Life, N: g.claim.Add(1), Addr: g.o.GateAddr}
+	var known idempotency.Operation[*Answer]
 	begun := false
-	g.book.Ask(func(b *idempotency.Book[*Answer]) { known, begun = b.Begin(g.now(), v.key, id) })
+	g.book.Ask(func(b *idempotency.Cache[*Answer]) { known, begun = b.Begin(g.now(), v.key, id) })
 	if !begun {
-		if known.State == idempotency.Unknown && known.Where != "" { // the proxy beside the backend may have got the answer since
-			return v.told(v.recall(known.Where, known.ID))
+		if known.State == idempotency.Unknown && known.AskAddr != "" { // the proxy beside the backend may have got the answer since
+			return v.told(v.recall(known.AskAddr, known.ID))
 		}
 		return v.told(recalled(known, true, known.ID))
 	}
 	v.claim = id
 	k, holder := v.claimKey()
-	if k == errcode.OK && disconnect.Left(v.ctx) {
+	if k == errcode.OK && disconnect.PeerClosed(v.ctx) {
 		k = errcode.ClientLeft
 	}
 	switch k {
@@ -48,14 +48,14 @@
 	case errcode.KeyAtWork: // another has it
 		g.Counts.Lost.Add(1)
 		mine := v.claim // not the first one where votes were split
-		g.book.Send(func(b *idempotency.Book[*Answer]) { b.Forget(v.key, mine) })
+		g.book.Send(func(b *idempotency.Cache[*Answer]) { b.Forget(v.key, mine) })
 		return v.ofAnother(holder)
 	case errcode.KeySplit: // those who hold a part of the votes may know more
 		v.release()
-		if holder.At != "" {
-			if o := v.recall(holder.At, holder); o.Code == errcode.OK && o.answer != nil || o.Code == errcode.KeyAtWork {
+		if holder.Addr != "" {
+			if o := v.recall(holder.Addr, holder); o.Code == errcode.OK && o.answer != nil || o.Code == errcode.KeyAtWork {
 				return v.told(o)
-			} else if o.State == idempotency.Void {
+			} else if o.State == idempotency.NotExecuted {
 				v.free(holder)
 			}
 		}
@@ -81,13 +81,13 @@
 	if a != nil {
 		size = a.size()
 	}
-	v.g.book.Ask(func(b *idempotency.Book[*Answer]) { b.End(v.key, v.claim, s, a, size, where) })
+	v.g.book.Ask(func(b *idempotency.Cache[*Answer]) { b.Finish(v.key, v.claim, s, a, size, where) })
 }
 
 // release gives the claim back: nothing ran under it, and nothing will.
 func (v *voyage) release() {
 	v.g.Counts.Void.Add(1)
-	v.end(idempotency.Void, nil, "")
+	v.end(idempotency.NotExecuted, nil, "")
 	v.free(v.claim)
 }
 
@@ -109,7 +109,7 @@
 	begun := time.Now()
 	end := begun.Add(min(claimTime, time.Until(v.cut)))
 	for try := 0; ; try++ {
-		var verdict idempotency.Verdict
+		var verdict idempotency.Result
 		verdict, holder = g.claimAnyhow(v.key, v.claim, time.Until(end))
 		v.log.claim = time.Since(begun)
 		g.Counts.ClaimMicros.Add(v.log.claim.Microseconds())
@@ -123,20 +123,20 @@
 			g.Counts.Split.Add(1)
 			v.free(v.claim)
 			// Whoever is told may have had a majority with a member that is silent now: it knows.
-			switch o := v.recall(holder.At, holder); {
+			switch o := v.recall(holder.Addr, holder); {
 			case o.Code == errcode.KeyAtWork:
-			case o.State == idempotency.Void && o.Code != errcode.OK:
+			case o.State == idempotency.NotExecuted && o.Code != errcode.OK:
 				v.free(holder)
 			default:
 				return errcode.KeyAtWork, holder
 			}
-			if try+1 >= claimTries || time.Now().After(end) || disconnect.Left(v.ctx) {
+			if try+1 >= claimTries || time.Now().After(end) || disconnect.PeerClosed(v.ctx) {
 				return errcode.KeySplit, holder
 			}
 			time.Sleep(5*time.Millisecond + rand.N(20*time.Millisecond))
 			old := v.claim // void for good
-			v.claim = idempotency.ID{Life: g.o.Life, N: g.claim.Add(1), At: g.o.GateAddr}
-			g.book.Ask(func(b *idempotency.Book[*Answer]) {
+			v.claim = idempotency.ID{Life: g.o.Life, N: g.claim.Add(1), Addr: g.o.GateAddr}
+			g.book.Ask(func(b *idempotency.Cache[*Answer]) {
 				b.Forget(v.key, old)
 				b.Begin(g.now(), v.key, v.claim)
 			})
@@ -156,9 +156,9 @@
 // claimAnyhow claims a key with the members, and by another proxy beside where they are slow to answer this one: a machine
 // that is cut off from the core often still reaches its neighbours. One id may be claimed along several ways: members grant
 // it again.
-func (g *DataPlane) claimAnyhow(key string, id idempotency.ID, wait time.Duration) (idempotency.Verdict, idempotency.ID) {
+func (g *DataPlane) claimAnyhow(key string, id idempotency.ID, wait time.Duration) (idempotency.Result, idempotency.ID) {
 	type result struct {
-		verdict idempotency.Verdict
+		verdict idempotency.Result
 		holder  idempotency.ID
 		direct  bool
 	}
@@ -179,7 +179,7 @@
 		case r := <-ch:
 			under--
 			if r.direct {
-				if r.verdict != idempotency.Open {
+				if r.verdict != idempotency.Pending {
 					g.out.Store(0)
 				} else { // at once, where connections are refused or were given up a moment ago
 					g.out.Store(int64(g.now() + outFor))
@@ -188,7 +188,7 @@
 					}
 				}
 			}
-			if r.verdict != idempotency.Open {
+			if r.verdict != idempotency.Pending {
 				return r.verdict, r.holder
 			}
 		case <-t.C:
@@ -205,12 +205,12 @@
 					o := g.hops.do(context.Background(), addr, a, nil, nil, time.Now().Add(wait))
 					r := result{verdict: o.Verdict}
 					if o.err != nil || o.Code != errcode.OK {
-						r.verdict = idempotency.Open
+						r.verdict = idempotency.Pending
 					}
 					if o.Holder != nil {
 						r.holder = *o.Holder
 					}
-					if r.verdict == idempotency.Open {
+					if r.verdict == idempotency.Pending {
 						g.relay.Store(nil)
 					} else {
 						g.relay.Store(&addr)
@@ -220,22 +220,22 @@
 			}
 		}
 	}
-	return idempotency.Open, idempotency.ID{}
+	return idempotency.Pending, idempotency.ID{}
 }
 
 // vote claims a key with the members. Where their epoch has ended without a majority, it is claimed in the next under the same
 // id.
-func (g *DataPlane) vote(key string, id idempotency.ID, wait time.Duration) (verdict idempotency.Verdict, holder idempotency.ID) {
+func (g *DataPlane) vote(key string, id idempotency.ID, wait time.Duration) (verdict idempotency.Result, holder idempotency.ID) {
 	for end := time.Now().Add(wait); ; {
 		roll := g.o.Council.Roll()
 		n := len(roll.Voters)
-		vote := idempotency.Vote{Voters: n}
+		vote := idempotency.GrantCounter{Voters: n}
 		msg := rpc.Encode(messages.ClaimCall{Key: key, ID: id, Epoch: roll.Epoch})
 		gone := 0
 		g.o.Council.Gather(messages.Claim, func(int) []byte { return msg }, time.Until(end), func(t quorum.Told) bool {
 			var gr idempotency.Grant
 			if t.Err != nil || rpc.Decode(t.Body, &gr) != nil {
-				if vote.Missed(); errcode.Of(t.Err) == errcode.Gone {
+				if vote.AddMissing(); errcode.Of(t.Err) == errcode.Gone {
 					if gone++; gone == 1 {
 						g.o.Council.Learn(t.Place, roll.Epoch)
 					}
@@ -243,10 +243,10 @@
 			} else {
 				vote.Add(gr)
 			}
-			verdict, holder = vote.Verdict()
-			return verdict != idempotency.Open || gone > n-consensus.Majority(n)
+			verdict, holder = vote.Result()
+			return verdict != idempotency.Pending || gone > n-consensus.Majority(n)
 		})
-		if verdict != idempotency.Open || gone == 0 || !g.o.Council.Await(roll.Epoch, end) {
+		if verdict != idempotency.Pending || gone == 0 || !g.o.Council.Await(roll.Epoch, end) {
 			return verdict, holder
 		}
 	}
@@ -254,8 +254,8 @@
 
 // ofAnother answers a repeat by what the holder of the key knows, or else whoever may have run it.
 func (v *voyage) ofAnother(holder idempotency.ID) (*Answer, errcode.Kind) {
-	o := v.recall(holder.At, holder)
-	if o.State == idempotency.Void && o.Code != errcode.OK { // it never ran and never will: whoever asks may try anew
+	o := v.recall(holder.Addr, holder)
+	if o.State == idempotency.NotExecuted && o.Code != errcode.OK { // it never ran and never will: whoever asks may try anew
 		v.free(holder)
 		return nil, errcode.KeySplit
 	}
@@ -264,7 +264,7 @@
 		v.g.balancer.Ask(func(h *Balancer) {
 			for _, r := range h.rows {
 				for _, s := range v.route.Split {
-					if r.Service == s.Service && r.Addr != holder.At {
+					if r.Service == s.Service && r.Addr != holder.Addr {
 						at = append(at, r.Addr)
 					}
 				}
@@ -305,7 +305,7 @@
 		return o.answer.under(v.r.Header.Get(HeaderID)), errcode.OK
 	case o.Code == errcode.KeyAtWork:
 		return nil, errcode.KeyAtWork
-	case o.State == idempotency.Void && o.Code == errcode.KeySplit:
+	case o.State == idempotency.NotExecuted && o.Code == errcode.KeySplit:
 		return nil, errcode.KeySplit
 	}
 	return nil, errcode.KeyUnknown
--- a/internal/dataplane/owner_test.go
+++ b/internal/dataplane/owner_test.go
@@ -63,15 +63,15 @@
 		w.Gate.Beat(controlapi.Beat{ID: "i-2", Service: "ledger", Capacity: 2, Count: 1, State: backends.Serving})
 		want("what was at work", <-got, errcode.OK)
 		synctest.Wait()
-		if idle := w.Gate.pool.Idle("i-1") + w.Gate.pool.Idle("i-2"); idle != 0 {
+		if idle := w.Gate.pool.IdleCount("i-1") + w.Gate.pool.IdleCount("i-2"); idle != 0 {
 			t.Errorf("%d connections of the first life are kept", idle)
 		}
 		want("what is meant for the first life", do("i-1"), errcode.Elsewhere)
 		want("the second life", do("i-2"), errcode.OK)
 		mu.Lock()
 		defer mu.Unlock()
-		if w.Gate.pool.Idle("i-2") != 1 || len(over) != 4 {
-			t.Errorf("%d connections kept; requests came for %v", w.Gate.pool.Idle("i-2"), over)
+		if w.Gate.pool.IdleCount("i-2") != 1 || len(over) != 4 {
+			t.Errorf("%d connections kept; requests came for %v", w.Gate.pool.IdleCount("i-2"), over)
 		}
 	})
 }
--- a/internal/dataplane/report.go
+++ b/internal/dataplane/report.go
@@ -36,11 +36,11 @@
 		now := g.now()
 		own.Tokens = h.bucket.Tokens()
 		for s, x := range h.rations {
-			left[s] = x.Left(now)
+			left[s] = x.Remaining(now)
 		}
 		all = make([]messages.BerthReport, 0, len(h.rows))
 		for _, row := range h.rows {
-			b := messages.Reports(row.Berth)
+			b := messages.Reports(row.Backend)
 			b.InFlight = row.inFlight
 			if now < row.awayTill {
 				b.AwayMs = uint32((row.awayTill - now).Milliseconds())
@@ -57,10 +57,10 @@
 	own.Running, own.Waiting = g.Gate.load()
 }
 
-func bookOf(o *rpc.Owner[idempotency.Book[*Answer]]) (k messages.Book) {
-	o.Ask(func(b *idempotency.Book[*Answer]) {
+func bookOf(o *rpc.Owner[idempotency.Cache[*Answer]]) (k messages.Book) {
+	o.Ask(func(b *idempotency.Cache[*Answer]) {
 		_, bytes := b.Len()
-		k = messages.Book{AtWork: b.In(idempotency.AtWork), Done: b.In(idempotency.Done), Unknown: b.In(idempotency.Unknown), Void: b.In(idempotency.Void), Bytes: bytes}
+		k = messages.Book{AtWork: b.Count(idempotency.InProgress), Done: b.Count(idempotency.Done), Unknown: b.Count(idempotency.Unknown), Void: b.Count(idempotency.NotExecuted), Bytes: bytes}
 	})
 	return k
 }
--- a/internal/dataplane/silence_test.go
+++ b/internal/dataplane/silence_test.go
@@ -14,7 +14,7 @@
 	h := NewBalancer()
 	h.Node, h.Rand = "self", rand.New(rand.NewPCG(1, 2))
 	for _, n := range []string{"a", "b"} {
-		h.Learn(0, []backends.Berth{{Node: n, Addr: n + ":1", Version: 1, Instance: n, Service: "s", Capacity: 4, State: backends.Serving}})
+		h.Learn(0, []backends.Backend{{Node: n, Addr: n + ":1", Version: 1, Instance: n, Service: "s", Capacity: 4, State: backends.Serving}})
 	}
 	picks := func() map[string]int {
 		n := map[string]int{}
@@ -46,7 +46,7 @@
 		t.Errorf("both are back: %v", n)
 	}
 	h.Silence(map[string]bool{"b:1": true})
-	h.Learn(0, []backends.Berth{{Node: "b", Addr: "b:1", Version: 2, Instance: "b2", Service: "s", State: backends.Serving}})
+	h.Learn(0, []backends.Backend{{Node: "b", Addr: "b:1", Version: 2, Instance: "b2", Service: "s", State: backends.Serving}})
 	if n := picks(); n["b"] != 0 {
 		t.Errorf("another life of one that is silent: %v", n)
 	}
--- a/internal/dataplane/walk_gate_test.go
+++ b/internal/dataplane/walk_gate_test.go
@@ -201,8 +201,8 @@
 		before = id
 		n := fmt.Sprint(i)
 		if w.forget {
-			if c := g.pool.Take("i-1"); c != nil {
-				c.Last = ""
+			if c := g.pool.Get("i-1"); c != nil {
+				c.LastUser = ""
 				g.pool.Release(c)
 			}
 		}
@@ -449,8 +449,8 @@
 			if o := do(strings.Repeat("x", 500)); o.Code != step.want || ran-was != step.runs || o.Code == errcode.Away && o.Sent {
 				t.Errorf("%s: %+v, %v; it ran %d times", step.name, o.told, o.err, ran-was)
 			}
-			if c := w.Gate.pool.Take("i-1"); c != nil { // asked again under its id, it would go out on a fresh one
-				c.Last = ""
+			if c := w.Gate.pool.Get("i-1"); c != nil { // asked again under its id, it would go out on a fresh one
+				c.LastUser = ""
 				w.Gate.pool.Release(c)
 			}
 		}
--- a/internal/dataplane/way_test.go
+++ b/internal/dataplane/way_test.go
@@ -67,7 +67,7 @@
 	on.DataPlane = New(Options{Node: "n", Zone: "north", Service: "ledger", App: ip + ":80", GateAddr: ip + ":82", Life: 7, Begun: time.Now(),
 		Heartbeat: time.Hour, Ratio: 1, Allowance: 100, Window: 10 * time.Second, KeyWindow: time.Minute, AnswerBytes: 1 << 20,
 		LinkMbps: narrowMbps, Net: p, Council: quorum.New(p), Log: func(event, text string) { t.Log(event, text) }})
-	on.Gate.OnChange(func(b backends.Berth) { on.Hear(b) })
+	on.Gate.OnChange(func(b backends.Backend) { on.Hear(b) })
 	on.limit(t, route, "{}")
 	on.Gate.Beat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 2, Count: 1, State: backends.Serving})
 	go on.Serve(listen(on.front))
@@ -145,7 +145,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWay(t, lookup, func(io.Writer, *http.Request) { t.Error("it ran") })
 		w.Gate.Leave("i-1")
-		w.Learn([]backends.Berth{{Node: "m", Addr: "10.0.0.2:82", Zone: "south", Version: 1, Instance: "i-2", Service: "ledger", Capacity: 1, State: backends.Serving}})
+		w.Learn([]backends.Backend{{Node: "m", Addr: "10.0.0.2:82", Zone: "south", Version: 1, Instance: "i-2", Service: "ledger", Capacity: 1, State: backends.Serving}})
 		n := 0
 		w.hops.pool.Net = dials{w.p, func() {
 			if n++; n == 1 {
@@ -200,7 +200,7 @@
 		there.Beat(controlapi.Beat{ID: "i-2", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
 		there.enter(context.Background(), &ask{Instance: "i-2", Service: "ledger"}) // takes its only place
 		w.Gate.Leave("i-1")
-		w.Learn([]backends.Berth{there.Berth()})
+		w.Learn([]backends.Backend{there.Berth()})
 		r, _, err := w.ask(t, "PUT /a/1 HTTP/1.1\nContent-Length: 3000000", func(c net.Conn) { io.WriteString(c, strings.Repeat("x", 3000000)) })
 		if err != nil || r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
 			t.Errorf("%v, %v", r, err)
@@ -221,7 +221,7 @@
 		}
 		other := gateOf(t)
 		go other.Serve(l, func(a *ask, _ []byte) outcome { return outcome{told: told{Verdict: idempotency.Won}} })
-		w.Learn([]backends.Berth{{Node: "other", Addr: "10.0.0.2:82", Version: 1}})
+		w.Learn([]backends.Backend{{Node: "other", Addr: "10.0.0.2:82", Version: 1}})
 		for n := range uint64(20) {
 			if v, _ := w.claimAnyhow("k", idempotency.ID{Life: 7, N: n + 1}, claimTime); v != idempotency.Won {
 				t.Errorf("claim %d: verdict %d", n, v)
--- a/internal/disconnect/disconnect.go
+++ b/internal/disconnect/disconnect.go
@@ -108,7 +108,7 @@
 	return due
 }
 
-// Left reports whether ctx was canceled because a peer closed its connection.
-func Left(ctx context.Context) bool {
+// PeerClosed reports whether ctx was canceled because a peer closed its connection.
+func PeerClosed(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), ErrPeerClosed)
 }
--- a/internal/disconnect/disconnect_test.go
+++ b/internal/disconnect/disconnect_test.go
@@ -54,7 +54,7 @@
 		if took := time.Since(closed); took > Interval+10*time.Millisecond {
 			t.Errorf("noticed after %v", took)
 		}
-		if !Left(first) || !Left(second) || Left(stopped) || Left(stays) {
+		if !PeerClosed(first) || !PeerClosed(second) || PeerClosed(stopped) || PeerClosed(stays) {
 			t.Errorf("causes: %v, %v, %v, %v", context.Cause(first), context.Cause(second), context.Cause(stopped), context.Cause(stays))
 		}
 		stopFirst() // again, after it ended by itself
@@ -75,7 +75,7 @@
 		}
 		server.Read(make([]byte, 8))
 		time.Sleep(2 * Interval)
-		if !Left(ctx) {
+		if !PeerClosed(ctx) {
 			t.Error("the close is not noticed behind the bytes")
 		}
 		stop()
--- a/internal/front/http/body.go
+++ b/internal/front/http/body.go
@@ -19,14 +19,14 @@
 }
 
 // readBody reads a body as far as it is kept. coming: the rest is to pass on as it comes. A status says what is wrong.
-func (c *conn) readBody(r *http1.Request, s *http1.Body, hold *bodybuffer.Hold, way bodybuffer.Way) (body []byte, coming *upstream.Coming, status int, why string) {
+func (c *conn) readBody(r *http1.Request, s *http1.Body, hold *bodybuffer.Reservation, way bodybuffer.Mode) (body []byte, coming *upstream.Coming, status int, why string) {
 	if r.Expect && c.in.Buffered() == 0 {
 		c.SetWriteDeadline(time.Now().Add(slowStart))
 		if _, err := io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return nil, nil, 0, "gone"
 		}
 	}
-	if way == bodybuffer.Kept {
+	if way == bodybuffer.Buffered {
 		if r.Length >= 0 {
 			body = make([]byte, r.Length)
 			if _, err := io.ReadFull(s, body); err != nil {
@@ -36,15 +36,15 @@
 		}
 		for {
 			if len(body) == cap(body) {
-				if len(body) >= bodybuffer.Small {
-					if way = hold.Grow(int64(len(body)) + bodybuffer.Growth); way == bodybuffer.TooLarge {
-						way = hold.Grow(bodybuffer.Most)
+				if len(body) >= bodybuffer.SmallBody {
+					if way = hold.Grow(int64(len(body)) + bodybuffer.GrowthStep); way == bodybuffer.TooLarge {
+						way = hold.Grow(bodybuffer.MaxBody)
 					}
-					if way != bodybuffer.Kept {
+					if way != bodybuffer.Buffered {
 						break
 					}
 				}
-				grown := make([]byte, len(body), min(max(4<<10, 2*len(body)), max(bodybuffer.Small, len(body)+bodybuffer.Growth)))
+				grown := make([]byte, len(body), min(max(4<<10, 2*len(body)), max(bodybuffer.SmallBody, len(body)+bodybuffer.GrowthStep)))
 				copy(grown, body)
 				body = grown
 			}
@@ -58,7 +58,7 @@
 			}
 		}
 	}
-	if !hold.Pass() {
+	if !hold.Stream() {
 		return nil, nil, http.StatusServiceUnavailable, "too many large bodies at once: nothing has run"
 	}
 	return nil, &upstream.Coming{Prefix: body, Rest: s, Length: r.Length}, 0, ""
--- a/internal/front/http/conn.go
+++ b/internal/front/http/conn.go
@@ -34,7 +34,7 @@
 )
 
 // limits bound what is read of a request.
-var limits = http1.Limits{Head: 12 << 10, Body: bodybuffer.Most}
+var limits = http1.Limits{Head: 12 << 10, Body: bodybuffer.MaxBody}
 
 // conn is one connection of a client. One goroutine serves it; while a body passes, that of the attempt reads it.
 type conn struct {
--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -41,7 +41,7 @@
 	loop     *core.Loop
 	conns    *conns.Listener
 	serving  func() bool // whether some backend may get work
-	bodies   *bodybuffer.Account
+	bodies   *bodybuffer.Budget
 	log      *slog.Logger
 	terms    atomic.Pointer[terms]
 	draining atomic.Bool // it stops
@@ -72,8 +72,8 @@
 	Terms
 	Loop    *core.Loop
 	Conns   *conns.Listener
-	Serving func() bool         // whether some backend may get work: then it is ready
-	Bodies  *bodybuffer.Account // of bodies that are kept
+	Serving func() bool        // whether some backend may get work: then it is ready
+	Bodies  *bodybuffer.Budget // of bodies that are kept
 	Log     *slog.Logger
 }
 
@@ -202,7 +202,7 @@
 		c.turnAway(status, why)
 		return false
 	}
-	hold, way := f.bodies.Begin(r.Length)
+	hold, way := f.bodies.Reserve(r.Length)
 	defer hold.Release()
 	q := &upstream.HTTP{Key: r.Header.Get("Idempotency-Key"), Method: r.Method, Host: r.Host, Target: r.Target}
 	record := event.Class < len(terms.Record.Classes) && terms.Record.Classes[event.Class]
--- a/internal/idempotency/book_test.go
+++ b/internal/idempotency/cache_test.go
@@ -12,7 +12,7 @@
 func TestBook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window, bytes = 10 * time.Second, 100
-		b := NewBook[int](window, bytes)
+		b := NewCache[int](window, bytes)
 		type run struct {
 			id    ID
 			begun time.Duration
@@ -28,26 +28,26 @@
 			case 0, 1:
 				n++
 				known, begun := b.Begin(now, key, ID{Life: 1, N: n})
-				if begun && r != nil && r.state != Void && now-r.begun <= window {
+				if begun && r != nil && r.state != NotExecuted && now-r.begun <= window {
 					t.Fatalf("%s began again after %v, %d", key, now-r.begun, r.state)
 				}
-				if begun && r != nil && r.state == AtWork {
+				if begun && r != nil && r.state == InProgress {
 					t.Fatalf("%s began again while it was at work", key)
 				}
 				if !begun && known.State == Done && known.Answer != int(known.ID.N) {
 					t.Fatalf("the answer of %d is told for %d", known.Answer, known.ID.N)
 				}
 				if begun {
-					last[key] = &run{ID{Life: 1, N: n}, now, AtWork}
+					last[key] = &run{ID{Life: 1, N: n}, now, InProgress}
 				}
 			case 2:
-				if r != nil && r.state == AtWork {
-					r.state = rapid.SampledFrom([]State{Done, Unknown, Void}).Draw(t, "state")
-					b.End(key, r.id, r.state, int(r.id.N), rapid.IntRange(0, 70).Draw(t, "size"), "")
-					b.End(key, ID{Life: 2, N: 1}, Void, 0, 0, "") // another's word counts for nothing
+				if r != nil && r.state == InProgress {
+					r.state = rapid.SampledFrom([]State{Done, Unknown, NotExecuted}).Draw(t, "state")
+					b.Finish(key, r.id, r.state, int(r.id.N), rapid.IntRange(0, 70).Draw(t, "size"), "")
+					b.Finish(key, ID{Life: 2, N: 1}, NotExecuted, 0, 0, "") // another's word counts for nothing
 				}
 			case 3:
-				if r != nil && r.state == Void {
+				if r != nil && r.state == NotExecuted {
 					b.Forget(key, r.id)
 					delete(last, key)
 				}
@@ -57,12 +57,12 @@
 			}
 		}
 		for k, r := range last {
-			if r.state == AtWork {
-				b.End(k, r.id, Unknown, 0, 0, "")
+			if r.state == InProgress {
+				b.Finish(k, r.id, Unknown, 0, 0, "")
 			}
 		}
 		b.Begin(now+window+1, "e", ID{Life: 1, N: n + 1})
-		b.End("e", ID{Life: 1, N: n + 1}, Done, 0, 1, "")
+		b.Finish("e", ID{Life: 1, N: n + 1}, Done, 0, 1, "")
 		b.Begin(now+3*window, "f", ID{Life: 1, N: n + 2})
 		if ops, held := b.Len(); ops != 1 || held != 0 || len(b.order) != 1 || len(b.kept) != 0 {
 			t.Fatalf("%d operations of %d, %d bytes, %d kept long after", ops, len(b.order), held, len(b.kept))
@@ -73,13 +73,13 @@
 // A key that is begun and void again and again does not keep others beyond their window.
 func TestBookOfKeyTriedAgain(t *testing.T) {
 	const window = 10 * time.Second
-	b := NewBook[int](window, 100)
+	b := NewCache[int](window, 100)
 	b.Begin(0, "again", ID{Life: 1, N: 1})
 	for i := range 100 {
 		now := time.Duration(i) * time.Second
-		b.End("again", ID{Life: 1, N: uint64(2*i + 1)}, Void, 0, 0, "")
+		b.Finish("again", ID{Life: 1, N: uint64(2*i + 1)}, NotExecuted, 0, 0, "")
 		b.Begin(now, "other"+string(rune('A'+i)), ID{Life: 1, N: uint64(2*i + 2)})
-		b.End("other"+string(rune('A'+i)), ID{Life: 1, N: uint64(2*i + 2)}, Unknown, 0, 0, "")
+		b.Finish("other"+string(rune('A'+i)), ID{Life: 1, N: uint64(2*i + 2)}, Unknown, 0, 0, "")
 		b.Begin(now, "again", ID{Life: 1, N: uint64(2*i + 3)})
 	}
 	if ops, _ := b.Len(); ops > 13 || len(b.order) > 30 {
@@ -89,7 +89,7 @@
 
 // The counts by state follow the operations through every way on which they change or are forgotten.
 func TestBookCounts(t *testing.T) {
-	b := NewBook[string](time.Minute, 10)
+	b := NewCache[string](time.Minute, 10)
 	id := func(n uint64) ID { return ID{Life: 1, N: n} }
 	check := func(at, done, unknown, void int) {
 		t.Helper()
@@ -102,12 +102,12 @@
 		b.Begin(0, key, id(uint64(i)))
 	}
 	check(4, 0, 0, 0)
-	b.End("a", id(0), Done, "x", 8, "")
-	b.End("a", id(0), Unknown, "", 0, "") // done stays done
-	b.End("b", id(1), Void, "", 0, "")
-	b.End("c", id(2), Unknown, "", 0, "")
+	b.Finish("a", id(0), Done, "x", 8, "")
+	b.Finish("a", id(0), Unknown, "", 0, "") // done stays done
+	b.Finish("b", id(1), NotExecuted, "", 0, "")
+	b.Finish("c", id(2), Unknown, "", 0, "")
 	check(1, 1, 1, 1)
-	b.End("d", id(3), Done, "y", 8, "") // the older answer makes room
+	b.Finish("d", id(3), Done, "y", 8, "") // the older answer makes room
 	check(0, 1, 2, 1)
 	b.Begin(time.Second, "b", id(9)) // void: it begins anew
 	check(1, 1, 2, 0)
--- a/internal/idempotency/tally.go
+++ b/internal/idempotency/claims.go
@@ -14,14 +14,14 @@
 	_    struct{} `cbor:",toarray"`
 	Life uint64
 	N    uint64
-	At   string // host:port where the claimant answers for it
+	Addr string // host:port where the claimant answers for it
 }
 
 // IsZero reports whether it names none.
 func (id ID) IsZero() bool { return id.Life == 0 && id.N == 0 }
 
-// Ledger is one member's record of who holds which key.
-type Ledger struct {
+// ClaimTable is one member's record of who holds which key.
+type ClaimTable struct {
 	Window time.Duration // a claim is kept for so long at least
 	held   map[string]ID
 	order  []entry // oldest first; may name claims that were released
@@ -33,13 +33,13 @@
 	at  time.Duration
 }
 
-// NewLedger returns an empty one.
-func NewLedger(window time.Duration) *Ledger {
-	return &Ledger{Window: window, held: map[string]ID{}}
+// NewClaimTable returns an empty one.
+func NewClaimTable(window time.Duration) *ClaimTable {
+	return &ClaimTable{Window: window, held: map[string]ID{}}
 }
 
 // Claim grants a key to whoever comes first. The grant counts once it is on disk.
-func (l *Ledger) Claim(now time.Duration, key string, id ID) (holder ID, granted bool) {
+func (l *ClaimTable) Claim(now time.Duration, key string, id ID) (holder ID, granted bool) {
 	if h, ok := l.held[key]; ok {
 		return h, h == id
 	}
@@ -51,7 +51,7 @@
 // Restore takes a claim that another member told, for a member that lost its own. Where two told different claims of one key,
 // this member may have granted either before its loss, and that one may have won: then nobody holds it, and nobody gets it.
 // It gives who holds the key then, and whether that is news.
-func (l *Ledger) Restore(now time.Duration, key string, id ID) (holder ID, news bool) {
+func (l *ClaimTable) Restore(now time.Duration, key string, id ID) (holder ID, news bool) {
 	h, ok := l.held[key]
 	switch {
 	case !ok:
@@ -66,7 +66,7 @@
 }
 
 // Release gives a key back, if id holds it.
-func (l *Ledger) Release(key string, id ID) bool {
+func (l *ClaimTable) Release(key string, id ID) bool {
 	if id.IsZero() || l.held[key] != id {
 		return false
 	}
@@ -75,7 +75,7 @@
 }
 
 // Expire forgets up to most claims that are older than the window, and returns their keys.
-func (l *Ledger) Expire(now time.Duration, most int) (keys []string) {
+func (l *ClaimTable) Expire(now time.Duration, most int) (keys []string) {
 	n := 0
 	for ; n < len(l.order) && n < most && now-l.order[n].at > l.Window; n++ {
 		if e := l.order[n]; l.held[e.key] == e.id {
@@ -91,10 +91,10 @@
 }
 
 // Len is how many keys are held.
-func (l *Ledger) Len() int { return len(l.held) }
+func (l *ClaimTable) Len() int { return len(l.held) }
 
 // All calls each for every claim.
-func (l *Ledger) All(each func(key string, id ID)) {
+func (l *ClaimTable) All(each func(key string, id ID)) {
 	for k, id := range l.held {
 		each(k, id)
 	}
@@ -102,24 +102,24 @@
 
 // Grant is one member's answer to a claim.
 type Grant struct {
-	Vouch  consensus.Vouch `cbor:"1,keyasint"`
-	Given  bool            `cbor:"2,keyasint"`
-	Holder ID              `cbor:"3,keyasint"` // who has it where it was not given
+	Vouch   consensus.Vouch `cbor:"1,keyasint"`
+	Granted bool            `cbor:"2,keyasint"`
+	Holder  ID              `cbor:"3,keyasint"` // who has it where it was not given
 }
 
-// Verdict of a vote.
-type Verdict uint8
+// Result of a vote.
+type Result uint8
 
 // The verdicts.
 const (
-	Open  Verdict = iota // more answers are wanted
-	Won                  // a majority granted it: the request may be sent
-	Lost                 // another holds it
-	Split                // neither this nor any other can get a majority: nobody runs
+	Pending Result = iota // more answers are wanted
+	Won                   // a majority granted it: the request may be sent
+	Lost                  // another holds it
+	Split                 // neither this nor any other can get a majority: nobody runs
 )
 
-// Vote gathers the grants for one claim.
-type Vote struct {
+// GrantCounter gathers the grants for one claim.
+type GrantCounter struct {
 	Voters int
 	given  []consensus.Vouch
 	denied map[ID]int
@@ -127,9 +127,9 @@
 }
 
 // Add takes one member's answer.
-func (v *Vote) Add(g Grant) {
+func (v *GrantCounter) Add(g Grant) {
 	v.heard++
-	if g.Given {
+	if g.Granted {
 		v.given = append(v.given, g.Vouch)
 		return
 	}
@@ -139,11 +139,11 @@
 	v.denied[g.Holder]++
 }
 
-// Missed takes note that one member will not answer.
-func (v *Vote) Missed() { v.heard++ }
+// AddMissing takes note that one member will not answer.
+func (v *GrantCounter) AddMissing() { v.heard++ }
 
-// Verdict is where the vote stands, and who holds the key where it is lost.
-func (v *Vote) Verdict() (Verdict, ID) {
+// Result is where the vote stands, and who holds the key where it is lost.
+func (v *GrantCounter) Result() (Result, ID) {
 	need := consensus.Majority(v.Voters)
 	if len(consensus.Sound(v.given)) >= need {
 		return Won, ID{}
@@ -158,10 +158,10 @@
 		return Lost, most
 	}
 	if v.heard < v.Voters {
-		return Open, ID{}
+		return Pending, ID{}
 	}
 	if len(v.denied) > 0 {
 		return Split, most
 	}
-	return Open, ID{} // too few answered: whoever waits gives up by time
+	return Pending, ID{} // too few answered: whoever waits gives up by time
 }
--- a/internal/idempotency/explore_test.go
+++ b/internal/idempotency/modelcheck_test.go
@@ -94,8 +94,8 @@
 func name(id uint8) ID { return ID{Life: 1, N: uint64(id)} }
 
 // ledger is the real one, of a holder.
-func ledger(held uint8) *Ledger {
-	l := NewLedger(time.Hour)
+func ledger(held uint8) *ClaimTable {
+	l := NewClaimTable(time.Hour)
 	switch held {
 	case none:
 	case nobody:
@@ -106,7 +106,7 @@
 	return l
 }
 
-func holder(l *Ledger) (held uint8) {
+func holder(l *ClaimTable) (held uint8) {
 	l.All(func(_ string, id ID) {
 		if held = uint8(id.N); id.IsZero() {
 			held = nobody
@@ -265,11 +265,11 @@
 
 // wins reports whether some of what was told makes a majority, with one answer of each member at the most.
 func (r rules) wins(told [members]uint32, heard []consensus.Vouch) bool {
-	v := Vote{Voters: members}
+	v := GrantCounter{Voters: members}
 	for _, h := range heard {
-		v.Add(Grant{Vouch: h, Given: true})
+		v.Add(Grant{Vouch: h, Granted: true})
 	}
-	if verdict, _ := v.Verdict(); verdict == Won || r.unsound && len(heard) >= consensus.Majority(members) {
+	if verdict, _ := v.Result(); verdict == Won || r.unsound && len(heard) >= consensus.Majority(members) {
 		return true
 	}
 	from := 0
@@ -388,7 +388,7 @@
 		return
 	}
 	for _, first := range []int{0, members - 1} { // whoever is heard first
-		l := NewLedger(time.Hour)
+		l := NewClaimTable(time.Hour)
 		incs := [members]uint8{}
 		incs[i] = m.inc
 		for k := range members {
--- a/internal/links/links.go
+++ b/internal/links/pool.go
@@ -54,17 +54,17 @@
 // its own Close would leave it in the pool's count.
 type Conn struct {
 	net.Conn
-	Last   string // of its users, to know the last request on it by; the pool does not look at it
-	group  *group
-	since  time.Time     // idle from then on
-	rest   time.Duration // that it may be idle for
-	closed bool          // guarded by Pool.mu
-	keep   func() bool   // ends what CloseOn began, and reports whether it is still open; nil: nothing was begun
+	LastUser string // of its users, to know the last request on it by; the pool does not look at it
+	group    *group
+	since    time.Time     // idle from then on
+	rest     time.Duration // that it may be idle for
+	closed   bool          // guarded by Pool.mu
+	keep     func() bool   // ends what CloseOn began, and reports whether it is still open; nil: nothing was begun
 }
 
-// CloseOn has the end of ctx close the connection until it is given back: whoever reads or writes there fails. One that was closed
+// CloseOnDone has the end of ctx close the connection until it is given back: whoever reads or writes there fails. One that was closed
 // so is not taken up again. It is called once at the most each time that the connection is taken or dialled.
-func (c *Conn) CloseOn(ctx context.Context) {
+func (c *Conn) CloseOnDone(ctx context.Context) {
 	c.keep = context.AfterFunc(ctx, func() { c.Conn.Close() })
 }
 
@@ -78,8 +78,8 @@
 // Key is the key that it was dialled for.
 func (c *Conn) Key() string { return c.group.key }
 
-// Since is when it was given back last; zero: it is freshly dialled.
-func (c *Conn) Since() time.Time { return c.since }
+// IdleSince is when it was given back last; zero: it is freshly dialled.
+func (c *Conn) IdleSince() time.Time { return c.since }
 
 // New returns an empty pool. A connection that has been idle for maxIdle is closed; a dial takes connectTimeout at the most; and
 // limit connections are open at the most, 0: no limit.
@@ -95,8 +95,8 @@
 	return time.Now()
 }
 
-// Take gives the most recently used idle connection by a key that is good; nil: there is none.
-func (p *Pool) Take(key string) *Conn {
+// Get gives the most recently used idle connection by a key that is good; nil: there is none.
+func (p *Pool) Get(key string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for g := p.groups[key]; g != nil && len(g.idle) > 0; {
@@ -164,8 +164,8 @@
 	return failed
 }
 
-// Retune sets how long connections may rest, and dials may take, from now on.
-func (p *Pool) Retune(maxIdle, connectTimeout time.Duration) {
+// SetTimeouts sets how long connections may rest, and dials may take, from now on.
+func (p *Pool) SetTimeouts(maxIdle, connectTimeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxIdle, p.dialer.Timeout = maxIdle, connectTimeout
@@ -262,39 +262,39 @@
 	p.drop(c)
 }
 
-// Lend takes a connection off the count while its answer goes on to a client who may take his time; Settle ends that. Guards
+// BeginStreaming takes a connection off the count while its answer goes on to a client who may take his time; Settle ends that. Guards
 // against slow readers that hold all connections to backends: short requests found none.
-func (p *Pool) Lend() {
+func (p *Pool) BeginStreaming() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 	p.lent++
 }
 
-// Settle puts a connection that was lent back on the count.
-func (p *Pool) Settle() {
+// EndStreaming puts a connection that was lent back on the count.
+func (p *Pool) EndStreaming() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open++
 	p.lent--
 }
 
-// Open is how many connections are open or being dialled, without those that are lent.
-func (p *Pool) Open() int {
+// OpenCount is how many connections are open or being dialled, without those that are lent.
+func (p *Pool) OpenCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// Lent is how many are lent.
-func (p *Pool) Lent() int {
+// Streaming is how many are lent.
+func (p *Pool) Streaming() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lent
 }
 
-// Idle is how many connections by a key are idle.
-func (p *Pool) Idle(key string) int {
+// IdleCount is how many connections by a key are idle.
+func (p *Pool) IdleCount(key string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if g := p.groups[key]; g != nil {
@@ -341,8 +341,8 @@
 	p.dropIdle(p.groups[key], p.now())
 }
 
-// CloseIdleSince closes those that have been idle since then or longer.
-func (p *Pool) CloseIdleSince(key string, then time.Time) {
+// CloseIdleBefore closes those that have been idle since then or longer.
+func (p *Pool) CloseIdleBefore(key string, then time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dropIdle(p.groups[key], then)
--- a/internal/links/links_test.go
+++ b/internal/links/pool_test.go
@@ -59,18 +59,18 @@
 	addr, ended := listen(t)
 	p := New(time.Minute, long, 0)
 	c := dial(t, p, "s0", addr)
-	if !c.Since().IsZero() || c.Key() != "s0" {
-		t.Errorf("a fresh connection by %q rests since %v", c.Key(), c.Since())
+	if !c.IdleSince().IsZero() || c.Key() != "s0" {
+		t.Errorf("a fresh connection by %q rests since %v", c.Key(), c.IdleSince())
 	}
 	p.Release(c)
-	if p.Idle("s0") != 1 || p.Idle("s1") != 0 || p.Open() != 1 {
-		t.Errorf("%d idle, %d open", p.Idle("s0"), p.Open())
+	if p.IdleCount("s0") != 1 || p.IdleCount("s1") != 0 || p.OpenCount() != 1 {
+		t.Errorf("%d idle, %d open", p.IdleCount("s0"), p.OpenCount())
 	}
 	p.Retire("s0")
 	p.Retire("s1")
 	wait(t, ended)
-	if n := len(p.groups); n != 0 || p.Open() != 0 || p.Idle("s0") != 0 {
-		t.Errorf("%d groups and %d connections are left", n, p.Open())
+	if n := len(p.groups); n != 0 || p.OpenCount() != 0 || p.IdleCount("s0") != 0 {
+		t.Errorf("%d groups and %d connections are left", n, p.OpenCount())
 	}
 }
 
@@ -96,15 +96,15 @@
 			c := dial(t, p, "s0", addr)
 			p.ReleaseFor(c, tt.rest)
 			now = now.Add(tt.slept)
-			if got := p.Take("s0"); (got == c) != tt.good || (got == nil) == tt.good {
+			if got := p.Get("s0"); (got == c) != tt.good || (got == nil) == tt.good {
 				t.Errorf("taken: %v", got)
 			}
 			if tt.good {
 				p.Close(c)
 			}
 			wait(t, ended)
-			if p.Open() != 0 {
-				t.Errorf("%d connections are open", p.Open())
+			if p.OpenCount() != 0 {
+				t.Errorf("%d connections are open", p.OpenCount())
 			}
 		})
 	}
@@ -117,14 +117,14 @@
 	p := New(time.Hour, long, 0)
 	a, b, c := dial(t, p, "s0", addr), dial(t, p, "s0", addr), dial(t, p, "s0", addr)
 	p.ReleaseFor(c, time.Minute)
-	if p.Take("s0") != c {
+	if p.Get("s0") != c {
 		t.Fatal("not taken")
 	}
 	p.Release(c)
 	p.Release(a)
 	p.ReleaseFor(b, time.Millisecond)
 	wait(t, ended)
-	if n := p.Idle("s0"); n != 2 {
+	if n := p.IdleCount("s0"); n != 2 {
 		t.Errorf("%d are idle, want 2", n)
 	}
 	p.mu.Lock()
@@ -133,8 +133,8 @@
 	}
 	p.mu.Unlock()
 	p.CloseIdle("s0")
-	if p.Open() != 0 {
-		t.Errorf("%d connections are open", p.Open())
+	if p.OpenCount() != 0 {
+		t.Errorf("%d connections are open", p.OpenCount())
 	}
 }
 
@@ -147,7 +147,7 @@
 	p.Close(dial(t, p, "s0", addr))
 	wait(t, ended)
 	no = errors.New("no")
-	if _, err := p.Dial(context.Background(), "s0", addr, time.Now().Add(long)); !errors.Is(err, no) || seen != 2 || p.Open() != 0 {
-		t.Errorf("%v, %d seen, %d open", err, seen, p.Open())
+	if _, err := p.Dial(context.Background(), "s0", addr, time.Now().Add(long)); !errors.Is(err, no) || seen != 2 || p.OpenCount() != 0 {
+		t.Errorf("%v, %d seen, %d open", err, seen, p.OpenCount())
 	}
 }
--- a/internal/loadline/loadline.go
+++ b/internal/loadline/loadline.go
@@ -292,7 +292,7 @@
 func (x *run) entries() error {
 	c := rpc.NewClient(nil, x.harbours[0].addr)
 	defer c.Close()
-	var all []backends.Berth
+	var all []backends.Backend
 	for i := range x.o.Entries {
 		n := x.o.Agents + x.o.Tugs + i
 		all = append(all, entry(x.l, n, 1, 1))
@@ -308,8 +308,8 @@
 }
 
 // entry is what agent i tells of itself and of its backend.
-func entry(l Layout, i int, version, life uint64) backends.Berth {
-	return backends.Berth{Node: l.Node(i), Addr: l.Addr(i, free+messages.GatePort), Zone: l.Zone(i), Version: version, Life: life,
+func entry(l Layout, i int, version, life uint64) backends.Backend {
+	return backends.Backend{Node: l.Node(i), Addr: l.Addr(i, free+messages.GatePort), Zone: l.Zone(i), Version: version, Life: life,
 		Instance: fmt.Sprintf("i-%d-%06x", i, life&0xffffff), Service: l.Service(i), Release: "v1", Capacity: 8, State: backends.Serving}
 }
 
--- a/internal/messages/codebook.go
+++ b/internal/messages/codebook.go
@@ -270,14 +270,14 @@
 
 // PullCall asks a harbourmaster for news, and tells it what the caller is the source of.
 type PullCall struct {
-	Self   *backends.Berth      `cbor:"1,keyasint,omitempty"` // of a tug
+	Self   *backends.Backend    `cbor:"1,keyasint,omitempty"` // of a tug
 	Master *Master              `cbor:"2,keyasint,omitempty"` // of a harbourmaster
 	Life   uint64               `cbor:"3,keyasint"`           // the harbourmaster's life that At is of; 0: none
 	At     uint64               `cbor:"4,keyasint"`           // its last change that the caller has
 	Have   configuration.Ballot `cbor:"5,keyasint"`           // of the configuration
 	Epoch  uint64               `cbor:"6,keyasint"`           // of the roll
 	HoldMs uint32               `cbor:"8,keyasint"`
-	Others []backends.Berth     `cbor:"9,keyasint,omitempty"` // of tugs that reach no harbourmaster and told this one
+	Others []backends.Backend   `cbor:"9,keyasint,omitempty"` // of tugs that reach no harbourmaster and told this one
 	Sum    uint64               `cbor:"10,keyasint"`          // of the list of harbourmasters that the answerer told last
 
 	Cursor *Cursor `cbor:"11,keyasint,omitempty"` // goes on with items that this life told in part
@@ -309,7 +309,7 @@
 type News struct {
 	Life    uint64               `cbor:"1,keyasint"`
 	At      uint64               `cbor:"2,keyasint"` // the last change of this life that the entries bring; the next part goes on from there
-	Berths  []backends.Berth     `cbor:"3,keyasint"` // in the order of changes; each may be used as it comes
+	Berths  []backends.Backend   `cbor:"3,keyasint"` // in the order of changes; each may be used as it comes
 	Chosen  configuration.Ballot `cbor:"4,keyasint"` // that the items make whole; zero amid parts
 	Items   []configuration.Item `cbor:"5,keyasint"`
 	Roll    *Roll                `cbor:"6,keyasint,omitempty"`
@@ -342,10 +342,10 @@
 	if m.Have.Less(chosen) {
 		room /= 2
 	}
-	n.Berths, n.At, n.More = table.Part(at, room)
+	n.Berths, n.At, n.More = table.Page(at, room)
 	room = PartBytes
 	for _, b := range n.Berths {
-		room -= b.Size()
+		room -= b.MaxEncodedSize()
 	}
 	n.tellItems(m, chosen, stands, bare, room)
 }
--- a/internal/proxy/parts_test.go
+++ b/internal/proxy/partialnews_test.go
@@ -38,25 +38,25 @@
 			chosen = append(chosen, chosen[n-1].With(is...))
 		}
 		change(12)
-		knows := []int{1, 1}           // what two harbourmasters heard of last, at places 1 and 2
-		lives := []uint64{0, 1, 2, 3}  // by place
-		proxy, own := begun(), begun() // a source at place 3 that keeps no tombstones; the one that is looked at
+		knows := []int{1, 1}                           // what two harbourmasters heard of last, at places 1 and 2
+		lives := []uint64{0, 1, 2, 3}                  // by place
+		proxy, own := newProxyState(), newProxyState() // a source at place 3 that keeps no tombstones; the one that is looked at
 		tables := []*backends.Table{nil, backends.New(), backends.New(), proxy.table}
 		versions := uint64(0)
 		moor := func() {
 			versions++
-			tables[1].Join(backends.Berth{Node: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "node")), Addr: "a", Version: versions, Release: release})
+			tables[1].Merge(backends.Backend{Node: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "node")), Addr: "a", Version: versions, Release: release})
 		}
 		for range 8 {
 			moor()
 		}
-		call := func(at uint64, to *proxied) { // of one message
+		call := func(at uint64, to *proxyState) { // of one message
 			n := messages.News{Life: lives[at]}
 			var m messages.PullCall
-			m.Have = to.have
-			to.got.goOn(&m)
+			m.Have = to.chosen
+			to.news.continueCall(&m)
 			if at == 3 {
-				n.Tell(m, proxy.table, proxy.have, proxy.stands, proxy.bare)
+				n.Tell(m, proxy.table, proxy.chosen, proxy.items, proxy.prunedBallot)
 			} else {
 				k := knows[at-1]
 				n.Tell(m, tables[at], b(k), chosen[k], configuration.Ballot{})
@@ -67,30 +67,30 @@
 			}
 			for _, x := range n.Berths {
 				size += len(x.Release)
-				to.table.Join(x)
+				to.table.Merge(x)
 			}
 			if size > messages.PartBytes {
 				t.Fatalf("a message of %d bytes", size)
 			}
-			to.got.add(&n)
-			to.sources.keep(fmt.Sprint(at), &to.got)
+			to.news.add(&n)
+			to.sources.store(fmt.Sprint(at), &to.news)
 			for _, x := range tables[at].All() {
 				if have, _ := to.table.Get(x.Node); !n.More && have.Version < x.Version {
 					t.Fatalf("no more entries, and %s is %d, not %d", x.Node, have.Version, x.Version)
 				}
 			}
-			if to.have.Less(n.Chosen) {
-				to.have = n.Chosen
-				to.stands, to.bare = inForce(to.stands, to.bare, n)
+			if to.chosen.Less(n.Chosen) {
+				to.chosen = n.Chosen
+				to.items, to.prunedBallot = applyItems(to.items, to.prunedBallot, n)
 			}
 			var want []configuration.Item
-			for i := range chosen[to.have.N].All() {
+			for i := range chosen[to.chosen.N].All() {
 				if !i.Dropped {
 					want = append(want, i)
 				}
 			}
-			if have := slices.Collect(to.stands.All()); !reflect.DeepEqual(have, want) {
-				t.Fatalf("ballot %d: %v, and %v were chosen", to.have.N, brief(have), brief(want))
+			if have := slices.Collect(to.items.All()); !reflect.DeepEqual(have, want) {
+				t.Fatalf("ballot %d: %v, and %v were chosen", to.chosen.N, itemNames(have), itemNames(want))
 			}
 		}
 		at := uint64(1)
@@ -99,7 +99,7 @@
 				call(1, &own)
 			}
 		} else if rapid.Bool().Draw(t, "the proxy begun") {
-			for at = 3; proxy.have.IsZero(); {
+			for at = 3; proxy.chosen.IsZero(); {
 				call(1, &proxy)
 			}
 		}
@@ -117,16 +117,16 @@
 				}
 			case 3:
 				if at = rapid.Uint64Range(1, 3).Draw(t, "goes to"); rapid.Bool().Draw(t, "anew") {
-					own.got = own.sources[fmt.Sprint(at)] // another connection; without it, the source is another life at the same address
+					own.news = own.sources[fmt.Sprint(at)] // another connection; without it, the source is another life at the same address
 				}
 			case 7:
 				for range rapid.IntRange(1, 5).Draw(t, "entries") {
 					moor()
 				}
 			case 8: // another harbourmaster hears of some of them
-				entries, _, _ := tables[1].Part(0, rapid.IntRange(1, messages.PartBytes).Draw(t, "bytes"))
+				entries, _, _ := tables[1].Page(0, rapid.IntRange(1, messages.PartBytes).Draw(t, "bytes"))
 				for _, x := range entries {
-					tables[2].Join(x)
+					tables[2].Merge(x)
 				}
 			case 9: // a harbourmaster begins anew, and hears of the other's table first
 				s := rapid.IntRange(1, 2).Draw(t, "anew")
@@ -134,7 +134,7 @@
 				all := tables[3-s].All()
 				tables[s] = backends.New()
 				for _, x := range all {
-					tables[s].Join(x)
+					tables[s].Merge(x)
 				}
 			default:
 				for range rapid.IntRange(1, 3).Draw(t, "calls") {
@@ -145,8 +145,8 @@
 		for range 20 { // in calm times it comes to its end
 			call(at, &own)
 		}
-		if last := []configuration.Ballot{b(knows[0]), b(knows[1]), proxy.have}[at-1]; own.have.Less(last) || own.got.cursor != nil || own.got.more {
-			t.Fatalf("ballot %d of %d, or still in parts", own.have.N, last.N)
+		if last := []configuration.Ballot{b(knows[0]), b(knows[1]), proxy.chosen}[at-1]; own.chosen.Less(last) || own.news.cursor != nil || own.news.moreEntries {
+			t.Fatalf("ballot %d of %d, or still in parts", own.chosen.N, last.N)
 		}
 	}
 	for range 4 { // some wrong programs show in one history of several hundred
@@ -154,23 +154,23 @@
 	}
 }
 
-// brief names items by key and ballot.
-func brief(items []configuration.Item) (out []string) {
+// itemNames names items by key and ballot.
+func itemNames(items []configuration.Item) (out []string) {
 	for _, i := range items {
 		out = append(out, fmt.Sprint(i.Key.Name, "@", i.Ballot.N))
 	}
 	return out
 }
 
-// proxied is what a proxy holds.
-type proxied struct {
-	have, bare configuration.Ballot
-	stands     configuration.Set
-	got        parts
-	table      *backends.Table
-	sources    sources
+// proxyState is what a proxy holds.
+type proxyState struct {
+	chosen, prunedBallot configuration.Ballot
+	items                configuration.Set
+	news                 partialNews
+	table                *backends.Table
+	sources              sources
 }
 
-func begun() proxied {
-	return proxied{stands: configuration.Set{}.Charted(), table: backends.New(), sources: sources{}}
+func newProxyState() proxyState {
+	return proxyState{items: configuration.Set{}.Charted(), table: backends.New(), sources: sources{}}
 }
--- a/internal/proxy/age_test.go
+++ b/internal/proxy/proxy_test.go
@@ -20,7 +20,7 @@
 			sent := time.Now()
 			time.Sleep(c.took)
 			n := messages.News{FreshMs: c.fresh, HeldMs: c.held}
-			if age(&n, sent); n.FreshMs != c.want {
+			if addTransitTime(&n, sent); n.FreshMs != c.want {
 				t.Errorf("%+v: %d", c, n.FreshMs)
 			}
 		}
@@ -31,10 +31,10 @@
 func TestListed(t *testing.T) {
 	a, b, moved := messages.Master{Name: "a", Addr: "1"}, messages.Master{Name: "b", Addr: "2"}, messages.Master{Name: "a", Addr: "3"}
 	known, told := []messages.Master{a, b}, []messages.Master{moved}
-	if got := listed(known, told, true); !slices.Equal(got, []messages.Master{moved, b}) {
+	if got := mergeRegistries(known, told, true); !slices.Equal(got, []messages.Master{moved, b}) {
 		t.Error("stale:", got)
 	}
-	if got := listed(known, told, false); !slices.Equal(got, told) {
+	if got := mergeRegistries(known, told, false); !slices.Equal(got, told) {
 		t.Error("fresh:", got)
 	}
 }
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -8,36 +8,36 @@
 	"saltmast/internal/rpc"
 )
 
-// pulled is the last news taken of a harbourmaster.
-type pulled struct {
+// lastPull is the last news taken of a harbourmaster.
+type lastPull struct {
 	addr    string
 	at      time.Time
 	freshMs uint32
 }
 
 // report tells what is known here to whoever asks at the gate.
-func (t *Tug) report(raw []byte) ([]byte, error) {
+func (t *Proxy) report(raw []byte) ([]byte, error) {
 	var call messages.ReportCall
 	if len(raw) > 0 {
 		if err := rpc.Decode(raw, &call); err != nil {
 			return nil, err
 		}
 	}
-	s, roll := t.s.Load(), t.council.Roll()
+	s, roll := t.settings.Load(), t.council.Roll()
 	r := messages.Reported{Program: messages.TheTug, Version: process.Version, Node: s.NodeName, Zone: s.Zone, Addr: s.Port(messages.GatePort),
-		Life: t.life, UpMs: uint64(t.way.Up().Milliseconds()), Epoch: roll.Epoch, Voters: roll.Voters, Counts: t.Counts()}
+		Life: t.life, UpMs: uint64(t.dataPlane.Up().Milliseconds()), Epoch: roll.Epoch, Voters: roll.Voters, Counts: t.Counts()}
 	own := &messages.TugReport{Ready: t.ready() == nil, Stopping: t.stopping.Load(), FromMs: messages.Never, FreshMs: messages.Never}
-	if p := t.from.Load(); p != nil {
+	if p := t.lastPull.Load(); p != nil {
 		own.From, own.FreshMs = p.addr, p.freshMs
 		own.FromMs = uint32(min(time.Since(p.at).Milliseconds(), messages.Never))
 	}
 	t.mu.Lock()
 	r.Chosen = t.chosen
-	items := messages.ItemReports(t.stands)
+	items := messages.ItemReports(t.items)
 	t.mu.Unlock()
 	r.SetItems(items)
 	r.Tug = own
 	r.Traffic = rpc.Totals()
-	t.way.Tell(&r, own, call.Brief)
+	t.dataPlane.Tell(&r, own, call.Brief)
 	return rpc.Encode(r), nil
 }
--- a/internal/reconfig/explore_test.go
+++ b/internal/reconfig/explore_test.go
@@ -271,8 +271,8 @@
 	})
 }
 
-func ledger(held uint8) *idempotency.Ledger {
-	l := idempotency.NewLedger(time.Hour)
+func ledger(held uint8) *idempotency.ClaimTable {
+	l := idempotency.NewClaimTable(time.Hour)
 	if held > 0 {
 		l.Restore(0, "k", name(held))
 	}
@@ -286,7 +286,7 @@
 	return idempotency.ID{Life: 1, N: uint64(held)}
 }
 
-func holder(l *idempotency.Ledger) (held uint8) {
+func holder(l *idempotency.ClaimTable) (held uint8) {
 	l.All(func(_ string, id idempotency.ID) {
 		if held = uint8(id.N); id.IsZero() {
 			held = nobody
--- a/internal/registry/harbour.go
+++ b/internal/registry/harbour.go
@@ -201,7 +201,7 @@
 type Status struct {
 	Chosen  configuration.Ballot
 	Items   int
-	Berths  []backends.Berth
+	Berths  []backends.Backend
 	Masters []messages.Master
 	Roll    messages.Roll
 	FreshMs uint32
@@ -567,9 +567,9 @@
 	if m.Self != nil {
 		b.h.o.Head.Heard(m.Self.Addr)
 	}
-	news := m.Self != nil && b.berths.Join(*m.Self)
+	news := m.Self != nil && b.berths.Merge(*m.Self)
 	for _, x := range m.Others {
-		news = b.berths.Join(x) || news
+		news = b.berths.Merge(x) || news
 	}
 	if news {
 		b.wake()
@@ -590,7 +590,7 @@
 }
 
 func (b *books) hasNews(p *puller) bool {
-	return p.m.Life != b.h.o.Life || p.m.At != b.berths.At() || p.m.Have.Less(b.chosen) ||
+	return p.m.Life != b.h.o.Life || p.m.At != b.berths.Revision() || p.m.Have.Less(b.chosen) ||
 		p.m.Epoch < b.h.council.Roll().Epoch || p.m.Sum != b.sum || p.waits && b.full
 }
 
@@ -657,7 +657,7 @@
 
 // print is the answer to a call that was held. Its times are bounds: it may be older than it is by an editionTime, and held for less.
 func (b *books) print(m messages.PullCall, held time.Duration) printed {
-	now, of := time.Now(), lack{at: b.berths.At(), have: b.chosen, epoch: b.h.council.Roll().Epoch, sum: b.sum, full: b.full}
+	now, of := time.Now(), lack{at: b.berths.Revision(), have: b.chosen, epoch: b.h.council.Roll().Epoch, sum: b.sum, full: b.full}
 	if e := &b.edition; e.of != of || now.Sub(e.at) >= editionTime || e.bytes > editionBytes {
 		*e = edition{at: now, of: of, answers: map[lack]printed{}}
 	}
@@ -816,14 +816,14 @@
 // knows nothing of who is gone.
 func (b *books) sweep(now time.Time, since time.Duration, seeds []string) {
 	head := b.h.o.Head
-	if b.berths.Lacks(head.Alive(messages.RoleTug)) {
+	if b.berths.HasDropped(head.Alive(messages.RoleTug)) {
 		b.anew++
 	}
 	if head.Alone() || b.fresh() > contactMs {
 		clear(b.lost)
 		return
 	}
-	if gone := b.berths.Sweep(since, transport.GoneAfter, func(x backends.Berth) bool { return head.Lives(x.Addr) }); len(gone) > 0 {
+	if gone := b.berths.Sweep(since, transport.GoneAfter, func(x backends.Backend) bool { return head.Lives(x.Addr) }); len(gone) > 0 {
 		b.h.o.Log("gone", strings.Join(gone, " "))
 	}
 	listed := false
@@ -920,7 +920,7 @@
 		h.own.Ask(func(b *books) {
 			changed := false
 			for _, x := range n.Berths {
-				changed = b.berths.Join(x) || changed
+				changed = b.berths.Merge(x) || changed
 			}
 			for _, m := range n.Masters {
 				b.hearsay(m)
--- a/internal/registry/harbour_test.go
+++ b/internal/registry/harbour_test.go
@@ -35,7 +35,7 @@
 		t.Error("news for one who knows more")
 	}
 	h.council.Take(messages.Roll{Epoch: 2})
-	b.berths.Join(backends.Berth{Node: "n", Version: 1})
+	b.berths.Merge(backends.Backend{Node: "n", Version: 1})
 	b.whole(configuration.Ballot{N: 1}, configuration.Set{})
 	b.enter(messages.Master{Name: "m"})
 	all := messages.PullCall{At: 1, Epoch: 2, Sum: b.news(messages.PullCall{}).Sum, Have: configuration.Ballot{N: 1}}
--- a/internal/registry/report.go
+++ b/internal/registry/report.go
@@ -68,7 +68,7 @@
 	return l != nil && l.Holds(time.Since(b.begun))
 }
 
-func reports(all []backends.Berth) []messages.BerthReport {
+func reports(all []backends.Backend) []messages.BerthReport {
 	out := make([]messages.BerthReport, len(all))
 	for i, b := range all {
 		out[i] = messages.Reports(b)
--- a/internal/registry/wake_test.go
+++ b/internal/registry/wake_test.go
@@ -16,11 +16,11 @@
 func waiting(t testing.TB, n int, answered *atomic.Int64) (*Harbour, *books) {
 	h, b := ashore(t)
 	for i := range n {
-		b.berths.Join(backends.Berth{Node: fmt.Sprint("n", i), Addr: "10.0.0.1:7", Version: 1})
+		b.berths.Merge(backends.Backend{Node: fmt.Sprint("n", i), Addr: "10.0.0.1:7", Version: 1})
 	}
 	for range n {
 		c := rpc.Local(messages.Pull, nil, func([]byte, error) { answered.Add(1) })
-		b.pull(c, messages.PullCall{Life: 1, At: b.berths.At(), Sum: b.sum, Have: configuration.Ballot{N: 1}, HoldMs: 5000})
+		b.pull(c, messages.PullCall{Life: 1, At: b.berths.Revision(), Sum: b.sum, Have: configuration.Ballot{N: 1}, HoldMs: 5000})
 	}
 	return h, b
 }
@@ -35,7 +35,7 @@
 	queued := make(chan struct{})
 	h.own.Send(func(b *books) {
 		<-queued
-		b.berths.Join(backends.Berth{Node: "n1", Addr: "10.0.0.1:7", Version: 2})
+		b.berths.Merge(backends.Backend{Node: "n1", Addr: "10.0.0.1:7", Version: 2})
 		b.wake()
 		b.wake()
 	})
@@ -67,7 +67,7 @@
 				h.own = rpc.Own(x, 1024)
 				b.StartTimer()
 				h.own.Send(func(x *books) {
-					x.berths.Join(backends.Berth{Node: "n1", Addr: "10.0.0.1:7", Version: 2})
+					x.berths.Merge(backends.Backend{Node: "n1", Addr: "10.0.0.1:7", Version: 2})
 					x.wake()
 				})
 				for answered.Load() < int64(n) {
--- a/internal/retrybudget/ration.go
+++ b/internal/retrybudget/budget.go
@@ -5,8 +5,8 @@
 
 import "time"
 
-// Ration counts for one service. The zero value of Machines counts as one.
-type Ration struct {
+// Budget counts for one service. The zero value of Machines counts as one.
+type Budget struct {
 	Window    time.Duration
 	Ratio     float64 // further arrivals for each request, over all machines
 	Allowance float64 // further arrivals free of the ratio in each window, over all machines
@@ -52,22 +52,22 @@
 	return t
 }
 
-func (r *Ration) slice(now time.Duration) int64 { return int64(now / (r.Window / n)) }
+func (r *Budget) slice(now time.Duration) int64 { return int64(now / (r.Window / n)) }
 
-// First counts a request.
-func (r *Ration) First(now time.Duration) { r.firsts.add(r.slice(now), 1) }
+// AddRequest counts a request.
+func (r *Budget) AddRequest(now time.Duration) { r.firsts.add(r.slice(now), 1) }
 
-// Further asks for one arrival beyond the first, and takes it if it may be.
-func (r *Ration) Further(now time.Duration) bool {
-	if r.Left(now) < 1 {
+// TryRetry asks for one arrival beyond the first, and takes it if it may be.
+func (r *Budget) TryRetry(now time.Duration) bool {
+	if r.Remaining(now) < 1 {
 		return false
 	}
 	r.further.add(r.slice(now), 1)
 	return true
 }
 
-// Left is how many more there may be now.
-func (r *Ration) Left(now time.Duration) float64 {
+// Remaining is how many more there may be now.
+func (r *Budget) Remaining(now time.Duration) float64 {
 	slice := r.slice(now)
 	return part*(r.Ratio*r.firsts.sum(slice)+r.Allowance/float64(max(1, r.Machines))) - r.further.sum(slice)
 }
--- a/internal/retrybudget/ration_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -15,9 +15,9 @@
 		machines := rapid.IntRange(1, 6).Draw(t, "machines")
 		ratio := rapid.Float64Range(0, 0.5).Draw(t, "ratio")
 		allowance := float64(rapid.IntRange(0, 60).Draw(t, "allowance"))
-		rs := make([]*Ration, machines)
+		rs := make([]*Budget, machines)
 		for i := range rs {
-			rs[i] = &Ration{Window: window, Ratio: ratio, Allowance: allowance, Machines: machines}
+			rs[i] = &Budget{Window: window, Ratio: ratio, Allowance: allowance, Machines: machines}
 		}
 		type event struct {
 			at      time.Duration
@@ -29,12 +29,12 @@
 			now += time.Duration(rapid.SampledFrom([]int{0, 1, 100, 900, 5000, 40000}).Draw(t, "ms")) * time.Millisecond
 			r := rs[rapid.IntRange(0, machines-1).Draw(t, "machine")]
 			for range rapid.IntRange(0, 20).Draw(t, "requests") {
-				r.First(now)
+				r.AddRequest(now)
 				all = append(all, event{now, false})
 			}
 			for range rapid.IntRange(0, 12).Draw(t, "tries") {
-				left := r.Left(now)
-				ok := r.Further(now)
+				left := r.Remaining(now)
+				ok := r.TryRetry(now)
 				if ok != (left >= 1) {
 					t.Fatalf("%v left, and one more: %v", left, ok)
 				}
@@ -67,16 +67,16 @@
 // with both services at their bound, and over half of the requests of the second made by the first's runs, the second stays within its own.
 func TestCallsOfRepeatedRunsAreBorne(t *testing.T) {
 	const ratio, allowance, requests, called, others = 0.2, 162, 780, 0.7, 443
-	first := &Ration{Window: 10 * time.Second, Ratio: ratio, Allowance: allowance}
-	second := &Ration{Window: 10 * time.Second, Ratio: ratio, Allowance: allowance}
+	first := &Budget{Window: 10 * time.Second, Ratio: ratio, Allowance: allowance}
+	second := &Budget{Window: 10 * time.Second, Ratio: ratio, Allowance: allowance}
 	all, repeats := 0.0, 0.0
 	for tick := range 4000 { // two windows of 200 ticks a second, the second of which is counted
 		now := time.Duration(tick) * 5 * time.Millisecond
-		count := func(r *Ration, perSecond float64, f func(again bool)) {
+		count := func(r *Budget, perSecond float64, f func(again bool)) {
 			for range int(perSecond*float64(tick+1)/200) - int(perSecond*float64(tick)/200) {
-				r.First(now)
+				r.AddRequest(now)
 				f(false)
-				for r.Further(now) { // all that may be
+				for r.TryRetry(now) { // all that may be
 					f(true)
 				}
 			}
@@ -91,14 +91,14 @@
 		})
 		at := func(n float64, repeated bool) {
 			for range int(n + float64(tick%10)/10) {
-				second.First(now)
+				second.AddRequest(now)
 				if tick >= 2000 {
 					all++
 					if repeated {
 						repeats++
 					}
 				}
-				for second.Further(now) {
+				for second.TryRetry(now) {
 					if tick >= 2000 {
 						repeats++
 					}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -152,7 +152,7 @@
 	ill     atomic.Pointer[ailment]
 	gone    bool // its backend did, for good: of storms
 	proc    *network.Process
-	tug     *proxy.Tug
+	tug     *proxy.Proxy
 
 	mu      sync.Mutex
 	people  *network.Process // clients and platform: they end with the machine's power alone
--- a/internal/store/purser.go
+++ b/internal/store/purser.go
@@ -100,7 +100,7 @@
 	state     State
 	disk      disk // nil: there is none
 	acc       *consensus.Acceptor
-	ledger    *idempotency.Ledger
+	ledger    *idempotency.ClaimTable
 	duties    *lease.Ledger
 	roll      messages.Roll
 	me        int      // place in the roll; -1: none
@@ -238,7 +238,7 @@
 
 // clear forgets what is kept on disk, other than the roll.
 func (b *books) clear() {
-	b.acc, b.ledger, b.bundles = consensus.NewAcceptor(), idempotency.NewLedger(b.p.o.Window), 0
+	b.acc, b.ledger, b.bundles = consensus.NewAcceptor(), idempotency.NewClaimTable(b.p.o.Window), 0
 }
 
 // forget forgets all that a disk told.
@@ -428,14 +428,14 @@
 func putClaim(key string, id idempotency.ID) storage.Put {
 	v := binary.BigEndian.AppendUint64(nil, id.Life)
 	v = binary.BigEndian.AppendUint64(v, id.N)
-	return storage.Put{Table: tableClaims, Key: []byte(key), Value: append(v, id.At...)}
+	return storage.Put{Table: tableClaims, Key: []byte(key), Value: append(v, id.Addr...)}
 }
 
 func readClaim(v []byte) (idempotency.ID, error) {
 	if len(v) < 16 {
 		return idempotency.ID{}, errors.New("a claim of " + strconv.Itoa(len(v)) + " bytes")
 	}
-	return idempotency.ID{Life: binary.BigEndian.Uint64(v), N: binary.BigEndian.Uint64(v[8:]), At: string(v[16:])}, nil
+	return idempotency.ID{Life: binary.BigEndian.Uint64(v), N: binary.BigEndian.Uint64(v[8:]), Addr: string(v[16:])}, nil
 }
 
 func (b *books) read() error {
@@ -907,7 +907,7 @@
 		return errcode.New(errcode.Malformed, "")
 	}
 	holder, granted := b.ledger.Claim(b.now(), m.Key, m.ID)
-	answer := idempotency.Grant{Vouch: b.vouch(), Given: granted, Holder: holder}
+	answer := idempotency.Grant{Vouch: b.vouch(), Granted: granted, Holder: holder}
 	switch {
 	case !granted:
 		b.p.Counts.Denied.Add(1)
--- a/internal/store/purser_test.go
+++ b/internal/store/purser_test.go
@@ -174,7 +174,7 @@
 	return d
 }
 
-func id(n uint64) idempotency.ID { return idempotency.ID{Life: 7, N: n, At: "x:1"} }
+func id(n uint64) idempotency.ID { return idempotency.ID{Life: 7, N: n, Addr: "x:1"} }
 
 // What a disk told before its reading failed counts for nothing: the next one may be empty.
 func TestDiskThatFailsAmidReading(t *testing.T) {
@@ -267,12 +267,12 @@
 	d.paper.sync(storage.ErrDisk)
 	d.paper.sync(nil)
 	d.catchUp()
-	if errcode.Of(first.err) != errcode.DiskOut || !again.grant(t).Given {
+	if errcode.Of(first.err) != errcode.DiskOut || !again.grant(t).Granted {
 		t.Fatalf("the first: %v, again: %v", first.err, again.err)
 	}
 	other := claim(2)
 	d.settle()
-	if g := other.grant(t); g.Given || g.Holder != id(1) {
+	if g := other.grant(t); g.Granted || g.Holder != id(1) {
 		t.Errorf("another was granted the key that is granted already: %+v", g)
 	}
 }
@@ -284,12 +284,12 @@
 		return d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
 	}
 	first, denied := claim(1), claim(2)
-	if denied.grant(t).Given {
+	if denied.grant(t).Granted {
 		t.Fatal("granted twice")
 	}
 	d.paper.sync(storage.ErrFull)
 	d.catchUp()
-	if claim(4).grant(t).Given {
+	if claim(4).grant(t).Granted {
 		t.Error("granted although the first may come again")
 	}
 	d.call(messages.Release, messages.ReleaseCall{Key: "k", ID: id(2)}) // holds nothing
@@ -302,7 +302,7 @@
 	if got, _ := readClaim(d.paper.rows[tableClaims]["k"]); got != id(3) {
 		t.Errorf("%v on disk", got)
 	}
-	if errcode.Of(first.err) != errcode.DiskOut || !third.grant(t).Given {
+	if errcode.Of(first.err) != errcode.DiskOut || !third.grant(t).Granted {
 		t.Errorf("the first: %v, the third: %v", first.err, third.err)
 	}
 }
@@ -362,7 +362,7 @@
 		for n := uint64(1); n <= 3; n++ {
 			r := x.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
 			x.settle()
-			if g := r.grant(t); g.Given || !g.Holder.IsZero() {
+			if g := r.grant(t); g.Granted || !g.Holder.IsZero() {
 				t.Errorf("%d: %+v", n, g)
 			}
 		}
@@ -496,7 +496,7 @@
 		granted := map[string]idempotency.ID{}
 		claim := func(key string, n uint64) {
 			var g idempotency.Grant
-			if call(messages.Claim, messages.ClaimCall{Key: key, ID: id(n), Epoch: 1}, &g) && g.Given {
+			if call(messages.Claim, messages.ClaimCall{Key: key, ID: id(n), Epoch: 1}, &g) && g.Granted {
 				granted[key] = id(n)
 			}
 		}
@@ -537,7 +537,7 @@
 		for key, holder := range granted {
 			r := again.call(messages.Claim, messages.ClaimCall{Key: key, ID: id(9), Epoch: 1})
 			again.settle()
-			if g := r.grant(t); g.Given || g.Holder != holder {
+			if g := r.grant(t); g.Granted || g.Holder != holder {
 				t.Errorf("sync %d: %q was granted to %v: %+v", turn, key, holder, g)
 			}
 		}
@@ -599,7 +599,7 @@
 		switch {
 		case damaged && (d.state != NoRoll || errcode.Of(again.err) != errcode.CoreOut):
 			t.Errorf("%s with a damaged disk, a claim: %v", d.state, again.err)
-		case !damaged && (d.state != Serving || d.ledger.Len() != 1 || !again.grant(t).Given):
+		case !damaged && (d.state != Serving || d.ledger.Len() != 1 || !again.grant(t).Granted):
 			t.Errorf("%s with %d keys", d.state, d.ledger.Len())
 		}
 	}
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -19,7 +19,7 @@
 
 const (
 	// MaxBody is how many bytes an answer may have that is read whole before it goes on.
-	MaxBody  = bodybuffer.Small
+	MaxBody  = bodybuffer.SmallBody
 	maxHead  = 16 << 10 // bytes of an answer's head
 	maxEarly = 8        // 1xx answers ahead of the real one
 	maxWire  = 2 * MaxBody
@@ -144,7 +144,7 @@
 			a.deadline(a.cut) // the real one may take its time
 			continue
 		}
-		length, err := http1.AnswerLength(status, header, bodybuffer.Most)
+		length, err := http1.AnswerLength(status, header, bodybuffer.MaxBody)
 		if err != nil {
 			return a.failed(err), false
 		}
--- a/internal/upstream/pass.go
+++ b/internal/upstream/pass.go
@@ -245,7 +245,7 @@
 			}
 		}
 	}
-	a.left = 2 * bodybuffer.Most // with what frames it
+	a.left = 2 * bodybuffer.MaxBody // with what frames it
 	a.stall, a.cut = passStall, time.Now().Add(time.Hour)
 	a.Conn.SetWriteDeadline(time.Time{})
 	return nil, s, nil
--- a/internal/upstream/thrift_conns_test.go
+++ b/internal/upstream/thrift_conns_test.go
@@ -68,7 +68,7 @@
 					t.Errorf("result %d (%v), want ConnectFailed", res, r.err)
 				}
 				receive(t, held).Close()
-				if n := b.pool.Open(); n != 0 {
+				if n := b.pool.OpenCount(); n != 0 {
 					t.Errorf("%d connections are kept with half a call on them", n)
 				}
 			})
@@ -113,7 +113,7 @@
 					if res, r := b.try(call(), long); res != saltmast.OK {
 						t.Fatalf("result %d (%v)", res, r.err)
 					}
-					c := b.pool.Take("s0")
+					c := b.pool.Get("s0")
 					more <- struct{}{}
 					until(t, "the end or the bytes", func() bool { quiet, _ := sock.Look(c.Conn); return !quiet })
 					b.pool.Release(c)
@@ -201,7 +201,7 @@
 					}
 				})
 				b := newBackends(t, p.Addr())
-				b.pool.Retune(time.Hour, long)
+				b.pool.SetTimeouts(time.Hour, long)
 				now := clock(b, -tt.rest)
 				twoKept(t, b, p, gate, call)
 				now()
@@ -213,7 +213,7 @@
 				if res, _ := b.try(call(), wait); res != tt.want {
 					t.Fatalf("result %d, want %d", res, tt.want)
 				}
-				if n := b.pool.Open(); n != tt.remain {
+				if n := b.pool.OpenCount(); n != tt.remain {
 					t.Errorf("%d connections are left, want %d", n, tt.remain)
 				}
 			})
@@ -254,7 +254,7 @@
 			t.Errorf("result %d, want OK in place of the idle connection", res)
 		}
 		receive(t, p.Closed)
-		c := b.pool.Take("s1")
+		c := b.pool.Get("s1")
 		if res, _ := b.try(call(), long); res != saltmast.ConnectFailed {
 			t.Errorf("result %d, want ConnectFailed at the limit", res)
 		}
--- a/internal/upstream/thrift_test.go
+++ b/internal/upstream/thrift_test.go
@@ -113,7 +113,7 @@
 						t.Error("the answer did not come through")
 					}
 				}
-				if c := b.pool.Take("s0"); (c != nil) != tt.again {
+				if c := b.pool.Get("s0"); (c != nil) != tt.again {
 					t.Errorf("a connection is kept: %v, want %v", c != nil, tt.again)
 				}
 			})
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -46,7 +46,7 @@
 // Retune has the attempts and probes to come made by other settings.
 func (b *Backends) Retune(s *saltmast.Settings) {
 	b.terms.Store(&terms{reports: s.Reports, probing: 2 * s.ConnectTimeout, stall: max(2*s.ConnectTimeout, 100*time.Millisecond)})
-	b.pool.Retune(s.IdleClose*3/4, s.ConnectTimeout)
+	b.pool.SetTimeouts(s.IdleClose*3/4, s.ConnectTimeout)
 }
 
 // Journal is where attempts are recorded.
@@ -91,10 +91,10 @@
 func (b *Backends) SetLimit(connections int) { b.pool.SetLimit(connections) }
 
 // Lent is how many connections bring long answers that go on to clients: they count among the clients' own.
-func (b *Backends) Lent() int { return b.pool.Lent() }
+func (b *Backends) Lent() int { return b.pool.Streaming() }
 
 // Open is how many other connections are open.
-func (b *Backends) Open() int { return b.pool.Open() }
+func (b *Backends) Open() int { return b.pool.OpenCount() }
 
 // CloseIdle closes the idle connections to a backend.
 func (b *Backends) CloseIdle(backend string) { b.pool.CloseIdle(backend) }
@@ -153,7 +153,7 @@
 	if !ok { // it began to drain since it was chosen: there is no connection for this, and another may serve it
 		return nil, saltmast.ConnectFailed, nil
 	}
-	if c := b.pool.Take(backend); c != nil {
+	if c := b.pool.Get(backend); c != nil {
 		return c, 0, nil
 	}
 	c, err := b.pool.Dial(ctx, backend, addr, cut)
@@ -184,8 +184,8 @@
 		}
 	}
 	var idle time.Duration
-	if !c.Since().IsZero() {
-		idle = time.Since(c.Since())
+	if !c.IdleSince().IsZero() {
+		idle = time.Since(c.IdleSince())
 	}
 	var r reply
 	var written, again bool
@@ -203,10 +203,10 @@
 		}
 	}
 	if s := r.stream; s != nil { // its connection is its own until it has gone on
-		b.pool.Lend()
+		b.pool.BeginStreaming()
 		s.free = func(whole bool) {
 			good := s.a.release() && whole && again
-			b.pool.Settle()
+			b.pool.EndStreaming()
 			release(good)
 		}
 	} else {
@@ -226,7 +226,7 @@
 		// It broke at the first request after a rest. Whatever ended it meanwhile, be it a middlebox or a
 		// machine that was away, has ended those that have rested for longer too. One that broke in full
 		// use says nothing of the others: closing them costs a handshake each, which the backend pays.
-		b.pool.CloseIdleSince(c.Key(), c.Since())
+		b.pool.CloseIdleBefore(c.Key(), c.IdleSince())
 	}
 	if errors.Is(r.err, errMalformed) {
 		b.log.Warn("malformed answer", "backend", c.Key(), "why", r.err)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -91,7 +91,7 @@
 		{"length and encoding", open("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), long, saltmast.Errored},
 		{"a negative length", open("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\n"), long, saltmast.Errored},
 		{"no length", open("HTTP/1.1 200 OK\r\n\r\nbody"), long, saltmast.Errored},
-		{"too large a body", open(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bodybuffer.Most+1)), long, saltmast.Errored},
+		{"too large a body", open(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bodybuffer.MaxBody+1)), long, saltmast.Errored},
 		{"no length, closed", func(c net.Conn, r *http.Request, b []byte) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nbody")
 			return false
@@ -155,7 +155,7 @@
 		t.Skip("this system takes connections without end")
 	}
 	b := newBackends(t, addr)
-	b.pool.Retune(time.Minute, 250*time.Millisecond)
+	b.pool.SetTimeouts(time.Minute, 250*time.Millisecond)
 	begun := time.Now()
 	res, _ := b.try(settle(), long)
 	if took := time.Since(begun); res != saltmast.ConnectFailed || took > long/2 {
@@ -210,7 +210,7 @@
 	})
 	b := newBackends(t, p.Addr())
 	b.try(settle(), long)
-	if c := b.pool.Take("s0"); c != nil { // nil: it has been noticed already
+	if c := b.pool.Get("s0"); c != nil { // nil: it has been noticed already
 		until(t, "the end to arrive", func() bool { quiet, _ := sock.Look(c.Conn); return !quiet })
 		b.pool.Release(c)
 	}
@@ -223,12 +223,12 @@
 func TestIdleTimeout(t *testing.T) {
 	p := newPeer(t, echo)
 	b := newBackends(t, p.Addr())
-	b.pool.Retune(10*time.Millisecond, long)
+	b.pool.SetTimeouts(10*time.Millisecond, long)
 	if res, _ := b.try(settle(), long); res != saltmast.OK {
 		t.Fatal("not served")
 	}
 	receive(t, p.Closed)
-	until(t, "the pool to forget it", func() bool { return b.pool.Open() == 0 })
+	until(t, "the pool to forget it", func() bool { return b.pool.OpenCount() == 0 })
 }
 
 // Guards against sends that are under way when the word of a drain, or the request's end, comes.
@@ -291,7 +291,7 @@
 	if res, _ := b.try(settle(), time.Second); res != saltmast.TimedOut {
 		t.Fatalf("result %d, want TimedOut", res)
 	}
-	if n := b.pool.Open(); n != 0 {
+	if n := b.pool.OpenCount(); n != 0 {
 		t.Errorf("%d connections are left to a silent backend", n)
 	}
 }
@@ -316,8 +316,8 @@
 			receive(t, p.Got)
 			tt.event(b)
 			close(gate)
-			if res := receive(t, done); res != saltmast.OK || b.pool.Open() != tt.remain {
-				t.Errorf("result %d, %d connections open, want %d", res, b.pool.Open(), tt.remain)
+			if res := receive(t, done); res != saltmast.OK || b.pool.OpenCount() != tt.remain {
+				t.Errorf("result %d, %d connections open, want %d", res, b.pool.OpenCount(), tt.remain)
 			}
 		})
 	}
@@ -354,7 +354,7 @@
 		t.Errorf("result %d, want OK in place of the idle connection", res)
 	}
 	receive(t, p.Closed)
-	c := b.pool.Take("s1")
+	c := b.pool.Get("s1")
 	if res, _ := b.try(settle(), long); res != saltmast.ConnectFailed {
 		t.Errorf("result %d, want ConnectFailed at the limit", res)
 	}
@@ -383,7 +383,7 @@
 					t.Fatalf("request %d: result %d, body %q", i, res, r.body)
 				}
 				if late {
-					c := b.pool.Take("s0")
+					c := b.pool.Get("s0")
 					more <- struct{}{}
 					until(t, "the extra answer", func() bool { return sock.Pending(c.Conn) })
 					b.pool.Release(c)
@@ -445,7 +445,7 @@
 				}
 			})
 			b := newBackends(t, p.Addr())
-			b.pool.Retune(time.Hour, long)
+			b.pool.SetTimeouts(time.Hour, long)
 			now := clock(b, -tt.rest)
 			done := make(chan saltmast.Result, 2)
 			for range 2 { // two at a time need two connections
@@ -464,7 +464,7 @@
 			if res, _ := b.try(settle(), long); res != saltmast.Reset {
 				t.Fatalf("result %d, want Reset", res)
 			}
-			if n := b.pool.Open(); n != tt.remain {
+			if n := b.pool.OpenCount(); n != tt.remain {
 				t.Errorf("%d connections are left, want %d", n, tt.remain)
 			}
 		})
