--- a/internal/idempotency/cache.go
+++ b/internal/idempotency/cache.go
@@ -2,150 +2,152 @@
 
 import "time"
 
-// State of an operation, as a proxy knows it.
+// State is the state of an operation as one proxy knows it.
 type State uint8
 
-// The states.
+// The states of an operation.
 const (
-	InProgress  State = iota // claimed or being claimed, and not over
-	Done                     // it ran, and its answer is kept
-	Unknown                  // it may have run, and there is no answer
-	NotExecuted              // it surely did not run, and the claim is given back
+	InProgress  State = iota // claimed or being claimed, and not finished
+	Done                     // executed, and its answer is cached
+	Unknown                  // possibly executed, and no answer is available
+	NotExecuted              // certainly not executed, and the claim is released
 )
 
-// Operation is one operation.
+// Operation is one operation and its outcome.
 type Operation[A any] struct {
 	ID      ID
 	State   State
 	Answer  A
-	AskAddr string // who may know more of it: host:port
+	AskAddr string // host:port of a proxy that may know the outcome
 	size    int
 	at      time.Duration
 }
 
-// Cache holds the operations of one proxy for a window, and the answers to those that are done within a bound of bytes: the
-// oldest answers go first, and what they answered is then unknown.
+// Cache holds the operations of one proxy for a window, and the answers of finished ones up to a total of bytes. When the answers
+// exceed it, the oldest are evicted and their operations become Unknown.
 type Cache[A any] struct {
 	Window   time.Duration
-	MaxBytes int // of answers at the most
+	MaxBytes int // of all answers together
 	ops      map[string]*Operation[A]
-	order    []opening // in which they began; may name some that are over
-	kept     []opening // with answers, in the order in which they were done; may name some that are over
-	held     int
-	in       [NotExecuted + 1]int // how many stand in each state
+	started  []cacheEntry // in order of begin; may list operations that are gone
+	answered []cacheEntry // those with answers, in order of finish; may list operations that are gone
+	bytes    int
+	counts   [NotExecuted + 1]int // operations by state
 }
 
-type opening struct {
+type cacheEntry struct {
 	key string
 	id  ID
 }
 
-// NewCache returns an empty one.
+// NewCache returns an empty cache.
 func NewCache[A any](window time.Duration, bytes int) *Cache[A] {
 	return &Cache[A]{Window: window, MaxBytes: bytes, ops: map[string]*Operation[A]{}}
 }
 
-// Begin begins an operation under id unless its key is known: then it gives what is known.
-func (b *Cache[A]) Begin(now time.Duration, key string, id ID) (known Operation[A], begun bool) {
-	b.expire(now)
-	if o := b.ops[key]; o != nil {
-		if o.State != NotExecuted {
-			return *o, false
+// Begin starts an operation under id unless the key is known; otherwise it returns the known operation. A key whose operation
+// was not executed starts anew.
+func (c *Cache[A]) Begin(now time.Duration, key string, id ID) (known Operation[A], begun bool) {
+	c.expire(now)
+	if op := c.ops[key]; op != nil {
+		if op.State != NotExecuted {
+			return *op, false
 		}
-		b.in[NotExecuted]--
+		c.counts[NotExecuted]--
 	}
-	b.in[InProgress]++
-	b.ops[key] = &Operation[A]{ID: id, at: now}
-	b.order = append(b.order, opening{key, id})
+	c.counts[InProgress]++
+	c.ops[key] = &Operation[A]{ID: id, at: now}
+	c.started = append(c.started, cacheEntry{key, id})
 	return Operation[A]{}, true
 }
 
-// Finish tells how the operation of id ended. size is what its answer takes.
-func (b *Cache[A]) Finish(key string, id ID, s State, answer A, size int, where string) {
-	o := b.ops[key]
-	if o == nil || o.ID != id || o.State == Done {
+// Finish records how the operation of id ended; a Done operation stays Done. size is the number of bytes that answer takes.
+func (c *Cache[A]) Finish(key string, id ID, s State, answer A, size int, askAddr string) {
+	op := c.ops[key]
+	if op == nil || op.ID != id || op.State == Done {
 		return
 	}
-	b.set(o, s)
-	o.AskAddr = where
+	c.setState(op, s)
+	op.AskAddr = askAddr
 	if s != Done {
 		return
 	}
-	o.Answer, o.size = answer, size
-	b.held += size
-	b.kept = append(b.kept, opening{key, id})
-	for b.held > b.MaxBytes && len(b.kept) > 0 {
-		if old := b.first(); old != nil {
+	op.Answer, op.size = answer, size
+	c.bytes += size
+	c.answered = append(c.answered, cacheEntry{key, id})
+	for c.bytes > c.MaxBytes && len(c.answered) > 0 {
+		if oldest := c.oldestAnswered(); oldest != nil {
 			var none A
-			b.set(old, Unknown)
-			old.Answer = none
-			b.held -= old.size
-			old.size = 0
+			c.setState(oldest, Unknown)
+			oldest.Answer = none
+			c.bytes -= oldest.size
+			oldest.size = 0
 		}
-		b.kept = b.kept[1:]
+		c.answered = c.answered[1:]
 	}
 }
 
-// first is the oldest of those kept; nil: it is over.
-func (b *Cache[A]) first() *Operation[A] {
-	if o := b.ops[b.kept[0].key]; o != nil && o.ID == b.kept[0].id && o.State == Done {
-		return o
+// oldestAnswered returns the operation of the first entry of c.answered, or nil if that is no longer cached.
+func (c *Cache[A]) oldestAnswered() *Operation[A] {
+	if op := c.ops[c.answered[0].key]; op != nil && op.ID == c.answered[0].id && op.State == Done {
+		return op
 	}
 	return nil
 }
 
-// Lookup is what is known of a key.
-func (b *Cache[A]) Lookup(key string) (Operation[A], bool) {
-	o := b.ops[key]
-	if o == nil {
+// Lookup returns the operation of a key.
+func (c *Cache[A]) Lookup(key string) (Operation[A], bool) {
+	op := c.ops[key]
+	if op == nil {
 		return Operation[A]{}, false
 	}
-	return *o, true
+	return *op, true
 }
 
-// Forget forgets a key that id began.
-func (b *Cache[A]) Forget(key string, id ID) {
-	if o := b.ops[key]; o != nil && o.ID == id {
-		b.held -= o.size
-		b.in[o.State]--
-		delete(b.ops, key)
+// Forget removes a key if id began it.
+func (c *Cache[A]) Forget(key string, id ID) {
+	if op := c.ops[key]; op != nil && op.ID == id {
+		c.bytes -= op.size
+		c.counts[op.State]--
+		delete(c.ops, key)
 	}
 }
 
-func (b *Cache[A]) set(o *Operation[A], s State) {
-	b.in[o.State]--
-	b.in[s]++
-	o.State = s
+func (c *Cache[A]) setState(op *Operation[A], s State) {
+	c.counts[op.State]--
+	c.counts[s]++
+	op.State = s
 }
 
-// Count is how many are known that stand in a state.
-func (b *Cache[A]) Count(s State) int { return b.in[s] }
+// Count returns the number of operations in a state.
+func (c *Cache[A]) Count(s State) int { return c.counts[s] }
 
-// Len is how many are known, and the bytes of their answers.
-func (b *Cache[A]) Len() (ops, bytes int) { return len(b.ops), b.held }
+// Len returns the number of operations and the bytes of their answers.
+func (c *Cache[A]) Len() (ops, bytes int) { return len(c.ops), c.bytes }
 
-func (b *Cache[A]) expire(now time.Duration) {
+// expire removes operations older than the window. One that is still in progress stays for another window.
+func (c *Cache[A]) expire(now time.Duration) {
 	n := 0
-	for ; n < len(b.order); n++ {
-		e := b.order[n]
-		o := b.ops[e.key]
-		if o == nil || o.ID != e.id {
+	for ; n < len(c.started); n++ {
+		e := c.started[n]
+		op := c.ops[e.key]
+		if op == nil || op.ID != e.id {
 			continue
 		}
-		if now-o.at <= b.Window {
+		if now-op.at <= c.Window {
 			break
 		}
-		if o.State == InProgress {
-			b.order = append(b.order, e) // looked at again later
-			o.at = now
+		if op.State == InProgress {
+			c.started = append(c.started, e) // checked again later
+			op.at = now
 			continue
 		}
-		b.held -= o.size
-		b.in[o.State]--
-		delete(b.ops, e.key)
+		c.bytes -= op.size
+		c.counts[op.State]--
+		delete(c.ops, e.key)
 	}
-	b.order = b.order[n:]
-	for len(b.kept) > 0 && b.first() == nil {
-		b.kept = b.kept[1:]
+	c.started = c.started[n:]
+	for len(c.answered) > 0 && c.oldestAnswered() == nil {
+		c.answered = c.answered[1:]
 	}
 }
--- a/internal/idempotency/claims.go
+++ b/internal/idempotency/claims.go
@@ -1,6 +1,6 @@
-// Package idempotency keeps operation keys: a key is claimed with a majority of members before its request is sent, and whoever
-// holds the claim alone may run it. It is pure: a Ledger is one member's part, a Vote what a claimant gathers, a Book what a
-// proxy knows of the operations that passed through it.
+// Package idempotency implements idempotency keys: a key is claimed with a majority of the voters before its request is sent, and
+// only the holder of the claim may execute the request. The package does no I/O: a ClaimTable is the state of one voter, a
+// GrantCounter counts the answers to one claim, and a Cache holds the operations that passed through one proxy.
 package idempotency
 
 import (
@@ -9,159 +9,159 @@
 	"saltmast/internal/consensus"
 )
 
-// ID names one claim: the n-th of one life of a claimant, and where that can be asked.
+// ID identifies one claim: the N-th of one run of a claimant.
 type ID struct {
 	_    struct{} `cbor:",toarray"`
-	Life uint64
+	Life uint64   // identifies the run of the claimant's process
 	N    uint64
-	Addr string // host:port where the claimant answers for it
+	Addr string // host:port where the claimant answers questions about it
 }
 
-// IsZero reports whether it names none.
+// IsZero reports whether id identifies no claim.
 func (id ID) IsZero() bool { return id.Life == 0 && id.N == 0 }
 
-// ClaimTable is one member's record of who holds which key.
+// ClaimTable is one voter's record of the holders of keys.
 type ClaimTable struct {
-	Window time.Duration // a claim is kept for so long at least
-	held   map[string]ID
-	order  []entry // oldest first; may name claims that were released
+	Window  time.Duration // how long a claim is kept at least
+	holders map[string]ID
+	order   []claimEntry // oldest first; may list claims that were released
 }
 
-type entry struct {
+type claimEntry struct {
 	key string
 	id  ID
 	at  time.Duration
 }
 
-// NewClaimTable returns an empty one.
+// NewClaimTable returns an empty table.
 func NewClaimTable(window time.Duration) *ClaimTable {
-	return &ClaimTable{Window: window, held: map[string]ID{}}
+	return &ClaimTable{Window: window, holders: map[string]ID{}}
 }
 
-// Claim grants a key to whoever comes first. The grant counts once it is on disk.
-func (l *ClaimTable) Claim(now time.Duration, key string, id ID) (holder ID, granted bool) {
-	if h, ok := l.held[key]; ok {
+// Claim grants a key to the first claimant. The grant counts once it is on disk.
+func (t *ClaimTable) Claim(now time.Duration, key string, id ID) (holder ID, granted bool) {
+	if h, ok := t.holders[key]; ok {
 		return h, h == id
 	}
-	l.held[key] = id
-	l.order = append(l.order, entry{key, id, now})
+	t.holders[key] = id
+	t.order = append(t.order, claimEntry{key, id, now})
 	return id, true
 }
 
-// Restore takes a claim that another member told, for a member that lost its own. Where two told different claims of one key,
-// this member may have granted either before its loss, and that one may have won: then nobody holds it, and nobody gets it.
-// It gives who holds the key then, and whether that is news.
-func (l *ClaimTable) Restore(now time.Duration, key string, id ID) (holder ID, news bool) {
-	h, ok := l.held[key]
+// Restore adds a claim reported by another voter, for a voter that lost its own claims. If two voters report different claims of
+// one key, this voter may have granted either before the loss, and that claim may have won: the key then has no holder, and is
+// granted to nobody. Restore returns the holder of the key and whether the table changed.
+func (t *ClaimTable) Restore(now time.Duration, key string, id ID) (holder ID, changed bool) {
+	h, ok := t.holders[key]
 	switch {
 	case !ok:
-		l.Claim(now, key, id)
+		t.Claim(now, key, id)
 		return id, true
 	case h != id && !h.IsZero():
-		l.held[key] = ID{}
-		l.order = append(l.order, entry{key, ID{}, now})
+		t.holders[key] = ID{}
+		t.order = append(t.order, claimEntry{key, ID{}, now})
 		return ID{}, true
 	}
 	return h, false
 }
 
-// Release gives a key back, if id holds it.
-func (l *ClaimTable) Release(key string, id ID) bool {
-	if id.IsZero() || l.held[key] != id {
+// Release removes the claim of a key if id holds it.
+func (t *ClaimTable) Release(key string, id ID) bool {
+	if id.IsZero() || t.holders[key] != id {
 		return false
 	}
-	delete(l.held, key)
+	delete(t.holders, key)
 	return true
 }
 
-// Expire forgets up to most claims that are older than the window, and returns their keys.
-func (l *ClaimTable) Expire(now time.Duration, most int) (keys []string) {
+// Expire removes up to limit claims that are older than the window, and returns their keys.
+func (t *ClaimTable) Expire(now time.Duration, limit int) (keys []string) {
 	n := 0
-	for ; n < len(l.order) && n < most && now-l.order[n].at > l.Window; n++ {
-		if e := l.order[n]; l.held[e.key] == e.id {
-			delete(l.held, e.key)
+	for ; n < len(t.order) && n < limit && now-t.order[n].at > t.Window; n++ {
+		if e := t.order[n]; t.holders[e.key] == e.id {
+			delete(t.holders, e.key)
 			keys = append(keys, e.key)
 		}
 	}
-	l.order = l.order[n:]
-	if n > 0 && len(l.order) == 0 {
-		l.order = nil
+	t.order = t.order[n:]
+	if n > 0 && len(t.order) == 0 {
+		t.order = nil
 	}
 	return keys
 }
 
-// Len is how many keys are held.
-func (l *ClaimTable) Len() int { return len(l.held) }
+// Len returns the number of claimed keys.
+func (t *ClaimTable) Len() int { return len(t.holders) }
 
-// All calls each for every claim.
-func (l *ClaimTable) All(each func(key string, id ID)) {
-	for k, id := range l.held {
-		each(k, id)
+// All calls visit for every claim.
+func (t *ClaimTable) All(visit func(key string, id ID)) {
+	for k, id := range t.holders {
+		visit(k, id)
 	}
 }
 
-// Grant is one member's answer to a claim.
+// Grant is one voter's answer to a claim.
 type Grant struct {
 	Vouch   consensus.Vouch `cbor:"1,keyasint"`
 	Granted bool            `cbor:"2,keyasint"`
-	Holder  ID              `cbor:"3,keyasint"` // who has it where it was not given
+	Holder  ID              `cbor:"3,keyasint"` // of the key, if it was not granted
 }
 
-// Result of a vote.
+// Result is the result of a claim.
 type Result uint8
 
-// The verdicts.
+// The results of a claim.
 const (
-	Pending Result = iota // more answers are wanted
+	Pending Result = iota // more answers are needed
 	Won                   // a majority granted it: the request may be sent
-	Lost                  // another holds it
-	Split                 // neither this nor any other can get a majority: nobody runs
+	Lost                  // another claim holds the key
+	Split                 // neither this nor any other claim can get a majority: the request is not executed
 )
 
-// GrantCounter gathers the grants for one claim.
+// GrantCounter counts the answers to one claim.
 type GrantCounter struct {
-	Voters int
-	given  []consensus.Vouch
-	denied map[ID]int
-	heard  int
+	Voters   int
+	granted  []consensus.Vouch
+	denied   map[ID]int // by the holder named
+	answered int        // including voters that will not answer
 }
 
-// Add takes one member's answer.
-func (v *GrantCounter) Add(g Grant) {
-	v.heard++
+// Add counts one voter's answer.
+func (c *GrantCounter) Add(g Grant) {
+	c.answered++
 	if g.Granted {
-		v.given = append(v.given, g.Vouch)
+		c.granted = append(c.granted, g.Vouch)
 		return
 	}
-	if v.denied == nil {
-		v.denied = map[ID]int{}
+	if c.denied == nil {
+		c.denied = map[ID]int{}
 	}
-	v.denied[g.Holder]++
+	c.denied[g.Holder]++
 }
 
-// AddMissing takes note that one member will not answer.
-func (v *GrantCounter) AddMissing() { v.heard++ }
+// AddMissing counts a voter that will not answer.
+func (c *GrantCounter) AddMissing() { c.answered++ }
 
-// Result is where the vote stands, and who holds the key where it is lost.
-func (v *GrantCounter) Result() (Result, ID) {
-	need := consensus.Majority(v.Voters)
-	if len(consensus.Sound(v.given)) >= need {
+// Result returns the result so far and, if the claim is lost or split, the holder that most voters named.
+func (c *GrantCounter) Result() (Result, ID) {
+	majority := consensus.Majority(c.Voters)
+	if len(consensus.Sound(c.granted)) >= majority {
 		return Won, ID{}
 	}
-	var most ID
-	for id, n := range v.denied {
-		if m := v.denied[most]; n > m || n == m && (id.Life < most.Life || id.Life == most.Life && id.N < most.N) {
-			most = id
+	var top ID
+	for id, n := range c.denied {
+		if m := c.denied[top]; n > m || n == m && (id.Life < top.Life || id.Life == top.Life && id.N < top.N) {
+			top = id
 		}
 	}
-	if v.denied[most] >= need {
-		return Lost, most
+	if c.denied[top] >= majority {
+		return Lost, top
 	}
-	if v.heard < v.Voters {
+	if c.answered < c.Voters {
 		return Pending, ID{}
 	}
-	if len(v.denied) > 0 {
-		return Split, most
+	if len(c.denied) > 0 {
+		return Split, top
 	}
-	return Pending, ID{} // too few answered: whoever waits gives up by time
+	return Pending, ID{} // too few answers: the caller gives up by its timeout
 }
--- a/internal/idempotency/modelcheck_test.go
+++ b/internal/idempotency/modelcheck_test.go
@@ -9,35 +9,35 @@
 	"saltmast/internal/modelcheck"
 )
 
-// The whole space of one key, three members and some claims: messages are lost, come late and come again, members lose their
-// memory or their disk and make up for it, claimants give up, win, give back and die (which is to do nothing more). A member
-// is as package purser is: it tells a grant when it is on disk, and its new incarnation likewise.
+// This file checks every reachable state of one key, three voters and some claims: messages are lost, delayed and duplicated,
+// voters lose their memory or their disk and repair it, claimants give up, win, release and die (take no further step). A voter
+// behaves as in package store: it reports a grant, and its new incarnation, once that is on disk.
 
 const members = 3
 
 type write struct {
-	kind uint8 // what comes to disk
-	id   uint8 // a claim
-	from uint8 // muster: the member that asked
+	kind uint8 // one of the put constants
+	id   uint8 // of a claim
+	from uint8 // of putIncarnation: the voter that repairs
 	incs [members]uint8
 }
 
 const (
 	none uint8 = iota
 	putClaim
-	putFree
-	putMuster
+	putRelease
+	putIncarnation
 	putRepaired
 )
 
 type member struct {
 	mode     uint8
-	held     uint8 // in memory
+	holder   uint8 // of the key, in memory
 	incs     [members]uint8
-	disk     uint8 // who holds the key there
+	disk     uint8 // holder of the key, on disk
 	diskIncs [members]uint8
-	queue    [2]write
-	inc      uint8 // of the repair under way
+	queue    [2]write // writes under way
+	inc      uint8    // incarnation of the repair under way
 }
 
 const (
@@ -45,102 +45,120 @@
 	repairing
 )
 
-type tellOf struct {
-	heard bool
-	held  uint8
-	incs  [members]uint8
+// report is what one voter reports to another that repairs.
+type report struct {
+	received bool
+	holder   uint8
+	incs     [members]uint8
 }
 
-const nobody = 9 // holds what was told to be two's
+const nobody = 9 // holder of a key for which two claims were reported
 
-// claim of one id.
+// The states of a claim.
 const (
 	asking uint8 = iota
 	won
-	void
+	released
 )
 
 type world struct {
-	m      [members]member
-	ids    [3]uint8
-	grants [3][members]uint32       // told so far, by the incarnations of their vouches; each may be heard at any time
-	tells  [members][members]tellOf // to the first by the second, since it last began to repair
-	lost   struct{ memory, disks uint8 }
+	m       [members]member
+	claims  [3]uint8
+	grants  [3][members]uint32       // sent so far, as sets of the incarnations in their vouches; each may arrive at any time
+	reports [members][members]report // to the first by the second, since the first last began to repair
+	lost    struct{ memory, disks uint8 }
 }
 
-// rules are what a mutant breaks.
+// rules sets the bounds of a run and the rules that a mutant of the protocol breaks.
 type rules struct {
-	early, unsound, deaf, freeAny, first, amnesiac, earlyInc, halves, lame bool
-	memory, disks                                                          uint8
-	keeps                                                                  bool                     // nobody gives back
-	long                                                                   bool                     // walked with -tally.all
-	ids                                                                    uint8                    // 0: two
-	won                                                                    map[[members]uint32]bool // what wins said
+	memory, disks uint8                    // how many losses of memory and of disks happen at most
+	neverReleased bool                     // no claimant releases its claim
+	long          bool                     // run only with -tally.all
+	claims        uint8                    // number of claims; 0: two
+	won           map[[members]uint32]bool // results of wins
+
+	grantBeforeWrite       bool // a grant is sent before it is on disk
+	countUnsound           bool // answers from before and after a loss are counted together
+	repairFromFewer        bool // a repair takes one report less than it needs
+	releaseAny             bool // a release removes the claim of any holder
+	firstReportWins        bool // of two claims reported for a key, the first stays
+	lossUnnoticed          bool // a voter that lost its disk keeps its incarnation
+	incarnationBeforeWrite bool // a new incarnation is acknowledged before it is on disk
+	splitRepairWrite       bool // a repaired voter's incarnation is on disk before its claims
+	repairFromRepairing    bool // a repair takes reports of voters that are repairing
 }
 
-func pack(incs [members]uint8) uint8 { return incs[0]<<4 | incs[1]<<2 | incs[2] } // below 64: incarnations up to 3
+// packIncs encodes three incarnations of up to 3 each in six bits.
+func packIncs(incs [members]uint8) uint8 { return incs[0]<<4 | incs[1]<<2 | incs[2] }
 
-func vouch(by int, p uint8) consensus.Vouch {
-	return consensus.Vouch{By: by, Incs: []uint64{uint64(p >> 4), uint64(p >> 2 & 3), uint64(p & 3)}}
+func vouch(by int, packed uint8) consensus.Vouch {
+	return consensus.Vouch{By: by, Incs: []uint64{uint64(packed >> 4), uint64(packed >> 2 & 3), uint64(packed & 3)}}
 }
 
-// bit of a vouch in a set: incarnations are from 1 to 3.
-func bit(p uint8) uint32 {
-	return 1 << ((p>>4-1)*9 + (p>>2&3-1)*3 + (p&3 - 1))
+// incsBit returns the bit of packed incarnations, each from 1 to 3, in a set.
+func incsBit(packed uint8) uint32 {
+	return 1 << ((packed>>4-1)*9 + (packed>>2&3-1)*3 + (packed&3 - 1))
 }
 
-func unbit(n int) uint8 { return uint8(n/9+1)<<4 | uint8(n/3%3+1)<<2 | uint8(n%3+1) }
+// packedOfBit returns the packed incarnations of bit number n of a set.
+func packedOfBit(n int) uint8 { return uint8(n/9+1)<<4 | uint8(n/3%3+1)<<2 | uint8(n%3+1) }
 
-func name(id uint8) ID { return ID{Life: 1, N: uint64(id)} }
+func claimID(id uint8) ID { return ID{Life: 1, N: uint64(id)} }
 
-// ledger is the real one, of a holder.
-func ledger(held uint8) *ClaimTable {
-	l := NewClaimTable(time.Hour)
-	switch held {
+// newTable returns a ClaimTable in which the key has the given holder.
+func newTable(holder uint8) *ClaimTable {
+	table := NewClaimTable(time.Hour)
+	switch holder {
 	case none:
 	case nobody:
-		l.Restore(0, "k", ID{})
+		table.Restore(0, "k", ID{})
 	default:
-		l.Claim(0, "k", name(held))
+		table.Claim(0, "k", claimID(holder))
 	}
-	return l
+	return table
 }
 
-func holder(l *ClaimTable) (held uint8) {
-	l.All(func(_ string, id ID) {
-		if held = uint8(id.N); id.IsZero() {
-			held = nobody
+// holderIn returns the holder of the key in a table.
+func holderIn(table *ClaimTable) (holder uint8) {
+	table.All(func(_ string, id ID) {
+		if holder = uint8(id.N); id.IsZero() {
+			holder = nobody
 		}
 	})
-	return held
+	return holder
 }
 
-// What the ledger makes of a claim and of a release, of each holder and id.
-var claimed, freed [nobody + 1][4]struct {
-	held uint8
-	ok   bool
+// The results of Claim and Release of a ClaimTable, by holder and id.
+var claimResults, releaseResults [nobody + 1][4]struct {
+	holder uint8
+	ok     bool
 }
 
 func init() {
-	for _, held := range []uint8{none, 1, 2, 3, nobody} {
+	for _, holder := range []uint8{none, 1, 2, 3, nobody} {
 		for id := uint8(1); id <= 3; id++ {
-			l := ledger(held)
-			_, ok := l.Claim(0, "k", name(id))
-			claimed[held][id].held, claimed[held][id].ok = holder(l), ok
-			l = ledger(held)
-			ok = l.Release("k", name(id))
-			freed[held][id].held, freed[held][id].ok = holder(l), ok
+			table := newTable(holder)
+			_, ok := table.Claim(0, "k", claimID(id))
+			claimResults[holder][id].holder, claimResults[holder][id].ok = holderIn(table), ok
+			table = newTable(holder)
+			ok = table.Release("k", claimID(id))
+			releaseResults[holder][id].holder, releaseResults[holder][id].ok = holderIn(table), ok
 		}
 	}
 }
 
-func claimOf(held, id uint8) (uint8, bool) { return claimed[held][id].held, claimed[held][id].ok }
-func freeOf(held, id uint8) (uint8, bool)  { return freed[held][id].held, freed[held][id].ok }
+func claimKey(holder, id uint8) (uint8, bool) {
+	return claimResults[holder][id].holder, claimResults[holder][id].ok
+}
+
+func releaseKey(holder, id uint8) (uint8, bool) {
+	return releaseResults[holder][id].holder, releaseResults[holder][id].ok
+}
 
 func (m *member) push(w write) bool {
 	for i := range m.queue {
 		if m.queue[i] == w {
-			return false // the same is on its way
+			return false // the same write is under way
 		}
 		if m.queue[i].kind == none {
 			m.queue[i] = w
@@ -151,21 +169,21 @@
 }
 
 func (r rules) next(s world, to func(world, string, ...any)) {
-	canon := func(s world, event string, args ...any) { to(s.least(), event, args...) }
-	for id := range max(2, r.ids) {
-		r.claims(s, id, canon)
+	toCanonical := func(s world, event string, args ...any) { to(s.canonical(), event, args...) }
+	for id := range max(2, r.claims) {
+		r.stepClaim(s, id, toCanonical)
 	}
 	for i := range members {
-		r.member(s, i, canon)
+		r.stepMember(s, i, toCanonical)
 	}
 }
 
-// least is s or s with its last two members in each other's place, which are alike.
-func (s world) least() world {
+// canonical returns s or s with its last two members swapped, so that states which differ only in these count as one.
+func (s world) canonical() world {
 	x := s
 	swap := func(v *[members]uint8) { v[1], v[2] = v[2], v[1] }
 	x.m[1], x.m[2] = s.m[2], s.m[1]
-	x.tells[1], x.tells[2] = s.tells[2], s.tells[1]
+	x.reports[1], x.reports[2] = s.reports[2], s.reports[1]
 	for i := range members {
 		m := &x.m[i]
 		swap(&m.incs)
@@ -177,7 +195,7 @@
 				w.from = 3 - w.from
 			}
 		}
-		t := &x.tells[i]
+		t := &x.reports[i]
 		t[1], t[2] = t[2], t[1]
 		for j := range t {
 			swap(&t[j].incs)
@@ -196,89 +214,89 @@
 		}
 		g[1], g[2] = g[2], g[1]
 	}
-	if x.order() < s.order() {
+	if x.sortKey() < s.sortKey() {
 		return x
 	}
 	return s
 }
 
-// order tells the two apart as far as it matters.
-func (s *world) order() (n uint64) {
+// sortKey orders a state and its swapped form. Where both have the same key, neither is merged into the other.
+func (s *world) sortKey() (n uint64) {
 	for i := 1; i < members; i++ {
 		m := s.m[i]
-		n = n<<32 + uint64(m.held)<<28 + uint64(m.disk)<<24 + uint64(m.incs[0])<<20 + uint64(m.queue[0].kind)<<16 + uint64(m.queue[1].kind)<<12 + uint64(m.mode)<<8
+		n = n<<32 + uint64(m.holder)<<28 + uint64(m.disk)<<24 + uint64(m.incs[0])<<20 + uint64(m.queue[0].kind)<<16 + uint64(m.queue[1].kind)<<12 + uint64(m.mode)<<8
 		n += uint64(s.grants[0][i])*2654435761 + uint64(s.grants[1][i])*40503
 	}
 	return n
 }
 
-func (r rules) claims(s world, id uint8, to func(world, string, ...any)) {
-	switch s.ids[id] {
+func (r rules) stepClaim(s world, id uint8, to func(world, string, ...any)) {
+	switch s.claims[id] {
 	case asking:
 		if w, ok := r.won[s.grants[id]]; w || !ok && r.wins(s.grants[id], nil) {
 			r.won[s.grants[id]] = true
 			n := s
-			n.ids[id] = won
+			n.claims[id] = won
 			to(n, "%d wins", id)
 		} else {
 			r.won[s.grants[id]] = false
 		}
 		fallthrough
 	case won:
-		if id > 0 && !r.keeps { // the two are alike: one never does
+		if id > 0 && !r.neverReleased { // by symmetry, one claim is never released
 			n := s
-			n.ids[id] = void
-			to(n, "%d gives back", id)
+			n.claims[id] = released
+			to(n, "%d releases", id)
 		}
 	}
-	for i := range members { // its messages come to members, whenever and however often
+	for i := range members { // its messages reach voters at any time, any number of times
 		if m := s.m[i]; m.mode == serving {
 			n := s
-			if held, granted := claimOf(m.held, id+1); granted {
-				m.held = held
-				p := pack(m.incs)
-				if r.early {
-					n.grants[id][i] |= bit(p)
+			if holder, granted := claimKey(m.holder, id+1); granted {
+				m.holder = holder
+				packed := packIncs(m.incs)
+				if r.grantBeforeWrite {
+					n.grants[id][i] |= incsBit(packed)
 				}
-				if s.grants[id][i]&bit(p) == 0 || m.disk != id+1 {
+				if s.grants[id][i]&incsBit(packed) == 0 || m.disk != id+1 {
 					if m.push(write{kind: putClaim, id: id + 1, incs: m.incs}) {
 						n.m[i] = m
-						to(n, "member %d grants to %d under %02o", i, id, p)
+						to(n, "member %d grants to %d under %02o", i, id, packed)
 					}
 				}
 			}
 		}
-		if m := s.m[i]; s.ids[id] == void {
-			held, freed := freeOf(m.held, id+1)
-			if r.freeAny && m.held != none {
-				held, freed = none, true
+		if m := s.m[i]; s.claims[id] == released {
+			holder, freed := releaseKey(m.holder, id+1)
+			if r.releaseAny && m.holder != none {
+				holder, freed = none, true
 			}
-			if freed && m.push(write{kind: putFree}) {
-				m.held = held
+			if freed && m.push(write{kind: putRelease}) {
+				m.holder = holder
 				n := s
 				n.m[i] = m
-				to(n, "member %d hears that %d is void", i, id)
+				to(n, "member %d learns that %d is released", i, id)
 			}
 		}
 	}
 }
 
-// wins reports whether some of what was told makes a majority, with one answer of each member at the most.
-func (r rules) wins(told [members]uint32, heard []consensus.Vouch) bool {
-	v := GrantCounter{Voters: members}
-	for _, h := range heard {
-		v.Add(Grant{Vouch: h, Granted: true})
+// wins reports whether some of the grants sent, at most one of each voter, make a majority together with those received.
+func (r rules) wins(sent [members]uint32, received []consensus.Vouch) bool {
+	c := GrantCounter{Voters: members}
+	for _, h := range received {
+		c.Add(Grant{Vouch: h, Granted: true})
 	}
-	if verdict, _ := v.Result(); verdict == Won || r.unsound && len(heard) >= consensus.Majority(members) {
+	if result, _ := c.Result(); result == Won || r.countUnsound && len(received) >= consensus.Majority(members) {
 		return true
 	}
 	from := 0
-	if len(heard) > 0 {
-		from = heard[len(heard)-1].By + 1
+	if len(received) > 0 {
+		from = received[len(received)-1].By + 1
 	}
 	for i := from; i < members; i++ {
 		for b := range 27 {
-			if told[i]&(1<<b) != 0 && r.wins(told, append(heard[:len(heard):len(heard)], vouch(i, unbit(b)))) {
+			if sent[i]&(1<<b) != 0 && r.wins(sent, append(received[:len(received):len(received)], vouch(i, packedOfBit(b)))) {
 				return true
 			}
 		}
@@ -286,27 +304,27 @@
 	return false
 }
 
-func (r rules) member(s world, i int, to func(world, string, ...any)) {
+func (r rules) stepMember(s world, i int, to func(world, string, ...any)) {
 	m := s.m[i]
-	if m.queue[0].kind != none { // all that waits comes to disk: a part of it is what had come before the rest waited
+	if m.queue[0].kind != none { // all pending writes reach the disk; the state before the later ones were queued covers a partial write
 		n := s
 		m.queue = [2]write{}
 		for _, w := range s.m[i].queue {
 			switch w.kind {
 			case putClaim:
 				m.disk = w.id
-				n.grants[w.id-1][i] |= bit(pack(w.incs))
-			case putFree:
+				n.grants[w.id-1][i] |= incsBit(packIncs(w.incs))
+			case putRelease:
 				m.disk = none
-			case putMuster:
+			case putIncarnation:
 				m.diskIncs[w.from] = w.incs[w.from]
 				if s.m[w.from].mode == repairing && s.m[w.from].inc == w.incs[w.from] {
-					n.tells[w.from][i] = tellOf{true, m.held, m.incs}
+					n.reports[w.from][i] = report{true, m.holder, m.incs}
 				}
 			case putRepaired:
-				m.disk, m.diskIncs = m.held, w.incs
+				m.disk, m.diskIncs = m.holder, w.incs
 				m.incs, m.mode, m.inc = w.incs, serving, 0
-				n.tells[i] = [members]tellOf{}
+				n.reports[i] = [members]report{}
 			}
 		}
 		n.m[i] = m
@@ -319,11 +337,11 @@
 		n.restart(i, m.disk, m.diskIncs)
 		to(n, "member %d loses its memory", i)
 	}
-	if s.lost.disks < r.disks && (i == 0 || s.lost.disks > 0) { // the members are alike: the first of them is the first
+	if s.lost.disks < r.disks && (i == 0 || s.lost.disks > 0) { // by symmetry, the first disk lost is that of member 0
 		n := s
 		n.lost.disks++
 		incs := [members]uint8{}
-		if r.amnesiac {
+		if r.lossUnnoticed {
 			incs = m.diskIncs
 		}
 		n.restart(i, none, incs)
@@ -334,29 +352,29 @@
 	}
 }
 
-func (s *world) restart(i int, held uint8, incs [members]uint8) {
-	s.m[i] = member{held: held, incs: incs, disk: held, diskIncs: incs}
+func (s *world) restart(i int, holder uint8, incs [members]uint8) {
+	s.m[i] = member{holder: holder, incs: incs, disk: holder, diskIncs: incs}
 	if incs[i] == 0 {
 		s.m[i].mode = repairing
 	}
-	s.tells[i] = [members]tellOf{}
+	s.reports[i] = [members]report{}
 }
 
 func (r rules) repair(s world, i int, to func(world, string, ...any)) {
 	m := s.m[i]
 	need := members - consensus.Majority(members) + 1
-	if r.deaf {
+	if r.repairFromFewer {
 		need--
 	}
-	if m.inc == 0 { // asks under which incarnation it is known
-		heard := 0
+	if m.inc == 0 { // asks the others for its incarnation
+		answers := 0
 		for j := range members {
-			if j != i && (s.m[j].mode == serving || r.lame) {
-				heard++
+			if j != i && (s.m[j].mode == serving || r.repairFromRepairing) {
+				answers++
 				m.inc = max(m.inc, s.m[j].incs[i])
 			}
 		}
-		if heard >= need && m.inc < 3 {
+		if answers >= need && m.inc < 3 {
 			m.inc++
 			n := s
 			n.m[i] = m
@@ -364,80 +382,81 @@
 		}
 		return
 	}
-	heard := 0
+	received := 0
 	for j := range members {
 		if j == i {
 			continue
 		}
-		if x := s.m[j]; (x.mode == serving || r.lame) && x.incs[i] <= m.inc && !s.tells[i][j].heard {
+		if x := s.m[j]; (x.mode == serving || r.repairFromRepairing) && x.incs[i] <= m.inc && !s.reports[i][j].received {
 			x.incs[i] = m.inc
 			n := s
-			if r.earlyInc {
-				n.tells[i][j] = tellOf{true, x.held, x.incs}
+			if r.incarnationBeforeWrite {
+				n.reports[i][j] = report{true, x.holder, x.incs}
 			}
-			if x.push(write{kind: putMuster, from: uint8(i), incs: x.incs}) {
+			if x.push(write{kind: putIncarnation, from: uint8(i), incs: x.incs}) {
 				n.m[j] = x
-				to(n, "member %d hears of incarnation %d of member %d", j, m.inc, i)
+				to(n, "member %d learns of incarnation %d of member %d", j, m.inc, i)
 			}
 		}
-		if s.tells[i][j].heard {
-			heard++
+		if s.reports[i][j].received {
+			received++
 		}
 	}
-	if heard < need || m.queue[0].kind == putRepaired {
+	if received < need || m.queue[0].kind == putRepaired {
 		return
 	}
-	for _, first := range []int{0, members - 1} { // whoever is heard first
-		l := NewClaimTable(time.Hour)
+	for _, first := range []int{0, members - 1} { // in either order of arrival
+		table := NewClaimTable(time.Hour)
 		incs := [members]uint8{}
 		incs[i] = m.inc
 		for k := range members {
-			t := s.tells[i][max(first-k, k-first)]
-			if !t.heard {
+			rep := s.reports[i][max(first-k, k-first)]
+			if !rep.received {
 				continue
 			}
-			for j, inc := range t.incs {
+			for j, inc := range rep.incs {
 				if j != i {
 					incs[j] = max(incs[j], inc)
 				}
 			}
 			switch {
-			case t.held == none:
-			case r.first:
-				l.Claim(0, "k", name(t.held))
-			case t.held == nobody:
-				l.Restore(0, "k", ID{})
+			case rep.holder == none:
+			case r.firstReportWins:
+				table.Claim(0, "k", claimID(rep.holder))
+			case rep.holder == nobody:
+				table.Restore(0, "k", ID{})
 			default:
-				l.Restore(0, "k", name(t.held))
+				table.Restore(0, "k", claimID(rep.holder))
 			}
 		}
 		x := m
-		x.held = holder(l)
+		x.holder = holderIn(table)
 		if x.push(write{kind: putRepaired, incs: incs}) {
 			n := s
-			if r.halves { // the incarnation comes to disk before what was taken
+			if r.splitRepairWrite { // the incarnation reaches the disk before the claims
 				x.diskIncs = incs
 			}
 			n.m[i] = x
-			to(n, "member %d takes what it heard: %d", i, x.held)
+			to(n, "member %d restores holder %d", i, x.holder)
 		}
 	}
 }
 
+// broken reports a state in which two claims of the key won.
 func broken(s world) string {
 	n := 0
-	for _, x := range s.ids {
+	for _, x := range s.claims {
 		if x == won {
 			n++
 		}
 	}
 	if n > 1 {
-		return "two have the key"
+		return "two claims hold the key"
 	}
 	return ""
 }
 
-func begin() (s world) {
+func initialWorld() (s world) {
 	for i := range members {
 		s.m[i].incs = [members]uint8{1, 1, 1}
 		s.m[i].diskIncs = s.m[i].incs
@@ -445,36 +464,37 @@
 	return s
 }
 
-var all = flag.Bool("tally.all", false, "walk the large space too")
+var runLong = flag.Bool("tally.all", false, "walk the large space too")
 
-func TestWholeSpaceOfClaims(t *testing.T) {
+// No reachable state has two winners, and every mutant of the protocol reaches one that has.
+func TestClaimsModel(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		r    rules
 		ok   bool
 	}{
 		{"a disk lost", rules{disks: 1}, true},
-		{"two disks lost, nobody gives back", rules{disks: 2, keeps: true}, true},
+		{"two disks lost, no claim released", rules{disks: 2, neverReleased: true}, true},
 		{"two disks lost", rules{disks: 2, long: true}, true},
-		{"memory and two disks lost, nobody gives back", rules{memory: 1, disks: 2, keeps: true}, true},
+		{"memory and two disks lost, no claim released", rules{memory: 1, disks: 2, neverReleased: true}, true},
 		{"memory and a disk lost", rules{memory: 1, disks: 1}, true},
 		{"memory lost twice", rules{memory: 2}, true},
-		{"told before it is on disk", rules{memory: 1, early: true}, false},
-		{"answers from before and after a loss counted together", rules{disks: 1, unsound: true}, false},
-		{"a repair that heard one other", rules{disks: 1, deaf: true}, false},
-		{"a release of whoever holds it", rules{freeAny: true, ids: 3}, false},
-		{"of two told for one key the first stays", rules{disks: 1, first: true}, false},
-		{"a lost disk that is not noticed", rules{disks: 1, amnesiac: true}, false},
-		{"an incarnation told of before it is on disk", rules{memory: 1, disks: 1, earlyInc: true}, false},
-		{"an incarnation on disk before what was taken", rules{memory: 1, disks: 1, halves: true}, false},
-		{"a repair that heard one that repairs itself", rules{disks: 2, lame: true}, false},
+		{"a grant sent before it is on disk", rules{memory: 1, grantBeforeWrite: true}, false},
+		{"answers from before and after a loss counted together", rules{disks: 1, countUnsound: true}, false},
+		{"a repair from one report", rules{disks: 1, repairFromFewer: true}, false},
+		{"a release by a claimant that is not the holder", rules{releaseAny: true, claims: 3}, false},
+		{"the first of two claims reported for one key stays", rules{disks: 1, firstReportWins: true}, false},
+		{"a disk loss that is not noticed", rules{disks: 1, lossUnnoticed: true}, false},
+		{"an incarnation acknowledged before it is on disk", rules{memory: 1, disks: 1, incarnationBeforeWrite: true}, false},
+		{"an incarnation on disk before the claims restored with it", rules{memory: 1, disks: 1, splitRepairWrite: true}, false},
+		{"a repair from the report of a voter that is repairing", rules{disks: 2, repairFromRepairing: true}, false},
 	} {
-		if c.r.long && !*all || modelcheck.Slow && (c.r.disks > 0 || c.r.ids > 0) {
+		if c.r.long && !*runLong || modelcheck.Slow && (c.r.disks > 0 || c.r.claims > 0) {
 			continue
 		}
 		begun := time.Now()
 		c.r.won = map[[members]uint32]bool{}
-		n, err := modelcheck.Whole(begin(), c.r.next, broken, 6e6)
+		n, err := modelcheck.Whole(initialWorld(), c.r.next, broken, 6e6)
 		if wrong := modelcheck.Verdict(c.ok, n, err); wrong != nil {
 			t.Errorf("%s: %v", c.name, wrong)
 		}
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,73 +1,73 @@
-// Package retrybudget bounds what one machine sends beyond the first of each request, so that over all machines it stays within
-// a ratio of the requests and an allowance, in every sliding window. It is pure, and needs no word from others: each machine
-// keeps to its own part. First attempts never wait for it.
+// Package retrybudget implements a retry budget: it bounds the attempts that one machine sends beyond the first of each request, so
+// that those of all machines together stay within a ratio of the requests plus an allowance in every sliding window. Each machine
+// keeps to its own share and needs no communication. First attempts are never held back. The package does no I/O.
 package retrybudget
 
 import "time"
 
-// Budget counts for one service. The zero value of Machines counts as one.
+// Budget is the retry budget of one service. A Machines of zero counts as one.
 type Budget struct {
 	Window    time.Duration
-	Ratio     float64 // further arrivals for each request, over all machines
-	Allowance float64 // further arrivals free of the ratio in each window, over all machines
-	Machines  int     // that share the allowance, as far as is known; never lowered by what is not heard
+	Ratio     float64 // retries for each request, over all machines
+	Allowance float64 // retries in each window beyond the ratio, over all machines
+	Machines  int     // sharing the allowance, as far as known; not lowered when some stop answering
 
-	firsts, further slots
+	requests, retries slidingCount
 }
 
 const (
-	// part of the ratio and of the allowance that is used: windows slide, a machine may have been started again amid one, and calls
-	// of repeated runs count as repeats at the service that they go to. 0.6 bears that up to two thirds of a service's requests are such
-	// calls, one level deep, with both services at their bound; 0.7 bore less than half.
-	part = 0.6
-	n    = 16 // slots of a window
+	// usedPart is the part of the ratio and of the allowance that is used: windows slide, a machine may have restarted within one,
+	// and calls made by repeated executions count as repeats at the service that they go to. 0.6 tolerates that up to two thirds of
+	// a service's requests are such calls, one level deep, with both services at their bound; 0.7 tolerated less than half.
+	usedPart       = 0.6
+	slotsPerWindow = 16
 )
 
-// slots are counts in the last window, by slices of it.
-type slots struct {
-	at    int64 // the slice of the last count
-	count [n + 1]float64
+// slidingCount counts events of the last window, by slots of a slotsPerWindow-th of it.
+type slidingCount struct {
+	slot  int64 // of the last count
+	count [slotsPerWindow + 1]float64
 }
 
-func (s *slots) move(slice int64) {
-	for ; s.at < slice; s.at++ {
-		if slice-s.at > n+1 {
-			*s = slots{at: slice}
+func (c *slidingCount) advance(slot int64) {
+	for ; c.slot < slot; c.slot++ {
+		if slot-c.slot > slotsPerWindow+1 {
+			*c = slidingCount{slot: slot}
 			return
 		}
-		s.count[(s.at+1)%(n+1)] = 0
+		c.count[(c.slot+1)%(slotsPerWindow+1)] = 0
 	}
 }
 
-func (s *slots) add(slice int64, x float64) {
-	s.move(slice)
-	s.count[s.at%(n+1)] += x
+func (c *slidingCount) add(slot int64, n float64) {
+	c.advance(slot)
+	c.count[c.slot%(slotsPerWindow+1)] += n
 }
 
-func (s *slots) sum(slice int64) (t float64) {
-	s.move(slice)
-	for _, c := range s.count {
-		t += c
+func (c *slidingCount) sum(slot int64) (total float64) {
+	c.advance(slot)
+	for _, n := range c.count {
+		total += n
 	}
-	return t
+	return total
 }
 
-func (r *Budget) slice(now time.Duration) int64 { return int64(now / (r.Window / n)) }
+func (b *Budget) slot(now time.Duration) int64 { return int64(now / (b.Window / slotsPerWindow)) }
 
 // AddRequest counts a request.
-func (r *Budget) AddRequest(now time.Duration) { r.firsts.add(r.slice(now), 1) }
+func (b *Budget) AddRequest(now time.Duration) { b.requests.add(b.slot(now), 1) }
 
-// TryRetry asks for one arrival beyond the first, and takes it if it may be.
-func (r *Budget) TryRetry(now time.Duration) bool {
-	if r.Remaining(now) < 1 {
+// TryRetry takes one retry from the budget, and reports whether there was one.
+func (b *Budget) TryRetry(now time.Duration) bool {
+	if b.Remaining(now) < 1 {
 		return false
 	}
-	r.further.add(r.slice(now), 1)
+	b.retries.add(b.slot(now), 1)
 	return true
 }
 
-// Remaining is how many more there may be now.
-func (r *Budget) Remaining(now time.Duration) float64 {
-	slice := r.slice(now)
-	return part*(r.Ratio*r.firsts.sum(slice)+r.Allowance/float64(max(1, r.Machines))) - r.further.sum(slice)
+// Remaining returns how many retries may be sent now.
+func (b *Budget) Remaining(now time.Duration) float64 {
+	slot := b.slot(now)
+	return usedPart*(b.Ratio*b.requests.sum(slot)+b.Allowance/float64(max(1, b.Machines))) - b.retries.sum(slot)
 }
