--- a/internal/backends/size_test.go
+++ b/internal/backends/size_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// What a table of the planned size takes of memory, and to be built, by the entry.
+// BenchmarkTable measures the time to build a table of the planned size, and its memory per entry.
 func BenchmarkTable(b *testing.B) {
 	const n = 14000
 	for b.Loop() {
--- a/internal/backends/table.go
+++ b/internal/backends/table.go
@@ -1,5 +1,6 @@
-// Package backends is the table of backends: which one lies beside which proxy, in which life and state. It is pure. Each entry
-// has one source, the proxy beside the backend, which alone raises its version; copies are joined entry by entry.
+// Package backends implements the backend table: which backend runs beside which proxy, and in which state. The package does no
+// I/O. Each entry has one source, the proxy beside the backend, and only that one raises the entry's version; tables are merged
+// entry by entry.
 package backends
 
 import (
@@ -10,90 +11,91 @@
 	"time"
 )
 
-// State of a backend.
+// State is the state of a backend.
 type State uint8
 
-// The states.
+// The states of a backend.
 const (
 	None     State = iota // there is no backend, or it has ended
-	Serving               // it takes requests
-	Draining              // it leaves, and takes no new ones
+	Serving               // it accepts requests
+	Draining              // it is shutting down and accepts no new requests
 )
 
 func (s State) String() string { return [...]string{"none", "serving", "draining"}[min(s, Draining)] }
 
-// Backend is what one proxy tells of itself and of the backend beside it.
+// Backend is the entry of one proxy and of the backend beside it.
 type Backend struct {
 	Node     string `cbor:"1,keyasint"` // the proxy's machine
-	Addr     string `cbor:"2,keyasint"` // host:port of its gate
+	Addr     string `cbor:"2,keyasint"` // host:port of the proxy's gate
 	Zone     string `cbor:"3,keyasint"`
-	Version  uint64 `cbor:"4,keyasint"` // goes up with each change
-	Life     uint64 `cbor:"5,keyasint"` // of the proxy's process
-	Instance string `cbor:"6,keyasint"` // the backend's life; "" for none
+	Version  uint64 `cbor:"4,keyasint"` // rises with each change
+	Life     uint64 `cbor:"5,keyasint"` // identifies the run of the proxy's process
+	Instance string `cbor:"6,keyasint"` // identifies the run of the backend; "" if there is none
 	Service  string `cbor:"7,keyasint"`
-	Release  string `cbor:"8,keyasint,omitempty"` // the backend's software
-	Capacity int    `cbor:"9,keyasint"`           // requests at once
+	Release  string `cbor:"8,keyasint,omitempty"` // version of the backend's software
+	Capacity int    `cbor:"9,keyasint"`           // concurrent requests
 	State    State  `cbor:"10,keyasint"`
-	WarmMs   uint32 `cbor:"11,keyasint,omitempty"` // it stays slow for so long after this was told
+	WarmMs   uint32 `cbor:"11,keyasint,omitempty"` // how long the backend stays slow after this entry was sent
 }
 
-// newer reports whether b comes after o, of the same node. Two lives may tell the same version: the higher life wins until
-// the living one hears of it and tells a higher version. What was dropped is told again by a whole entry of that version.
-func (b Backend) newer(o Backend) bool {
-	if b.Version != o.Version {
-		return b.Version > o.Version
+// newer reports whether b supersedes old, an entry of the same node. Two runs of a proxy may send the same version: the higher Life
+// wins until the running one learns of it and sends a higher version. A whole entry supersedes a dropped one of the same version.
+func (b Backend) newer(old Backend) bool {
+	if b.Version != old.Version {
+		return b.Version > old.Version
 	}
-	if b.Life != o.Life {
-		return b.Life > o.Life
+	if b.Life != old.Life {
+		return b.Life > old.Life
 	}
-	return o.dropped() && !b.dropped()
+	return old.dropped() && !b.dropped()
 }
 
-// dropped says whether all of it but the version is forgotten: a proxy always tells the address of its gate.
+// dropped reports whether only the node, version and life of the entry are left: a proxy always sends the address of its gate.
 func (b Backend) dropped() bool { return b.Addr == "" }
 
-// Table holds the newest entry of each node, and since which change of its own.
+// Table holds the newest entry of each node and the order in which entries changed. It is not safe for concurrent use.
 type Table struct {
-	rows    map[string]*row
-	at      uint64 // changes so far
-	changes []*row // in their order; those of which a row was taken out of the table, or has changed since, are stale
+	rows     map[string]*row
+	revision uint64 // number of changes so far
+	changes  []*row // in order; stale if the row was removed from the table or has changed since
 }
 
 type row struct {
 	Backend
-	at   uint64
-	lost time.Duration // since when nothing tells that the proxy lives; 0: it does
+	revision  uint64        // of its latest change
+	deadSince time.Duration // when a sweep first found the proxy not alive; 0: it is alive
 }
 
-// keepDropped is of how many nodes that were dropped the versions are kept.
-const keepDropped = 256
+// maxDropped bounds the number of dropped nodes whose versions are kept.
+const maxDropped = 256
 
 // New returns an empty table.
 func New() *Table { return &Table{rows: map[string]*row{}} }
 
-// Merge takes an entry if it is news, and reports whether it was.
+// Merge adds an entry if it is newer than the one in the table, and reports whether it was.
 func (t *Table) Merge(b Backend) bool {
 	r := t.rows[b.Node]
 	if r != nil && !b.newer(r.Backend) {
 		return false
 	}
-	t.at++
-	r = &row{Backend: b, at: t.at}
+	t.revision++
+	r = &row{Backend: b, revision: t.revision}
 	t.rows[b.Node] = r
-	if t.changes = append(t.changes, r); len(t.changes) > 2*len(t.rows)+staleChanges {
+	if t.changes = append(t.changes, r); len(t.changes) > 2*len(t.rows)+maxStaleChanges {
 		t.changes = slices.DeleteFunc(t.changes, t.stale)
 	}
 	return true
 }
 
-// staleChanges is how many stale ones are kept beside those of the rows, so that few changes are a reason to look at all.
-const staleChanges = 64
+// maxStaleChanges is how many stale changes are kept beyond one per row, so that changes are rarely compacted.
+const maxStaleChanges = 64
 
 func (t *Table) stale(r *row) bool { return t.rows[r.Node] != r }
 
-// Sweep drops the entries of nodes that were not alive at any sweep for as long as keep, and returns those nodes. now is
-// above 0. Of a dropped one the version and the life stay, which a proxy that starts anew there is told and raises its own over:
-// tables that dropped it and tables that did not yet would else order its news in different ways. Those are bounded as well.
+// Sweep drops the entries of nodes that were not alive at any sweep for as long as keep, and returns those nodes. now must be
+// above 0. Of a dropped entry the version and the life stay: a proxy that restarts on that node learns of them and raises its own
+// above. Without them, tables that had dropped the entry and tables that had not would order its updates differently. The number of
+// dropped entries is bounded by maxDropped; the least recently changed are removed first.
 func (t *Table) Sweep(now, keep time.Duration, alive func(b Backend) bool) (gone []string) {
 	var dropped []*row
 	for _, r := range t.rows {
@@ -101,17 +103,17 @@
 		case r.dropped():
 			dropped = append(dropped, r)
 		case alive(r.Backend):
-			r.lost = 0
-		case r.lost == 0:
-			r.lost = now
-		case now-r.lost >= keep:
+			r.deadSince = 0
+		case r.deadSince == 0:
+			r.deadSince = now
+		case now-r.deadSince >= keep:
 			gone = append(gone, r.Node)
 			r.Backend = Backend{Node: r.Node, Version: r.Version, Life: r.Life}
 			dropped = append(dropped, r)
 		}
 	}
-	if n := len(dropped) - keepDropped; n > 0 {
-		slices.SortFunc(dropped, func(a, b *row) int { return cmp.Compare(a.at, b.at) })
+	if n := len(dropped) - maxDropped; n > 0 {
+		slices.SortFunc(dropped, func(a, b *row) int { return cmp.Compare(a.revision, b.revision) })
 		for _, r := range dropped[:n] {
 			delete(t.rows, r.Node)
 		}
@@ -120,7 +122,7 @@
 	return gone
 }
 
-// HasDropped says whether the entry of one of these nodes was dropped: one that lives is to be asked for again.
+// HasDropped reports whether the entry of one of these nodes was dropped: if the node is alive, the entry must be requested again.
 func (t *Table) HasDropped(nodes map[string]bool) bool {
 	for node := range nodes {
 		if r := t.rows[node]; r != nil && r.dropped() {
@@ -130,7 +132,7 @@
 	return false
 }
 
-// Get is the entry of a node.
+// Get returns the entry of a node.
 func (t *Table) Get(node string) (Backend, bool) {
 	r := t.rows[node]
 	if r == nil {
@@ -139,22 +141,24 @@
 	return r.Backend, true
 }
 
-// Revision is the number of the latest change.
-func (t *Table) Revision() uint64 { return t.at }
+// Revision returns the number of the latest change.
+func (t *Table) Revision() uint64 { return t.revision }
 
-// ChangedSince are the entries that changed after change number at, in the order of nodes.
-func (t *Table) ChangedSince(at uint64) []Backend {
-	out, _, _ := t.Page(at, math.MaxInt)
+// ChangedSince returns the entries that changed after a revision, sorted by node.
+func (t *Table) ChangedSince(revision uint64) []Backend {
+	out, _, _ := t.Page(revision, math.MaxInt)
 	slices.SortFunc(out, func(a, b Backend) int { return strings.Compare(a.Node, b.Node) })
 	return out
 }
 
-// Page are the entries that changed after change number at, in the order of their changes, up to so many bytes of a message, one
-// at the least; with the number up to which all is told then, from which the next part goes on, and whether there is more. An entry
-// that changes amid parts goes behind all of them, so that whoever took them all has what the table held at the last, whatever
-// was told before. It costs what it tells and what is stale among that.
-func (t *Table) Page(at uint64, bytes int) (entries []Backend, upto uint64, more bool) {
-	from, _ := slices.BinarySearchFunc(t.changes, at, func(r *row, at uint64) int { return cmp.Or(cmp.Compare(r.at, at), -1) })
+// Page returns the entries that changed after a revision, in the order of their changes, up to a number of message bytes but at
+// least one; the revision from which the next page continues; and whether there are more. An entry that changes between pages moves
+// behind all others, so a reader of all pages has what the table holds at the last one, whatever it had read before. The cost is
+// proportional to the entries returned and the stale changes among them.
+func (t *Table) Page(revision uint64, bytes int) (entries []Backend, upto uint64, more bool) {
+	from, _ := slices.BinarySearchFunc(t.changes, revision, func(r *row, revision uint64) int {
+		return cmp.Or(cmp.Compare(r.revision, revision), -1)
+	})
 	for _, r := range t.changes[from:] {
 		if t.stale(r) {
 			continue
@@ -162,20 +166,20 @@
 		if bytes -= r.MaxEncodedSize(); bytes < 0 && len(entries) > 0 {
 			return entries, upto, true
 		}
-		entries, upto = append(entries, r.Backend), r.at
+		entries, upto = append(entries, r.Backend), r.revision
 	}
-	return entries, t.at, false
+	return entries, t.revision, false
 }
 
-// MaxEncodedSize is how many bytes an entry takes in a message, at the most.
+// MaxEncodedSize returns an upper bound of the bytes that the entry takes in a message.
 func (b Backend) MaxEncodedSize() int {
 	return 64 + len(b.Node) + len(b.Addr) + len(b.Zone) + len(b.Instance) + len(b.Service) + len(b.Release)
 }
 
-// All are the entries that were not dropped, in the order of nodes.
+// All returns the entries that were not dropped, sorted by node.
 func (t *Table) All() []Backend { return slices.DeleteFunc(t.ChangedSince(0), Backend.dropped) }
 
-// Len is how many nodes have an entry that was not dropped.
+// Len returns the number of entries that were not dropped.
 func (t *Table) Len() (n int) {
 	for _, r := range t.rows {
 		if !r.dropped() {
