--- a/internal/bodybuffer/budget.go
+++ b/internal/bodybuffer/budget.go
@@ -1,120 +1,121 @@
-// Package bodybuffer decides, without I/O, which bodies are kept in memory and which pass on as they come, under one account. A kept
-// body can be sent again; one that passes is sent once. Start reading at Account.
+// Package bodybuffer decides which bodies are buffered in memory and which are streamed, under one memory budget. A buffered body can
+// be sent again; a streamed one is sent once. The package does no I/O. Start reading at Budget.
 package bodybuffer
 
 import "sync"
 
 const (
-	// MaxBody is how many bytes a body may have, either way.
+	// MaxBody is the maximum size of a body in bytes, in either direction.
 	MaxBody = 32 << 20
-	// SmallBody is how many bytes a body may have to be kept whatever else is held: the bound on open requests bounds their sum.
+	// SmallBody is the size in bytes up to which a body is buffered without the budget: the bound on open requests bounds their sum.
 	SmallBody = 64 << 10
-	// part of the account that one body may take: a few large ones must not leave the others none.
-	part = 8
-	// GrowthStep is by how much a body of unknown length asks for more.
+	// maxShareDivisor limits one body to a part of the budget, 1/maxShareDivisor, so that a few large ones leave room for others.
+	maxShareDivisor = 8
+	// GrowthStep is how many more bytes a body of unknown length asks for at a time.
 	GrowthStep = 64 << 10
 )
 
-// Budget is what may be held of bodies over Small. It is safe for concurrent use.
+// Budget bounds the bytes buffered of bodies over SmallBody, and the bodies streamed at once. It is safe for concurrent use.
 type Budget struct {
-	mu       sync.Mutex
-	limit    int64 // bytes
-	held     int64
-	passing  int // bodies that pass just now
-	passings int // of these at the most; 0: no bound
+	mu         sync.Mutex
+	limit      int64 // bytes
+	used       int64 // bytes
+	streams    int   // bodies being streamed
+	maxStreams int   // 0: no limit
 }
 
-// New returns an account of so many bytes. passings bounds the bodies that pass at once: each holds a connection at both
-// sides for as long as it takes, and short requests need some too. 0: no bound.
-func New(limit int64, passings int) *Budget { return &Budget{limit: limit, passings: passings} }
+// New returns a budget of limit bytes. maxStreams bounds the bodies streamed at once: each occupies a connection on both sides for as
+// long as it takes, and short requests need some too. 0: no bound.
+func New(limit int64, maxStreams int) *Budget { return &Budget{limit: limit, maxStreams: maxStreams} }
 
-// Resize sets other bounds. What is held stays until it is given back.
-func (a *Budget) Resize(limit int64, passings int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.limit, a.passings = limit, passings
+// Resize sets new bounds. Existing reservations stay until they are released.
+func (b *Budget) Resize(limit int64, maxStreams int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.limit, b.maxStreams = limit, maxStreams
 }
 
-// Usage is how many bytes are held, and how many bodies pass.
-func (a *Budget) Usage() (bytes int64, passing int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.held, a.passing
+// Usage returns the bytes reserved and the number of bodies being streamed.
+func (b *Budget) Usage() (bytes int64, streams int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.used, b.streams
 }
 
-// Mode is what becomes of a body.
+// Mode is how a body is handled.
 type Mode int
 
+// The modes.
 const (
-	Buffered Mode = iota // whole in memory before its request goes on: it can be sent again
-	Streamed             // as it comes, once
-	TooLarge             // over Most: turned away before it is read
+	Buffered Mode = iota // read into memory as a whole before its request goes on: it can be sent again
+	Streamed             // passed on as it arrives, once
+	TooLarge             // over MaxBody: rejected before it is read
 )
 
-// Reservation is one body's part of the account.
+// Reservation is one body's share of the budget.
 type Reservation struct {
-	a      *Budget
-	bytes  int64 // beyond Small, taken from the account
-	passes bool
+	budget   *Budget
+	bytes    int64 // beyond SmallBody, taken from the budget
+	streamed bool
 }
 
-// Reserve decides for a body of a told length; -1: not told, and it is kept until Grow says no.
-func (a *Budget) Reserve(length int64) (*Reservation, Mode) {
-	h := &Reservation{a: a}
+// Reserve decides on a body of a known length. With length -1 it is unknown, and the body is buffered until Grow refuses.
+func (b *Budget) Reserve(length int64) (*Reservation, Mode) {
+	r := &Reservation{budget: b}
 	switch {
 	case length > MaxBody:
-		return h, TooLarge
-	case length > SmallBody && !h.take(length-SmallBody):
-		return h, Streamed
+		return r, TooLarge
+	case length > SmallBody && !r.take(length-SmallBody):
+		return r, Streamed
 	}
-	return h, Buffered
+	return r, Buffered
 }
 
-// Grow asks for room for a body that has grown to so many bytes. TooLarge: it may not be so long. Passed: there is none, and it
-// goes on as it comes.
-func (h *Reservation) Grow(to int64) Mode {
+// Grow reserves room for a body that has grown to a number of bytes. It returns TooLarge if the body exceeds MaxBody, and Streamed if
+// there is no room, so that the body must be streamed.
+func (r *Reservation) Grow(to int64) Mode {
 	switch {
 	case to > MaxBody:
 		return TooLarge
-	case to-SmallBody > h.bytes && !h.take(to-SmallBody-h.bytes):
+	case to-SmallBody > r.bytes && !r.take(to-SmallBody-r.bytes):
 		return Streamed
 	}
 	return Buffered
 }
 
-func (h *Reservation) take(bytes int64) bool {
-	h.a.mu.Lock()
-	defer h.a.mu.Unlock()
-	if h.bytes+bytes > h.a.limit/part || h.a.held+bytes > h.a.limit {
+func (r *Reservation) take(bytes int64) bool {
+	r.budget.mu.Lock()
+	defer r.budget.mu.Unlock()
+	if r.bytes+bytes > r.budget.limit/maxShareDivisor || r.budget.used+bytes > r.budget.limit {
 		return false
 	}
-	h.a.held += bytes
-	h.bytes += bytes
+	r.budget.used += bytes
+	r.bytes += bytes
 	return true
 }
 
-// Stream says that the body goes on as it comes; false: too many do already.
-func (h *Reservation) Stream() bool {
-	h.a.mu.Lock()
-	defer h.a.mu.Unlock()
-	if !h.passes && h.a.passings > 0 && h.a.passing >= h.a.passings {
+// Stream marks the body as streamed; it returns false if too many are already.
+func (r *Reservation) Stream() bool {
+	r.budget.mu.Lock()
+	defer r.budget.mu.Unlock()
+	if !r.streamed && r.budget.maxStreams > 0 && r.budget.streams >= r.budget.maxStreams {
 		return false
 	}
-	if !h.passes {
-		h.passes = true
-		h.a.passing++
+	if !r.streamed {
+		r.streamed = true
+		r.budget.streams++
 	}
 	return true
 }
 
-// Release gives back what is held. It may be called more than once.
-func (h *Reservation) Release() {
-	h.a.mu.Lock()
-	defer h.a.mu.Unlock()
-	h.a.held -= h.bytes
-	h.bytes = 0
-	if h.passes {
-		h.a.passing--
+// Release returns the reservation to the budget. It may be called more than once.
+func (r *Reservation) Release() {
+	r.budget.mu.Lock()
+	defer r.budget.mu.Unlock()
+	r.budget.used -= r.bytes
+	r.bytes = 0
+	if r.streamed {
+		r.budget.streams--
 	}
-	h.passes = false
+	r.streamed = false
 }
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -1,5 +1,5 @@
-// Package pacing is egress traffic shaping for a link of known bandwidth: large messages are sent no faster than the link takes
-// them, so that they do not stand in its queue ahead of small ones. Start reading at Pacer.
+// Package pacing implements egress traffic shaping for a link of known bandwidth: large messages are sent no faster than the link
+// transmits them, so that they do not fill its queue ahead of small ones. Start reading at Pacer.
 package pacing
 
 import (
@@ -9,36 +9,36 @@
 )
 
 const (
-	// chunkBytes is how much of a large message is sent at once. What is no larger is sent without a wait.
+	// chunkBytes is how much of a large message is sent at once. A message up to this size is sent without waiting.
 	chunkBytes = 8 << 10
-	// linkPart is the part of the bandwidth that messages may take: the rest is for headers of packets, and for what else the
-	// machine sends.
-	linkPart = 0.9
-	// backlog is how much may wait in the link's own queue, as the time that it takes to send it.
-	backlog = 10 * time.Millisecond
+	// usableBandwidth is the part of the bandwidth that messages may use: the rest is for packet headers and for other traffic of
+	// the machine.
+	usableBandwidth = 0.9
+	// maxBacklog is how much may wait in the link's own queue, as the time that it takes to send it.
+	maxBacklog = 10 * time.Millisecond
 )
 
-// Pacer accounts for what is sent over one link by all its writers. Its zero value and a nil one pace nothing.
+// Pacer accounts for what all writers send over one link. The zero value and a nil Pacer pace nothing. It is safe for concurrent use.
 type Pacer struct {
-	byteTime float64 // seconds that the link takes for a byte; 0: it is not paced
+	secondsPerByte float64 // transmission time on the link; 0: not paced
 
-	mu   sync.Mutex
-	free time.Time // when the link will have sent all that it was given
+	mu     sync.Mutex
+	freeAt time.Time // when the link will have sent all that was reserved
 }
 
-// New returns a Pacer for a link of so many megabits (10^6) a second. 0, or less: it is not known, and nothing is paced.
+// New returns a Pacer for a link of a bandwidth in megabits (10^6) per second. 0 or less means unknown: nothing is paced.
 func New(megabitsPerSecond float64) *Pacer {
 	if megabitsPerSecond <= 0 {
 		return &Pacer{}
 	}
-	return &Pacer{byteTime: 8 / (linkPart * megabitsPerSecond * 1e6)}
+	return &Pacer{secondsPerByte: 8 / (usableBandwidth * megabitsPerSecond * 1e6)}
 }
 
-// Writer returns a writer to w whose messages are paced: of a message larger than a chunk, each chunk waits until the link has
-// sent what it was given before but for a short backlog. Smaller messages are counted and do not wait. Deadlines of w hold for
-// the writes to it, and the waits between them do not look at those.
+// Writer returns a writer to w that paces messages. Each chunk of a message larger than chunkBytes waits until the link has sent all
+// but a short backlog of what was written before. Smaller messages are counted and do not wait. Deadlines of w apply to the writes
+// to it, but not to the waits between them.
 func (p *Pacer) Writer(w io.Writer) io.Writer {
-	if p == nil || p.byteTime == 0 {
+	if p == nil || p.secondsPerByte == 0 {
 		return w
 	}
 	return &writer{p, w}
@@ -67,14 +67,14 @@
 	return n, err
 }
 
-// reserve takes the link for n bytes, behind those for which it was taken before, and tells how long to wait before they are sent.
+// reserve reserves the link for n bytes, behind earlier reservations, and returns how long to wait before sending them.
 func (p *Pacer) reserve(n int, now time.Time) (wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.free.Before(now) {
-		p.free = now
+	if p.freeAt.Before(now) {
+		p.freeAt = now
 	}
-	wait = p.free.Sub(now) - backlog
-	p.free = p.free.Add(time.Duration(float64(n) * p.byteTime * float64(time.Second)))
+	wait = p.freeAt.Sub(now) - maxBacklog
+	p.freeAt = p.freeAt.Add(time.Duration(float64(n) * p.secondsPerByte * float64(time.Second)))
 	return max(0, wait)
 }
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	megabits = 8.0
-	width    = megabits * 1e6 / 8 // bytes a second
-	bulk     = 400_000
-	small    = 1000
+	megabits  = 8.0
+	bandwidth = megabits * 1e6 / 8 // bytes per second
+	bulk      = 400_000            // bytes of a large message
+	small     = 1000               // bytes of a small message
 )
 
-// overLink sends large messages on three connections over a narrow link, and small ones on another meanwhile. It tells how long the
-// slowest small one took, and all large ones together.
-func overLink(t *testing.T, p *Pacer) (slowest, all time.Duration) {
+// sendOverLink sends large messages on three connections over a narrow link, and small ones on another meanwhile. It returns how long
+// the slowest small one took, and all large ones together.
+func sendOverLink(t *testing.T, p *Pacer) (slowest, all time.Duration) {
 	t.Helper()
 	s := network.New(1)
 	from, to := s.Machine("10.0.0.1", "north"), s.Machine("10.0.0.2", "north")
-	s.Narrow(from, width)
+	s.Narrow(from, bandwidth)
 	a, b := from.Start(), to.Start()
 	defer a.End()
 	defer b.End()
@@ -32,63 +32,63 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dial := func() (sends, takes net.Conn) {
-		if sends, err = a.Dial(t.Context(), "10.0.0.2:80", 0); err != nil {
+	dial := func() (sender, receiver net.Conn) {
+		if sender, err = a.Dial(t.Context(), "10.0.0.2:80", 0); err != nil {
 			t.Fatal(err)
 		}
-		if takes, err = l.Accept(); err != nil {
+		if receiver, err = l.Accept(); err != nil {
 			t.Fatal(err)
 		}
-		return sends, takes
+		return sender, receiver
 	}
-	begun := time.Now()
+	start := time.Now()
 	done := make(chan int64)
 	for range 3 {
-		sends, takes := dial()
+		sender, receiver := dial()
 		go func() {
-			p.Writer(sends).Write(make([]byte, bulk))
-			sends.Close()
+			p.Writer(sender).Write(make([]byte, bulk))
+			sender.Close()
 		}()
 		go func() {
-			n, _ := io.Copy(io.Discard, takes)
+			n, _ := io.Copy(io.Discard, receiver)
 			done <- n
 		}()
 	}
-	sends, takes := dial()
+	sender, receiver := dial()
 	for range 20 {
 		time.Sleep(40 * time.Millisecond)
-		at := time.Now()
-		p.Writer(sends).Write(make([]byte, small))
-		io.ReadFull(takes, make([]byte, small))
-		slowest = max(slowest, time.Since(at))
+		sent := time.Now()
+		p.Writer(sender).Write(make([]byte, small))
+		io.ReadFull(receiver, make([]byte, small))
+		slowest = max(slowest, time.Since(sent))
 	}
 	for range 3 {
 		if n := <-done; n != bulk {
-			t.Errorf("%d of %d bytes came", n, bulk)
+			t.Errorf("%d of %d bytes arrived", n, bulk)
 		}
 	}
-	return slowest, time.Since(begun)
+	return slowest, time.Since(start)
 }
 
-// Small messages do not wait behind large ones, and those take little longer than the link does.
+// Small messages do not wait behind large ones, and the large ones take little longer than the link needs for them.
 func TestSmallAheadOfLarge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		unpaced, _ := overLink(t, New(0))
-		paced, all := overLink(t, New(megabits))
+		unpaced, _ := sendOverLink(t, New(0))
+		paced, all := sendOverLink(t, New(megabits))
 		if paced > 40*time.Millisecond || unpaced < 2*paced {
 			t.Errorf("the slowest small message took %v, unpaced %v", paced, unpaced)
 		}
-		if most := time.Duration(3 * bulk / width * 1.25 * float64(time.Second)); all > most {
-			t.Errorf("the large ones took %v, more than %v", all, most)
+		if limit := time.Duration(3 * bulk / bandwidth * 1.25 * float64(time.Second)); all > limit {
+			t.Errorf("the large messages took %v, more than %v", all, limit)
 		}
 	})
 }
 
-// A link of unknown width, or a wide one, holds nothing up; what is written arrives as it was, whatever its size.
+// A link of unknown or high bandwidth delays nothing, and messages of any size arrive unchanged.
 func TestUnpaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, p := range []*Pacer{nil, {}, New(-1), New(10_000)} {
-			begun := time.Now()
+			start := time.Now()
 			for _, size := range []int{0, 1, chunkBytes, chunkBytes + 1, 5*chunkBytes + 3} {
 				var got bytes.Buffer
 				sent := bytes.Repeat([]byte("abc"), size/3+1)[:size]
@@ -96,15 +96,15 @@
 					t.Errorf("%d of %d bytes, %v", n, size, err)
 				}
 			}
-			if took := time.Since(begun); took > 0 {
-				t.Errorf("held up for %v", took)
+			if took := time.Since(start); took > 0 {
+				t.Errorf("delayed by %v", took)
 			}
 		}
 	})
 }
 
-// A write that fails ends a message, and says how much was written.
-func TestBrokenAmid(t *testing.T) {
+// A failed write ends a message and reports how many bytes were written.
+func TestWriteFails(t *testing.T) {
 	r, w := io.Pipe()
 	go func() {
 		io.ReadFull(r, make([]byte, 2*chunkBytes))
