--- a/internal/disconnect/disconnect.go
+++ b/internal/disconnect/disconnect.go
@@ -1,5 +1,5 @@
-// Package disconnect detects clients that went away: it cancels the context of work that is done for the peer of a connection once
-// the peer has closed that connection. Start reading at Watcher.
+// Package disconnect detects clients that disconnect: it cancels the context of work done for the peer of a connection once the peer
+// closes that connection. Start reading at Watcher.
 package disconnect
 
 import (
@@ -12,19 +12,18 @@
 	"saltmast/internal/sock"
 )
 
-// ErrPeerClosed is the cause of a context that was canceled because the peer had closed its connection, or the connection had
-// broken.
+// ErrPeerClosed is the cause of a context that was canceled because the peer closed its connection or the connection broke.
 var ErrPeerClosed = errors.New("the peer has closed its connection")
 
-// Interval is how often a Watcher usually looks. A peer that closes is noticed within two intervals of the begin of its work, and
-// within one interval later on.
+// Interval is the usual interval of a Watcher. A close is detected within two intervals of the start of the work, and within one
+// interval later on.
 const Interval = 75 * time.Millisecond
 
-// Watcher looks at connections while work is done for their peers. It peeks at sockets, and neither reads nor writes, so whoever
-// owns a connection may go on using it. Work that takes less than an interval is never looked at, and costs no system call.
+// Watcher checks connections while work is done for their peers. It peeks at sockets and neither reads nor writes, so the owner of a
+// connection may go on using it. Work that takes less than an interval is never checked, and costs no system call.
 //
-// A peer counts as gone when it has closed its sending half and nothing that it sent before waits to be read: bytes of a next
-// request hide the close until they are read. No Watcher keeps a timer while nothing is watched.
+// A peer counts as disconnected when it has closed its sending half and nothing that it sent before is still unread: bytes of a next
+// request hide the close until they are read. A Watcher has no timer while it watches nothing. It is safe for concurrent use.
 type Watcher struct {
 	interval time.Duration
 
@@ -41,13 +40,13 @@
 	cancel context.CancelCauseFunc
 }
 
-// New returns a Watcher that looks once in each interval.
+// New returns a Watcher that checks connections once per interval.
 func New(interval time.Duration) *Watcher {
 	return &Watcher{interval: interval, watched: map[*watch]struct{}{}}
 }
 
-// Context returns a context that is canceled, with the cause ErrPeerClosed, when the peer of conn closes the connection. The caller
-// calls stop when the work is done; the context is canceled then as well.
+// Context returns a context that is canceled with the cause ErrPeerClosed when the peer of conn closes the connection. The caller must
+// call stop when the work is done, which cancels the context as well.
 func (w *Watcher) Context(conn net.Conn) (ctx context.Context, stop func()) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	watched := &watch{conn: conn, since: time.Now(), cancel: cancel}
@@ -72,17 +71,17 @@
 	watched.cancel(nil)
 }
 
-// schedule has the next look come after an interval. The caller holds w.mu.
+// schedule arms the timer for the next check, an interval from now. The caller holds w.mu.
 func (w *Watcher) schedule() {
 	if w.timer == nil {
-		w.timer = time.AfterFunc(w.interval, w.look)
+		w.timer = time.AfterFunc(w.interval, w.check)
 		return
 	}
 	w.timer.Reset(w.interval)
 }
 
-// look looks at each connection that has been watched for an interval or longer.
-func (w *Watcher) look() {
+// check checks each connection that has been watched for an interval or longer.
+func (w *Watcher) check() {
 	for _, watched := range w.due(time.Now()) {
 		if sock.Closed(watched.conn) {
 			watched.cancel(ErrPeerClosed)
@@ -96,7 +95,7 @@
 	}
 }
 
-// due is what has been watched for an interval or longer.
+// due returns what has been watched for an interval or longer.
 func (w *Watcher) due(now time.Time) (due []*watch) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/disconnect/disconnect_test.go
+++ b/internal/disconnect/disconnect_test.go
@@ -11,8 +11,8 @@
 	"saltmast/internal/simulation/network"
 )
 
-// pair is a connection of a client and a server, in virtual time.
-func pair(t *testing.T) (client, server net.Conn) {
+// connect returns both ends of a connection, in virtual time.
+func connect(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	s := network.New(1)
 	p := s.Machine("10.0.0.1", "north").Start()
@@ -30,65 +30,65 @@
 	return client, server
 }
 
-// A close is noticed within an interval, by each who works for that peer and by nobody else; what was stopped hears of none.
-func TestCloseIsNoticed(t *testing.T) {
+// A close cancels all work for that peer within an interval, no work for others, and no work that was stopped before.
+func TestPeerCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client, server := pair(t)
-		_, other := pair(t)
+		client, server := connect(t)
+		_, other := connect(t)
 		w := New(Interval)
 		first, stopFirst := w.Context(server)
 		second, stopSecond := w.Context(server)
 		stopped, stop := w.Context(server)
-		stays, stopStays := w.Context(other)
-		defer stopStays()
+		otherWork, stopOther := w.Context(other)
+		defer stopOther()
 		defer stopSecond()
 		stop()
 		time.Sleep(time.Second)
-		if first.Err() != nil || second.Err() != nil || stays.Err() != nil {
-			t.Fatal("a client that waits counts as gone")
+		if first.Err() != nil || second.Err() != nil || otherWork.Err() != nil {
+			t.Fatal("a waiting client counts as disconnected")
 		}
 		closed := time.Now()
 		client.Close()
 		<-first.Done()
 		<-second.Done()
 		if took := time.Since(closed); took > Interval+10*time.Millisecond {
-			t.Errorf("noticed after %v", took)
+			t.Errorf("detected after %v", took)
 		}
-		if !PeerClosed(first) || !PeerClosed(second) || PeerClosed(stopped) || PeerClosed(stays) {
-			t.Errorf("causes: %v, %v, %v, %v", context.Cause(first), context.Cause(second), context.Cause(stopped), context.Cause(stays))
+		if !PeerClosed(first) || !PeerClosed(second) || PeerClosed(stopped) || PeerClosed(otherWork) {
+			t.Errorf("causes: %v, %v, %v, %v", context.Cause(first), context.Cause(second), context.Cause(stopped), context.Cause(otherWork))
 		}
-		stopFirst() // again, after it ended by itself
+		stopFirst() // again, after the close ended the watch
 	})
 }
 
 // Bytes of a next request hide a close until they are read, and a watcher without work has no timer.
-func TestBytesHideAClose(t *testing.T) {
+func TestUnreadBytesHideClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client, server := pair(t)
+		client, server := connect(t)
 		w := New(Interval)
 		ctx, stop := w.Context(server)
 		client.Write([]byte("GET"))
 		client.Close()
 		time.Sleep(time.Second)
 		if ctx.Err() != nil {
-			t.Error("bytes wait, and it counts as gone")
+			t.Error("disconnected, though bytes are unread")
 		}
 		server.Read(make([]byte, 8))
 		time.Sleep(2 * Interval)
 		if !PeerClosed(ctx) {
-			t.Error("the close is not noticed behind the bytes")
+			t.Error("the close behind the bytes is not detected")
 		}
 		stop()
 		if w.ticking || len(w.watched) > 0 {
-			t.Error("it ticks on")
+			t.Error("the watcher still has a timer or a watch")
 		}
 	})
 }
 
-// Watches that come and go while others look leave nothing behind.
-func TestComeAndGo(t *testing.T) {
+// Concurrent watches that start and stop leave nothing behind.
+func TestConcurrentWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, server := pair(t)
+		_, server := connect(t)
 		w := New(Interval)
 		done := make(chan error)
 		for i := range 50 {
@@ -108,7 +108,7 @@
 		}
 		time.Sleep(2 * Interval)
 		if w.ticking || len(w.watched) > 0 {
-			t.Errorf("%d are watched, ticking %v", len(w.watched), w.ticking)
+			t.Errorf("%d watches left, ticking %v", len(w.watched), w.ticking)
 		}
 	})
 }
--- a/internal/links/pool.go
+++ b/internal/links/pool.go
@@ -1,5 +1,5 @@
-// Package links is a pool of TCP connections to backends: dialled within a limit, kept while they rest, looked at before they
-// are used again. It reads and writes nothing. Start reading at Pool.
+// Package links implements a pool of TCP connections to backends: dialed within a limit, kept while idle, and checked before they are
+// reused. The pool itself neither reads nor writes. Start reading at Pool.
 package links
 
 import (
@@ -15,74 +15,75 @@
 	"saltmast/internal/sock"
 )
 
-// Pool holds connections by key, which stands for a backend. It is no http.Transport since that sends a request again by
-// itself when a reused connection turns out dead, which may run its effect twice.
+// Pool holds connections by key; a key stands for a backend. It replaces http.Transport, which resends a request by itself when a
+// reused connection turns out to be dead, and may so execute it twice. A Pool is safe for concurrent use.
 //
-// Nothing reads an idle connection: what comes on it answers no request, and must not pass for the answer
-// to the next one. It is looked at when it is taken, and dropped if anything has come.
+// Nothing reads an idle connection. Bytes that arrive on one answer no request and must not be taken for the answer to the next one:
+// Get checks a connection and drops it if anything has arrived.
 type Pool struct {
-	// Control sets options on the socket of each connection that is dialled, before it connects; an error fails the dial. nil:
-	// none are set. It is set before the first use.
+	// Control sets options on the socket of each dialed connection before it connects; an error fails the dial. It may be nil, and
+	// must be set before the first use.
 	Control func(fd uintptr) error
-	// Net, where it is not nil, has the connections dialled, with Quiet, and Control is not used. It is set before the first use.
+	// Net, if not nil, dials the connections, with Quiet as its argument, and Control is not used. Both must be set before the first
+	// use.
 	Net   sock.Net
 	Quiet time.Duration
-	// Now is the clock by which connections rest; nil: time.Now. It is set before the first use.
+	// Now is the clock for idle times; nil means time.Now. It must be set before the first use.
 	Now func() time.Time
 
-	mu      sync.Mutex
-	maxIdle time.Duration // idle for longer, a connection is closed: before the backend does
-	limit   int           // connections at the most; 0: no limit
-	dialer  net.Dialer
-	open    int
-	lent    int               // connections whose long answers go on to their clients: they count among these, not in open
-	groups  map[string]*group // by key, while it has connections
-	timer   *time.Timer       // of the sweep; nil: there was none yet
-	due     time.Time         // of the next sweep; zero: none is to come
+	mu        sync.Mutex
+	maxIdle   time.Duration // after which an idle connection is closed: before the backend closes it
+	limit     int           // of open connections; 0: no limit
+	dialer    net.Dialer
+	open      int               // connections open or being dialed, without those streaming
+	streaming int               // connections whose long answers are being passed on to clients
+	groups    map[string]*group // by key, while it has connections
+	timer     *time.Timer       // of the sweep; nil before the first
+	due       time.Time         // of the next sweep; zero if none is scheduled
 }
 
-// group is what is open to one backend. A retired one is no longer in the pool: the connections of it that
-// are in use close when they are done.
+// group is the connections to one backend. A retired group is no longer in the pool: its connections in use are closed when they are
+// given back.
 type group struct {
 	key     string
-	idle    []*Conn // the last used comes last
-	open    int     // idle, in use and being dialled
+	idle    []*Conn // most recently used last
+	open    int     // idle, in use and being dialed
 	retired bool
 }
 
-// Conn is one connection. Whoever takes or dials it has it alone, and gives it back by Release, ReleaseFor or Close of its pool;
-// its own Close would leave it in the pool's count.
+// Conn is one connection. The caller of Get or Dial has exclusive use of it and gives it back with Release, ReleaseFor or Close of the
+// pool; the Conn's own Close would leave it in the pool's count.
 type Conn struct {
 	net.Conn
-	LastUser string // of its users, to know the last request on it by; the pool does not look at it
+	LastUser string // set by users to identify the last request on the connection; not used by the pool
 	group    *group
-	since    time.Time     // idle from then on
-	rest     time.Duration // that it may be idle for
+	since    time.Time     // when it was last given back
+	maxIdle  time.Duration // how long it may be idle
 	closed   bool          // guarded by Pool.mu
-	keep     func() bool   // ends what CloseOn began, and reports whether it is still open; nil: nothing was begun
+	cancel   func() bool   // undoes CloseOnDone, and reports whether the connection is still open; nil if CloseOnDone was not called
 }
 
-// CloseOnDone has the end of ctx close the connection until it is given back: whoever reads or writes there fails. One that was closed
-// so is not taken up again. It is called once at the most each time that the connection is taken or dialled.
+// CloseOnDone closes the connection when ctx ends before the connection is given back, so that its reads and writes fail. The pool
+// does not reuse a connection closed in this way. It may be called once after each Get or Dial.
 func (c *Conn) CloseOnDone(ctx context.Context) {
-	c.keep = context.AfterFunc(ctx, func() { c.Conn.Close() })
+	c.cancel = context.AfterFunc(ctx, func() { c.Conn.Close() })
 }
 
-// settle ends what CloseOn began, and reports whether the connection is still open.
-func (c *Conn) settle() bool {
-	open := c.keep == nil || c.keep()
-	c.keep = nil
+// cancelClose undoes CloseOnDone, and reports whether the connection is still open.
+func (c *Conn) cancelClose() bool {
+	open := c.cancel == nil || c.cancel()
+	c.cancel = nil
 	return open
 }
 
-// Key is the key that it was dialled for.
+// Key returns the key for which the connection was dialed.
 func (c *Conn) Key() string { return c.group.key }
 
-// IdleSince is when it was given back last; zero: it is freshly dialled.
+// IdleSince returns when the connection was last given back, or the zero time if it is freshly dialed.
 func (c *Conn) IdleSince() time.Time { return c.since }
 
-// New returns an empty pool. A connection that has been idle for maxIdle is closed; a dial takes connectTimeout at the most; and
-// limit connections are open at the most, 0: no limit.
+// New returns an empty pool. Connections idle for maxIdle are closed, a dial takes at most connectTimeout, and at most limit
+// connections are open at once; 0 means no limit.
 func New(maxIdle, connectTimeout time.Duration, limit int) *Pool {
 	return &Pool{maxIdle: maxIdle, limit: limit, groups: map[string]*group{},
 		dialer: net.Dialer{Timeout: connectTimeout, KeepAlive: -1}}
@@ -95,15 +96,15 @@
 	return time.Now()
 }
 
-// Get gives the most recently used idle connection by a key that is good; nil: there is none.
+// Get returns the most recently used idle connection of a key that is still usable, or nil if there is none.
 func (p *Pool) Get(key string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for g := p.groups[key]; g != nil && len(g.idle) > 0; {
 		c := g.idle[len(g.idle)-1]
 		g.idle = g.idle[:len(g.idle)-1]
-		// Guards against an end that nobody has seen, and against bytes behind the last answer.
-		if quiet, _ := sock.Look(c.Conn); quiet && p.now().Sub(c.since) < min(p.maxIdle, c.rest) {
+		// Guards against a close that went unnoticed, and against bytes after the last answer.
+		if quiet, _ := sock.Look(c.Conn); quiet && p.now().Sub(c.since) < min(p.maxIdle, c.maxIdle) {
 			return c
 		}
 		p.drop(c)
@@ -111,9 +112,9 @@
 	return nil
 }
 
-// Dial opens a connection to an address, within the pool's limit and time-out, by cut and while ctx lasts. At the limit the one
-// that has been idle for longest closes for it; none being idle is an error too.
-func (p *Pool) Dial(ctx context.Context, key, addr string, cut time.Time) (*Conn, error) {
+// Dial opens a connection to an address, within the pool's limit and timeout, before the deadline and while ctx lasts. At the limit it
+// closes the longest idle connection first, and fails if none is idle.
+func (p *Pool) Dial(ctx context.Context, key, addr string, deadline time.Time) (*Conn, error) {
 	p.mu.Lock()
 	if p.limit > 0 && p.open >= p.limit && !p.evict() {
 		p.mu.Unlock()
@@ -128,50 +129,50 @@
 	p.open++
 	d := p.dialer
 	p.mu.Unlock()
-	d.Deadline = cut
+	d.Deadline = deadline
 	if p.Control != nil {
 		d.Control = p.control
 	}
-	nc, err := p.dial(ctx, d, addr)
+	conn, err := p.dial(ctx, d, addr)
 	if err != nil {
 		p.mu.Lock()
 		p.forget(g)
 		p.mu.Unlock()
 		return nil, err
 	}
-	return &Conn{Conn: nc, group: g}, nil
+	return &Conn{Conn: conn, group: g}, nil
 }
 
 func (p *Pool) dial(ctx context.Context, d net.Dialer, addr string) (net.Conn, error) {
 	if p.Net == nil {
 		return d.DialContext(ctx, "tcp", addr)
 	}
-	end := time.Now().Add(d.Timeout)
-	if !d.Deadline.IsZero() && d.Deadline.Before(end) {
-		end = d.Deadline
+	deadline := time.Now().Add(d.Timeout)
+	if !d.Deadline.IsZero() && d.Deadline.Before(deadline) {
+		deadline = d.Deadline
 	}
-	ctx, cancel := context.WithDeadline(ctx, end)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	return p.Net.Dial(ctx, addr, p.Quiet)
 }
 
-// control has Control see the socket of a dial.
+// control calls Control on the socket of a dial.
 func (p *Pool) control(_, _ string, c syscall.RawConn) error {
-	var failed error
-	if err := c.Control(func(fd uintptr) { failed = p.Control(fd) }); err != nil {
+	var controlErr error
+	if err := c.Control(func(fd uintptr) { controlErr = p.Control(fd) }); err != nil {
 		return err
 	}
-	return failed
+	return controlErr
 }
 
-// SetTimeouts sets how long connections may rest, and dials may take, from now on.
+// SetTimeouts sets how long connections may be idle and dials may take from now on.
 func (p *Pool) SetTimeouts(maxIdle, connectTimeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxIdle, p.dialer.Timeout = maxIdle, connectTimeout
 }
 
-// SetLimit sets the limit; 0: none. Idle connections beyond it close; those in use close when more are wanted.
+// SetLimit sets the limit; 0 means none. Idle connections beyond it are closed now, those in use when they are given back.
 func (p *Pool) SetLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -180,7 +181,7 @@
 	}
 }
 
-// evict closes the connection that has been idle for longest. The caller holds p.mu.
+// evict closes the longest idle connection, and reports whether there was one. The caller holds p.mu.
 func (p *Pool) evict() bool {
 	var oldest *Conn
 	for _, g := range p.groups {
@@ -196,28 +197,28 @@
 	return true
 }
 
-// Release puts back a connection on which nothing is under way.
+// Release returns a connection to the pool. No request may be in progress on it.
 func (p *Pool) Release(c *Conn) { p.ReleaseFor(c, math.MaxInt64) }
 
-// ReleaseFor is Release for a connection that may be idle for so long at the most, as its server has announced it; the pool's
-// own bound holds too. One that may not rest at all is closed.
-func (p *Pool) ReleaseFor(c *Conn, rest time.Duration) {
+// ReleaseFor is like Release for a connection that its server keeps open for at most maxIdle; the pool's own bound applies too. If
+// maxIdle is not above 0, the connection is closed.
+func (p *Pool) ReleaseFor(c *Conn, maxIdle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.closed {
 		return
 	}
-	if !c.settle() || rest <= 0 || c.group.retired || p.limit > 0 && p.open > p.limit {
+	if !c.cancelClose() || maxIdle <= 0 || c.group.retired || p.limit > 0 && p.open > p.limit {
 		p.drop(c)
 		return
 	}
 	c.SetDeadline(time.Time{})
-	c.since, c.rest = p.now(), rest
+	c.since, c.maxIdle = p.now(), maxIdle
 	c.group.idle = append(c.group.idle, c)
-	p.sweepIn(c.since, min(p.maxIdle, rest))
+	p.sweepIn(c.since, min(p.maxIdle, maxIdle))
 }
 
-// sweepIn sees to it that connections which are idle for too long are closed, in d from now or before. The caller holds p.mu.
+// sweepIn schedules a sweep in d from now unless an earlier one is due. The caller holds p.mu.
 func (p *Pool) sweepIn(now time.Time, d time.Duration) {
 	due := now.Add(d)
 	switch {
@@ -231,6 +232,7 @@
 	p.due = due
 }
 
+// sweep closes connections that have been idle for too long, and schedules the next sweep if any are left idle.
 func (p *Pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -239,7 +241,7 @@
 	next := time.Duration(-1)
 	for _, g := range p.groups {
 		g.idle = slices.DeleteFunc(g.idle, func(c *Conn) bool {
-			left := min(p.maxIdle, c.rest) - now.Sub(c.since)
+			left := min(p.maxIdle, c.maxIdle) - now.Sub(c.since)
 			if left <= 0 {
 				p.drop(c)
 				return true
@@ -255,45 +257,45 @@
 	}
 }
 
-// Close ends a connection that was taken or dialled.
+// Close closes a connection obtained from Get or Dial.
 func (p *Pool) Close(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.drop(c)
 }
 
-// BeginStreaming takes a connection off the count while its answer goes on to a client who may take his time; Settle ends that. Guards
-// against slow readers that hold all connections to backends: short requests found none.
+// BeginStreaming takes a connection off the count while its answer is passed on to a client that may read slowly, until EndStreaming.
+// Guards against slow readers that occupy all connections to backends: short requests found none.
 func (p *Pool) BeginStreaming() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
-	p.lent++
+	p.streaming++
 }
 
-// EndStreaming puts a connection that was lent back on the count.
+// EndStreaming puts a connection back on the count after BeginStreaming.
 func (p *Pool) EndStreaming() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open++
-	p.lent--
+	p.streaming--
 }
 
-// OpenCount is how many connections are open or being dialled, without those that are lent.
+// OpenCount returns the number of connections open or being dialed, without those streaming.
 func (p *Pool) OpenCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// Streaming is how many are lent.
+// Streaming returns the number of connections between BeginStreaming and EndStreaming.
 func (p *Pool) Streaming() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lent
+	return p.streaming
 }
 
-// IdleCount is how many connections by a key are idle.
+// IdleCount returns the number of idle connections of a key.
 func (p *Pool) IdleCount(key string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -303,18 +305,18 @@
 	return 0
 }
 
-// drop closes a connection that is in no list and forgets it. The caller holds p.mu.
+// drop closes a connection that is in no idle list and takes it off the count. The caller holds p.mu.
 func (p *Pool) drop(c *Conn) {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	c.settle()
+	c.cancelClose()
 	c.Close()
 	p.forget(c.group)
 }
 
-// forget takes one connection off the count; a backend's last takes its group along. The caller holds p.mu.
+// forget takes one connection off the count, and removes its group if that was the last. The caller holds p.mu.
 func (p *Pool) forget(g *group) {
 	p.open--
 	if g.open--; g.open == 0 && p.groups[g.key] == g {
@@ -322,8 +324,8 @@
 	}
 }
 
-// Retire ends the use of all connections by the key of a backend that drains, is gone or was started again:
-// those in use close when they are done.
+// Retire stops the use of all connections of the key of a backend that drains, is gone or has restarted: idle ones are closed now,
+// those in use when they are given back.
 func (p *Pool) Retire(key string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -334,21 +336,21 @@
 	}
 }
 
-// CloseIdle closes the idle connections by a key. One in use that still brings an answer is good.
+// CloseIdle closes the idle connections of a key. Those in use may still deliver an answer and stay open.
 func (p *Pool) CloseIdle(key string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dropIdle(p.groups[key], p.now())
 }
 
-// CloseIdleBefore closes those that have been idle since then or longer.
+// CloseIdleBefore closes the connections of a key that have been idle since then or longer.
 func (p *Pool) CloseIdleBefore(key string, then time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dropIdle(p.groups[key], then)
 }
 
-// dropIdle closes what has been idle since then or longer. The caller holds p.mu.
+// dropIdle closes the connections of a group that have been idle since then or longer. The group may be nil. The caller holds p.mu.
 func (p *Pool) dropIdle(g *group, then time.Time) {
 	for g != nil && len(g.idle) > 0 && !g.idle[0].since.After(then) {
 		c := g.idle[0]
