--- a/internal/proxy/partialnews.go
+++ b/internal/proxy/partialnews.go
@@ -5,24 +5,24 @@
 	"saltmast/internal/messages"
 )
 
-// partialNews is how far one source has told, in several answers. Entries of the table are news as they come: each is whole by itself,
-// and none is taken out because it was not told. Nothing of the items is news until all are there: what comes into force is
-// one value that was chosen, whole.
+// partialNews is the progress of receiving the state of one source in several answers. Entries of the backend table are applied as they
+// arrive: each is complete by itself, and none is removed because it was not sent. Items are applied only when all have arrived: the
+// configuration that comes into force is always one chosen value, as a whole.
 type partialNews struct {
 	life        uint64 // of the source
-	at          uint64 // its change up to which all entries were told
-	moreEntries bool   // there are more
+	revision    uint64 // of the source's table, up to which all entries were received
+	moreEntries bool   // the source has more entries
 	items       []configuration.Item
-	snapshot    bool             // they are all that stand
-	cursor      *messages.Cursor // where the next part goes on; nil: nothing is under way
+	snapshot    bool             // items are the whole configuration, not changes
+	cursor      *messages.Cursor // where the next part of the items starts; nil if none is outstanding
 }
 
-// add takes an answer. Items of a part are kept back, and told by the last one, which names what was chosen.
+// add adds an answer. It withholds the items of a part from n; the last part, which carries the ballot chosen, gets them all.
 func (p *partialNews) add(n *messages.News) {
-	if n.Whole || p.life != n.Life || p.cursor == nil { // it tells from the beginning
+	if n.Whole || p.life != n.Life || p.cursor == nil { // the items start anew
 		p.items, p.snapshot = nil, n.Whole
 	}
-	p.life, p.at, p.moreEntries, p.cursor = n.Life, n.At, n.More, n.Cursor
+	p.life, p.revision, p.moreEntries, p.cursor = n.Life, n.At, n.More, n.Cursor
 	p.items = append(p.items, n.Items...)
 	if p.cursor != nil {
 		n.Items, n.Whole = nil, false
@@ -31,43 +31,44 @@
 	n.Items, n.Whole, p.items = p.items, p.snapshot, nil
 }
 
-// continueCall has a call go on behind the last answer.
+// continueCall makes a call continue after the last answer.
 func (p *partialNews) continueCall(call *messages.PullCall) {
-	call.Life, call.At, call.Cursor = p.life, p.at, p.cursor
+	call.Life, call.At, call.Cursor = p.life, p.revision, p.cursor
 }
 
-// sources are how far each source that was asked has told its table, by address: who comes back to one goes on there.
+// sources is the progress by address of each source that was asked, so that a return to one continues there.
 type sources map[string]partialNews
 
-// maxSources bounds them.
+// maxSources bounds the number of sources remembered.
 const maxSources = 64
 
+// store remembers the progress of the table entries of a source; received items are not kept.
 func (s sources) store(addr string, p *partialNews) {
 	if _, ok := s[addr]; !ok && len(s) >= maxSources {
 		clear(s)
 	}
-	s[addr] = partialNews{life: p.life, at: p.at}
+	s[addr] = partialNews{life: p.life, revision: p.revision}
 }
 
-// applyItems is what stands once news is taken whose ballot is higher than what was in force. A proxy keeps no tombstones: its
-// ballot alone keeps older news out. bare is the last ballot that one may have had.
-func applyItems(stands configuration.Set, bare configuration.Ballot, n messages.News) (configuration.Set, configuration.Ballot) {
+// applyItems returns the configuration after news with a higher ballot than the one in force. A proxy keeps no tombstones: its ballot
+// alone rejects older news. pruned is the highest ballot that a removed tombstone may have had.
+func applyItems(items configuration.Set, pruned configuration.Ballot, n messages.News) (configuration.Set, configuration.Ballot) {
 	if n.Whole {
-		stands, bare = stands.Moved(configuration.SetOf(n.Items...)), n.Chosen
+		items, pruned = items.Moved(configuration.SetOf(n.Items...)), n.Chosen
 	} else {
-		stands = stands.With(n.Items...)
+		items = items.With(n.Items...)
 	}
-	var gone []configuration.Key
-	for _, i := range n.Items {
-		if !i.Dropped {
+	var dropped []configuration.Key
+	for _, item := range n.Items {
+		if !item.Dropped {
 			continue
 		}
-		if bare.Less(i.Ballot) {
-			bare = i.Ballot
+		if pruned.Less(item.Ballot) {
+			pruned = item.Ballot
 		}
-		if now, _ := stands.Get(i.Key); now.Dropped { // and not made anew in a later part
-			gone = append(gone, i.Key)
+		if now, _ := items.Get(item.Key); now.Dropped { // and not created again in a later part
+			dropped = append(dropped, item.Key)
 		}
 	}
-	return stands.Without(gone...), bare
+	return items.Without(dropped...), pruned
 }
--- a/internal/proxy/partialnews_test.go
+++ b/internal/proxy/partialnews_test.go
@@ -15,68 +15,68 @@
 	"saltmast/internal/messages"
 )
 
-// While the configuration and the table change and a proxy goes from one source to another and back, some of them behind or begun
-// anew, what it puts in force is always one value that was chosen, whole, and never an older one; and once a source says that
-// there are no more entries, there is none that it has and this one lacks.
-func TestPartsAreOneWhole(t *testing.T) {
+// While the configuration and the table change and a proxy switches between sources, some of which lag behind or restart, the proxy
+// always has one whole chosen configuration in force, never an older one than before; and once a source reports no more entries, the
+// proxy lacks none that the source has.
+func TestPartialNews(t *testing.T) {
 	spec := bytes.Repeat([]byte("x"), messages.PartBytes/3) // a few items fill a message
-	release := strings.Repeat("x", messages.PartBytes/7)    // and a few entries
+	release := strings.Repeat("x", messages.PartBytes/7)    // and so do a few entries
 	history := func(t *rapid.T) {
-		b := func(n int) configuration.Ballot { return configuration.Ballot{N: uint64(n), By: uint32(n % 3)} }
-		chosen := []configuration.Set{{}} // by ballot
+		ballot := func(n int) configuration.Ballot { return configuration.Ballot{N: uint64(n), By: uint32(n % 3)} }
+		chosen := []configuration.Set{{}} // by ballot number
 		change := func(items int) {
-			var is []configuration.Item
+			var changes []configuration.Item
 			n := len(chosen)
 			for range items {
-				i := configuration.Item{Key: configuration.Key{Name: fmt.Sprint(rapid.IntRange(0, 7).Draw(t, "key"))}, Version: configuration.Version(n), Ballot: b(n),
+				item := configuration.Item{Key: configuration.Key{Name: fmt.Sprint(rapid.IntRange(0, 7).Draw(t, "key"))}, Version: configuration.Version(n), Ballot: ballot(n),
 					Dropped: rapid.IntRange(0, 2).Draw(t, "dropped") == 0}
-				if !i.Dropped {
-					i.Spec = spec
+				if !item.Dropped {
+					item.Spec = spec
 				}
-				is = append(is, i)
+				changes = append(changes, item)
 			}
-			chosen = append(chosen, chosen[n-1].With(is...))
+			chosen = append(chosen, chosen[n-1].With(changes...))
 		}
 		change(12)
-		knows := []int{1, 1}                           // what two harbourmasters heard of last, at places 1 and 2
-		lives := []uint64{0, 1, 2, 3}                  // by place
-		proxy, own := newProxyState(), newProxyState() // a source at place 3 that keeps no tombstones; the one that is looked at
-		tables := []*backends.Table{nil, backends.New(), backends.New(), proxy.table}
+		latest := []int{1, 1}                            // ballot number of two registries, which are sources 1 and 2
+		lives := []uint64{0, 1, 2, 3}                    // by source
+		other, proxy := newProxyState(), newProxyState() // source 3, which keeps no tombstones; the proxy under test
+		tables := []*backends.Table{nil, backends.New(), backends.New(), other.table}
 		versions := uint64(0)
-		moor := func() {
+		changeEntry := func() {
 			versions++
 			tables[1].Merge(backends.Backend{Node: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "node")), Addr: "a", Version: versions, Release: release})
 		}
 		for range 8 {
-			moor()
+			changeEntry()
 		}
-		call := func(at uint64, to *proxyState) { // of one message
-			n := messages.News{Life: lives[at]}
-			var m messages.PullCall
-			m.Have = to.chosen
-			to.news.continueCall(&m)
-			if at == 3 {
-				n.Tell(m, proxy.table, proxy.chosen, proxy.items, proxy.prunedBallot)
+		call := func(source uint64, to *proxyState) { // pulls one message
+			n := messages.News{Life: lives[source]}
+			var c messages.PullCall
+			c.Have = to.chosen
+			to.news.continueCall(&c)
+			if source == 3 {
+				n.Tell(c, other.table, other.chosen, other.items, other.prunedBallot)
 			} else {
-				k := knows[at-1]
-				n.Tell(m, tables[at], b(k), chosen[k], configuration.Ballot{})
+				k := latest[source-1]
+				n.Tell(c, tables[source], ballot(k), chosen[k], configuration.Ballot{})
 			}
 			size := 0
-			for _, i := range n.Items {
-				size += len(i.Spec)
+			for _, item := range n.Items {
+				size += len(item.Spec)
 			}
-			for _, x := range n.Berths {
-				size += len(x.Release)
-				to.table.Merge(x)
+			for _, b := range n.Berths {
+				size += len(b.Release)
+				to.table.Merge(b)
 			}
 			if size > messages.PartBytes {
 				t.Fatalf("a message of %d bytes", size)
 			}
 			to.news.add(&n)
-			to.sources.store(fmt.Sprint(at), &to.news)
-			for _, x := range tables[at].All() {
-				if have, _ := to.table.Get(x.Node); !n.More && have.Version < x.Version {
-					t.Fatalf("no more entries, and %s is %d, not %d", x.Node, have.Version, x.Version)
+			to.sources.store(fmt.Sprint(source), &to.news)
+			for _, b := range tables[source].All() {
+				if have, _ := to.table.Get(b.Node); !n.More && have.Version < b.Version {
+					t.Fatalf("no more entries, but %s has version %d, not %d", b.Node, have.Version, b.Version)
 				}
 			}
 			if to.chosen.Less(n.Chosen) {
@@ -84,85 +84,85 @@
 				to.items, to.prunedBallot = applyItems(to.items, to.prunedBallot, n)
 			}
 			var want []configuration.Item
-			for i := range chosen[to.chosen.N].All() {
-				if !i.Dropped {
-					want = append(want, i)
+			for item := range chosen[to.chosen.N].All() {
+				if !item.Dropped {
+					want = append(want, item)
 				}
 			}
 			if have := slices.Collect(to.items.All()); !reflect.DeepEqual(have, want) {
-				t.Fatalf("ballot %d: %v, and %v were chosen", to.chosen.N, itemNames(have), itemNames(want))
+				t.Fatalf("ballot %d: have %v, chosen %v", to.chosen.N, itemNames(have), itemNames(want))
 			}
 		}
-		at := uint64(1)
-		if rapid.Bool().Draw(t, "begun") {
+		source := uint64(1)
+		if rapid.Bool().Draw(t, "started") {
 			for range 5 {
-				call(1, &own)
-			}
-		} else if rapid.Bool().Draw(t, "the proxy begun") {
-			for at = 3; proxy.chosen.IsZero(); {
 				call(1, &proxy)
 			}
+		} else if rapid.Bool().Draw(t, "other started") {
+			for source = 3; other.chosen.IsZero(); {
+				call(1, &other)
+			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
-				knows[0] = len(chosen) // the one that the proxy hears knows most
+				latest[0] = len(chosen) // registry 1, from which the other proxy pulls, has the newest configuration
 				change(rapid.IntRange(0, 4).Draw(t, "items"))
 			case 1:
-				s := rapid.IntRange(0, 1).Draw(t, "hears")
-				knows[s] = rapid.IntRange(knows[s], len(chosen)-1).Draw(t, "of")
+				s := rapid.IntRange(0, 1).Draw(t, "registry")
+				latest[s] = rapid.IntRange(latest[s], len(chosen)-1).Draw(t, "ballot")
 			case 2:
 				for range rapid.IntRange(1, 5).Draw(t, "calls") {
-					call(1, &proxy)
+					call(1, &other)
 				}
 			case 3:
-				if at = rapid.Uint64Range(1, 3).Draw(t, "goes to"); rapid.Bool().Draw(t, "anew") {
-					own.news = own.sources[fmt.Sprint(at)] // another connection; without it, the source is another life at the same address
+				if source = rapid.Uint64Range(1, 3).Draw(t, "source"); rapid.Bool().Draw(t, "reconnects") {
+					proxy.news = proxy.sources[fmt.Sprint(source)] // a new connection; otherwise the source is another life at the same address
 				}
 			case 7:
 				for range rapid.IntRange(1, 5).Draw(t, "entries") {
-					moor()
+					changeEntry()
 				}
-			case 8: // another harbourmaster hears of some of them
+			case 8: // the other registry receives some of the entries
 				entries, _, _ := tables[1].Page(0, rapid.IntRange(1, messages.PartBytes).Draw(t, "bytes"))
-				for _, x := range entries {
-					tables[2].Merge(x)
+				for _, b := range entries {
+					tables[2].Merge(b)
 				}
-			case 9: // a harbourmaster begins anew, and hears of the other's table first
-				s := rapid.IntRange(1, 2).Draw(t, "anew")
+			case 9: // a registry restarts and first receives the table of the other one
+				s := rapid.IntRange(1, 2).Draw(t, "restarted")
 				lives[s] += 10
 				all := tables[3-s].All()
 				tables[s] = backends.New()
-				for _, x := range all {
-					tables[s].Merge(x)
+				for _, b := range all {
+					tables[s].Merge(b)
 				}
 			default:
 				for range rapid.IntRange(1, 3).Draw(t, "calls") {
-					call(at, &own)
+					call(source, &proxy)
 				}
 			}
 		}
-		for range 20 { // in calm times it comes to its end
-			call(at, &own)
+		for range 20 { // without changes the transfer completes
+			call(source, &proxy)
 		}
-		if last := []configuration.Ballot{b(knows[0]), b(knows[1]), proxy.chosen}[at-1]; own.chosen.Less(last) || own.news.cursor != nil || own.news.moreEntries {
-			t.Fatalf("ballot %d of %d, or still in parts", own.chosen.N, last.N)
+		if last := []configuration.Ballot{ballot(latest[0]), ballot(latest[1]), other.chosen}[source-1]; proxy.chosen.Less(last) || proxy.news.cursor != nil || proxy.news.moreEntries {
+			t.Fatalf("ballot %d, want %d, or the transfer is incomplete", proxy.chosen.N, last.N)
 		}
 	}
-	for range 4 { // some wrong programs show in one history of several hundred
+	for range 4 { // some faults show in one of several hundred histories
 		rapid.Check(t, history)
 	}
 }
 
-// itemNames names items by key and ballot.
+// itemNames returns the key and ballot number of each item.
 func itemNames(items []configuration.Item) (out []string) {
-	for _, i := range items {
-		out = append(out, fmt.Sprint(i.Key.Name, "@", i.Ballot.N))
+	for _, item := range items {
+		out = append(out, fmt.Sprint(item.Key.Name, "@", item.Ballot.N))
 	}
 	return out
 }
 
-// proxyState is what a proxy holds.
+// proxyState is the state of a proxy that pulls.
 type proxyState struct {
 	chosen, prunedBallot configuration.Ballot
 	items                configuration.Set
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy is the proxy of the mesh as a program: it takes its backend's beats, pulls news from a harbourmaster, carries
-// the traffic by package dataplane and says whether it is ready. Start reading at Start.
+// Package proxy implements the sidecar proxy as a program: it receives its backend's heartbeats, pulls updates from a registry, carries
+// traffic with package dataplane and answers readiness probes. Start reading at Start.
 package proxy
 
 import (
@@ -28,13 +28,13 @@
 	"saltmast/internal/sock"
 )
 
-// Proxy is one proxy.
+// Proxy is one running proxy.
 type Proxy struct {
 	settings   atomic.Pointer[settings.Settings]
 	log        func(event, text string)
 	network    sock.Net
 	dataPlane  *dataplane.DataPlane
-	council    *quorum.Council
+	quorum     *quorum.Council
 	membership *transport.Masthead
 	life       uint64
 
@@ -43,15 +43,15 @@
 	table        *backends.Table
 	items        configuration.Set
 	chosen       configuration.Ballot
-	prunedBallot configuration.Ballot // tombstones up to this one are no more in stands
-	changed      chan struct{}        // holds one when this proxy has something to tell
-	lastMajority time.Time            // a harbourmaster that had heard a majority
-	complete     bool                 // such a one has told all that there is
-	relayed      []backends.Backend   // of proxies that reach no harbourmaster, to be told on
-	pullAll      bool                 // the next pull asks for all: something was dropped that is back
-	sources      sources              // of the goroutine that pulls
-	avoidedSince map[string]time.Time // harbourmasters, and when they were left as they heard no majority
-	allAsked     bool                 // all harbourmasters that are known were asked: what one that hears no majority has is the best there is
+	prunedBallot configuration.Ballot // tombstones up to this ballot are no longer in items
+	changed      chan struct{}        // has an element when this proxy has something to report
+	lastMajority time.Time            // when the registry behind the latest updates last had contact with a majority
+	complete     bool                 // a registry in contact with a majority has sent all that there is
+	relayed      []backends.Backend   // entries of proxies that reach no registry, to be passed on
+	pullAll      bool                 // the next pull asks for everything: a node whose entry was dropped is back
+	sources      sources              // used only by the goroutine of pull
+	avoidedSince map[string]time.Time // by registry, when it was left for lack of contact with a majority
+	allAsked     bool                 // every known registry was asked: the configuration of one without contact is the best available
 
 	listeners  []net.Listener
 	servers    []*http.Server
@@ -64,33 +64,33 @@
 
 const (
 	maxPullHold    = 1000 * time.Millisecond
-	pullTimeout    = 500 * time.Millisecond  // beyond what a harbourmaster may hold a pull
-	staleAfterMs   = 1500                    // a harbourmaster that has heard no majority for so long is left for another
-	avoidFor       = 5 * time.Second         // who was left for that comes after the others for so long, and one of another zone is left for one of this
-	contactTimeout = 3000 * time.Millisecond // after which a path with no route may be one of a route that is not known here yet
-	// keyMargin is how much longer than the window keys are known here: what is at work when it ends is not over.
+	pullTimeout    = 500 * time.Millisecond  // beyond the time that a registry may hold a pull
+	staleAfterMs   = 1500                    // a registry that has had no contact with a majority for this long is left for another
+	avoidFor       = 5 * time.Second         // such a registry is tried after the others for this long; also how long a registry of another zone is used
+	contactTimeout = 3000 * time.Millisecond // after which a path without a route may belong to a route that is not known here yet
+	// keyMargin is how much longer than the window keys are kept here: operations in progress at its end are not finished.
 	keyMargin = 20 * time.Second
 )
 
-// Program is the proxy as a program.
+// Program describes the proxy to package process.
 var Program = process.Program{Name: "tug", About: "The proxy of the mesh: carries the requests of one machine.", Last: true,
 	Start: func(s *settings.Settings, log func(event, text string)) (process.Running, error) {
 		return Start(s, log, nil)
 	}}
 
-// Start begins to serve by the settings. on: nil for the system's network.
-func Start(s *settings.Settings, log func(event, text string), on sock.Net) (*Proxy, error) {
-	on = sock.On(on)
-	t := &Proxy{log: log, network: on, council: quorum.New(on), life: process.Life(), table: backends.New(), sources: sources{}, avoidedSince: map[string]time.Time{}, items: configuration.Set{}.Charted(),
+// Start starts a proxy with the given settings. A nil network means the system's.
+func Start(s *settings.Settings, log func(event, text string), network sock.Net) (*Proxy, error) {
+	network = sock.On(network)
+	p := &Proxy{log: log, network: network, quorum: quorum.New(network), life: process.Life(), table: backends.New(), sources: sources{}, avoidedSince: map[string]time.Time{}, items: configuration.Set{}.Charted(),
 		changed: make(chan struct{}, 1), done: make(chan struct{})}
-	t.settings.Store(s)
+	p.settings.Store(s)
 	listen := func(addr string) (net.Listener, error) {
 		if addr == "" {
 			return nil, nil
 		}
-		l, err := on.Listen(addr, 0)
+		l, err := network.Listen(addr, 0)
 		if err == nil {
-			t.listeners = append(t.listeners, l)
+			p.listeners = append(p.listeners, l)
 		}
 		return l, err
 	}
@@ -98,146 +98,149 @@
 	if gateAddr == "" {
 		return nil, fmt.Errorf("%s: %d ephemeral-ports wanted", s.Path, messages.GatePort+1)
 	}
-	answers := 24 << 20
+	answerBytes := 24 << 20
 	if s.MemoryMB > 0 {
-		answers = int(s.MemoryMB * (1 << 20) / 8)
+		answerBytes = int(s.MemoryMB * (1 << 20) / 8)
 	}
-	conns := 0
+	maxConns := 0
 	if s.Descriptors > 0 {
-		conns = s.Descriptors / 2
-	}
-	t.dataPlane = dataplane.New(dataplane.Options{Node: s.NodeName, Zone: s.Zone, Service: s.Service, App: s.AppAddr, GateAddr: gateAddr,
-		Life: t.life, Begun: time.Now(), Heartbeat: s.Heartbeat, Ratio: s.Bounds.RetryRatio, Allowance: s.Bounds.RetryAllowance,
-		Window: s.Bounds.RetryWindow, KeyWindow: s.Bounds.DedupWindow + keyMargin, AnswerBytes: answers, MaxConns: conns, LinkMbps: s.BandwidthMbps,
-		Net: on, Council: t.council, News: t.newsFor, Report: t.report, Vouched: t.hasMajorityContact, Log: log,
-		Heard: func(addr string) { t.membership.Heard(addr) }})
-	t.dataPlane.Gate.OnChange(func(b backends.Backend) {
-		t.dataPlane.Hear(b)
-		t.notify()
+		maxConns = s.Descriptors / 2
+	}
+	p.dataPlane = dataplane.New(dataplane.Options{Node: s.NodeName, Zone: s.Zone, Service: s.Service, App: s.AppAddr, GateAddr: gateAddr,
+		Life: p.life, Begun: time.Now(), Heartbeat: s.Heartbeat, Ratio: s.Bounds.RetryRatio, Allowance: s.Bounds.RetryAllowance,
+		Window: s.Bounds.RetryWindow, KeyWindow: s.Bounds.DedupWindow + keyMargin, AnswerBytes: answerBytes, MaxConns: maxConns, LinkMbps: s.BandwidthMbps,
+		Net: network, Council: p.quorum, News: p.newsFor, Report: p.report, Vouched: p.hasMajorityContact, Log: log,
+		Heard: func(addr string) { p.membership.Heard(addr) }})
+	p.dataPlane.Gate.OnChange(func(b backends.Backend) {
+		p.dataPlane.Hear(b)
+		p.notify()
 	})
-	gate, err := rpc.Listen(on, gateAddr)
+	gate, err := rpc.Listen(network, gateAddr)
 	if err != nil {
 		return nil, fmt.Errorf("gate: %w", err)
 	}
-	t.listeners = append(t.listeners, gate)
-	out, err := listen(s.Listen["outbound"])
-	if err != nil || out == nil {
+	p.listeners = append(p.listeners, gate)
+	outbound, err := listen(s.Listen["outbound"])
+	if err != nil || outbound == nil {
 		return nil, fmt.Errorf("outbound: %w", missingAddress(err))
 	}
 	control, err := listen(s.Listen["control-plane"])
 	if err != nil {
 		return nil, fmt.Errorf("control-plane: %w", err)
 	}
-	ready, err := listen(s.Listen["readiness"])
+	readiness, err := listen(s.Listen["readiness"])
 	if err != nil {
 		return nil, fmt.Errorf("readiness: %w", err)
 	}
-	t.membership = transport.Start(s, messages.RoleTug, messages.RosterTugPort, messages.GatePort, t.life, on, log)
-	t.serveHTTP(control, &controlapi.Port{Beat: t.dataPlane.Gate.Beat, Leave: t.dataPlane.Gate.Leave, Refused: t.refused})
-	t.serveHTTP(ready, &controlapi.Port{Ready: t.ready})
-	go t.dataPlane.ServeGate(gate)
-	go t.dataPlane.Serve(out)
-	go t.pull()
-	go t.watch()
-	return t, nil
+	p.membership = transport.Start(s, messages.RoleTug, messages.RosterTugPort, messages.GatePort, p.life, network, log)
+	p.serveHTTP(control, &controlapi.Port{Beat: p.dataPlane.Gate.Beat, Leave: p.dataPlane.Gate.Leave, Refused: p.refused})
+	p.serveHTTP(readiness, &controlapi.Port{Ready: p.ready})
+	go p.dataPlane.ServeGate(gate)
+	go p.dataPlane.Serve(outbound)
+	go p.pull()
+	go p.watch()
+	return p, nil
 }
 
+// missingAddress returns err, or an error about a missing address if err is nil.
 func missingAddress(err error) error {
 	if err == nil {
-		return fmt.Errorf("no address told")
+		return fmt.Errorf("no address configured")
 	}
 	return err
 }
 
-func (t *Proxy) serveHTTP(l net.Listener, p *controlapi.Port) {
+func (p *Proxy) serveHTTP(l net.Listener, port *controlapi.Port) {
 	if l == nil {
 		return
 	}
-	s := controlapi.Server(p)
-	t.servers = append(t.servers, s)
+	s := controlapi.Server(port)
+	p.servers = append(p.servers, s)
 	go s.Serve(l)
 }
 
-func (t *Proxy) refused(k errcode.Kind, text string) { t.log("refused", text) }
+func (p *Proxy) refused(k errcode.Kind, text string) { p.log("refused", text) }
 
-// ready says whether clients may come: with a configuration, and with all that a harbourmaster had to tell.
-func (t *Proxy) ready() error {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// ready returns nil if clients may connect: the proxy has a configuration and all that a registry had to send.
+func (p *Proxy) ready() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	switch {
-	case t.stopping.Load():
+	case p.stopping.Load():
 		return errcode.New(errcode.Leaving, "")
-	case !t.dataPlane.Configured() || !t.complete:
+	case !p.dataPlane.Configured() || !p.complete:
 		return errcode.New(errcode.NotReady, "")
 	}
 	return nil
 }
 
-// notify has the next pull go out at once.
-func (t *Proxy) notify() {
+// notify makes the next pull go out at once.
+func (p *Proxy) notify() {
 	select {
-	case t.changed <- struct{}{}:
+	case p.changed <- struct{}{}:
 	default:
 	}
 }
 
+// sweepInterval is how often entries of dead machines are dropped from the table.
 const sweepInterval = 10 * time.Second
 
-// watch looks at what comes with time alone, and at what the roster says.
-func (t *Proxy) watch() {
+// watch runs periodic checks and follows changes of the membership.
+func (p *Proxy) watch() {
 	tick := time.NewTicker(dataplane.LookEvery)
 	defer tick.Stop()
 	var changed chan struct{}
-	if t.membership != nil {
-		changed = t.membership.Changed
+	if p.membership != nil {
+		changed = p.membership.Changed
 	}
-	begun := time.Now()
-	swept := begun
+	start := time.Now()
+	swept := start
 	silent := map[string]bool{}
 	for {
 		select {
 		case now := <-tick.C:
-			t.dataPlane.Gate.Watch(now)
+			p.dataPlane.Gate.Watch(now)
 			if now.Sub(swept) >= sweepInterval {
 				swept = now
-				t.sweep(now.Sub(begun))
+				p.sweep(now.Sub(start))
 			}
 		case <-changed:
-		case <-t.done:
+		case <-p.done:
 			return
 		}
-		if now := t.membership.Silent(messages.RoleTug); !maps.Equal(now, silent) {
+		if now := p.membership.Silent(messages.RoleTug); !maps.Equal(now, silent) {
 			silent = now
-			t.dataPlane.Silence(now)
+			p.dataPlane.Silence(now)
 		}
 	}
 }
 
-// sweep drops the entries of machines that are long gone, while this one hears the core and others: one that is cut off knows
-// nothing of who is gone.
-func (t *Proxy) sweep(now time.Duration) {
-	alive := t.membership.Alive(messages.RoleTug)
-	node := t.settings.Load().NodeName
-	t.mu.Lock()
+// sweep drops the entries of machines that have been dead for long. It does so only while this proxy is in contact with the registries
+// and other proxies: one that is cut off can't tell which machines are dead.
+func (p *Proxy) sweep(now time.Duration) {
+	alive := p.membership.Alive(messages.RoleTug)
+	node := p.settings.Load().NodeName
+	p.mu.Lock()
 	var gone []string
-	if !t.membership.Alone() && time.Since(t.lastMajority) < 2*staleAfterMs*time.Millisecond {
-		gone = t.table.Sweep(now, transport.GoneAfter, func(b backends.Backend) bool { return b.Node == node || t.membership.Lives(b.Addr) })
+	if !p.membership.Alone() && time.Since(p.lastMajority) < 2*staleAfterMs*time.Millisecond {
+		gone = p.table.Sweep(now, transport.GoneAfter, func(b backends.Backend) bool { return b.Node == node || p.membership.Lives(b.Addr) })
 	}
-	t.pullAll = t.pullAll || t.table.HasDropped(alive)
-	t.mu.Unlock()
+	p.pullAll = p.pullAll || p.table.HasDropped(alive)
+	p.mu.Unlock()
 	if len(gone) > 0 {
-		t.dataPlane.Drop(gone)
-		t.log("gone", strings.Join(gone, " "))
+		p.dataPlane.Drop(gone)
+		p.log("gone", strings.Join(gone, " "))
 	}
 }
 
-// candidates are the harbourmasters to pull from: of this zone first, then the others and the seeds; behind them those that were left a
-// while ago, as they heard no majority, and last those that the roster says don't answer. The roster's are among them: the seeds may
-// all be down, while others still probe this proxy. good is how many come before those that were left.
-func (t *Proxy) candidates() (all []string, good int) {
-	s := t.settings.Load()
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// candidates returns the registries to pull from: those of this zone first, then the others and the seeds; then those that were left
+// lately for lack of contact with a majority; last those that do not answer according to the membership. The membership's registries
+// are included because the seeds may all be down while others still probe this proxy. good is the number of candidates before those
+// that were left.
+func (p *Proxy) candidates() (all []string, good int) {
+	s := p.settings.Load()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var near, far []string
 	add := func(addr, zone string) {
 		switch {
@@ -248,29 +251,29 @@
 			far = append(far, addr)
 		}
 	}
-	for _, m := range t.registries {
+	for _, m := range p.registries {
 		add(m.Addr, m.Zone)
 	}
-	for _, p := range t.membership.Peers(messages.RoleHarbour) {
-		if p.State.Live() {
-			add(p.Addr, p.Zone)
+	for _, peer := range p.membership.Peers(messages.RoleHarbour) {
+		if peer.State.Live() {
+			add(peer.Addr, peer.Zone)
 		}
 	}
-	for _, x := range s.Seeds {
-		add(messages.Beside(x, s.Ports[0], messages.HarbourPort), "")
+	for _, seed := range s.Seeds {
+		add(messages.Beside(seed, s.Ports[0], messages.HarbourPort), "")
 	}
-	for _, v := range t.council.Roll().Voters { // a harbourmaster that has just begun knows of no other, but it knows who counts
+	for _, v := range p.quorum.Roll().Voters { // a registry that has just started knows no other one, but knows the voters
 		add(messages.Beside(v.Addr, s.Ports[0], messages.HarbourPort), "")
 	}
 	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
 	rand.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
 	all = append(near, far...)
-	silent := t.membership.Silent(messages.RoleHarbour)
-	rank := func(a string) int {
+	silent := p.membership.Silent(messages.RoleHarbour)
+	rank := func(addr string) int {
 		switch {
-		case silent[a]:
+		case silent[addr]:
 			return 2
-		case time.Since(t.avoidedSince[a]) < avoidFor:
+		case time.Since(p.avoidedSince[addr]) < avoidFor:
 			return 1
 		}
 		return 0
@@ -282,100 +285,101 @@
 	return all, good
 }
 
-// hasAlternative reports whether there is a harbourmaster to go to that may hear a majority, while this one doesn't.
-func (t *Proxy) hasAlternative(addr string) bool {
-	all, good := t.candidates()
+// hasAlternative reports whether another registry than addr may have contact with a majority.
+func (p *Proxy) hasAlternative(addr string) bool {
+	all, good := p.candidates()
 	return slices.ContainsFunc(all[:good], func(a string) bool { return a != addr })
 }
 
-// pull keeps pulling, from one harbourmaster as long as it answers and has heard a majority, else from the next.
-func (t *Proxy) pull() {
+// pull pulls until the proxy ends: from one registry as long as it answers and has contact with a majority, else from the next.
+func (p *Proxy) pull() {
 	asked := map[string]bool{}
-	for !t.isDone() {
-		some, tried := false, map[string]bool{}
+	for !p.isDone() {
+		useful, tried := false, map[string]bool{}
 		for {
-			all, _ := t.candidates() // others may have become known, and may have been left
-			at := slices.IndexFunc(all, func(a string) bool { return !tried[a] })
-			if at < 0 {
+			all, _ := p.candidates() // registries may have been added or left meanwhile
+			next := slices.IndexFunc(all, func(a string) bool { return !tried[a] })
+			if next < 0 {
 				break
 			}
-			addr := all[at]
+			addr := all[next]
 			tried[addr], asked[addr] = true, true
-			if t.pullFrom(addr) {
-				some = true
+			if p.pullFrom(addr) {
+				useful = true
 				break
 			}
-			if t.isDone() {
+			if p.isDone() {
 				return
 			}
-			t.pullFromProxy()
+			p.pullFromProxy()
 		}
-		if all, _ := t.candidates(); !slices.ContainsFunc(all, func(a string) bool { return !asked[a] }) {
-			t.mu.Lock()
-			t.allAsked = true
-			t.mu.Unlock()
+		if all, _ := p.candidates(); !slices.ContainsFunc(all, func(a string) bool { return !asked[a] }) {
+			p.mu.Lock()
+			p.allAsked = true
+			p.mu.Unlock()
 		}
-		if !some {
+		if !useful {
 			select {
 			case <-time.After(50*time.Millisecond + rand.N(100*time.Millisecond)):
-			case <-t.done:
+			case <-p.done:
 				return
 			}
 		}
 	}
 }
 
-func (t *Proxy) isDone() bool {
+// isDone reports whether the proxy has ended.
+func (p *Proxy) isDone() bool {
 	select {
-	case <-t.done:
+	case <-p.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// pullFrom pulls from one harbourmaster until that is of no more use. good: it was of some.
-func (t *Proxy) pullFrom(addr string) (good bool) {
-	c := rpc.NewClient(t.network, addr)
-	defer c.Close()
+// pullFrom pulls from one registry until it is of no more use. useful is false if the next candidate is to be tried.
+func (p *Proxy) pullFrom(addr string) (useful bool) {
+	client := rpc.NewClient(p.network, addr)
+	defer client.Close()
 	type result struct {
 		body []byte
 		err  error
 	}
-	s := t.settings.Load()
-	var call messages.PullCall // the first is answered at once: how long ago it heard a majority is to be known
-	began := time.Now()
-	got := t.sources[addr]
-	for !t.isDone() {
-		b := t.dataPlane.Gate.Berth()
-		t.mu.Lock()
-		call.Self, call.Have, call.Epoch = &b, t.chosen, t.council.Roll().Epoch
-		t.resetSources(&got)
-		got.continueCall(&call)
-		call.Others = slices.Clone(t.relayed)
-		t.mu.Unlock()
-		done := make(chan result, 1)
+	s := p.settings.Load()
+	var call messages.PullCall // the first call has no hold time: its answer tells how fresh the registry is
+	start := time.Now()
+	progress := p.sources[addr]
+	for !p.isDone() {
+		self := p.dataPlane.Gate.Berth()
+		p.mu.Lock()
+		call.Self, call.Have, call.Epoch = &self, p.chosen, p.quorum.Roll().Epoch
+		p.resetSources(&progress)
+		progress.continueCall(&call)
+		call.Others = slices.Clone(p.relayed)
+		p.mu.Unlock()
+		results := make(chan result, 1)
 		sent := time.Now()
-		id := c.Go(messages.Pull, rpc.Encode(call), func(body []byte, err error) { done <- result{body, err} })
+		id := client.Go(messages.Pull, rpc.Encode(call), func(body []byte, err error) { results <- result{body, err} })
 		timer := time.NewTimer(maxPullHold + pullTimeout)
 		var r result
 		var n messages.News
 	wait:
 		for {
 			select {
-			case r = <-done:
+			case r = <-results:
 				break wait
-			case <-t.changed: // told beside the pull that waits
-				b := t.dataPlane.Gate.Berth()
-				t.mu.Lock()
-				others := slices.Clone(t.relayed)
-				t.mu.Unlock()
-				c.Go(messages.Pull, rpc.Encode(messages.PullCall{Self: &b, Others: others, Life: call.Life, At: messages.Tells, Have: configuration.Ballot{N: 1 << 62}, Sum: call.Sum, Epoch: call.Epoch}), func([]byte, error) {})
+			case <-p.changed: // reported in a call of its own while the pull waits
+				self := p.dataPlane.Gate.Berth()
+				p.mu.Lock()
+				relayed := slices.Clone(p.relayed)
+				p.mu.Unlock()
+				client.Go(messages.Pull, rpc.Encode(messages.PullCall{Self: &self, Others: relayed, Life: call.Life, At: messages.Tells, Have: configuration.Ballot{N: 1 << 62}, Sum: call.Sum, Epoch: call.Epoch}), func([]byte, error) {})
 			case <-timer.C:
-				c.Forget(id)
+				client.Forget(id)
 				r.err = errcode.New(errcode.TimedOut, "")
 				break wait
-			case <-t.done:
+			case <-p.done:
 				timer.Stop()
 				return true
 			}
@@ -384,183 +388,186 @@
 		if r.err != nil || rpc.Decode(r.body, &n) != nil {
 			return false
 		}
-		t.pulls.Add(1)
+		p.pulls.Add(1)
 		addTransitTime(&n, sent)
-		t.lastPull.Store(&lastPull{addr, time.Now(), n.FreshMs})
-		good = true
-		t.membership.Heard(addr)
+		p.lastPull.Store(&lastPull{addr, time.Now(), n.FreshMs})
+		useful = true
+		p.membership.Heard(addr)
 		call.Sum = n.Sum
-		t.mu.Lock()
-		t.relayed = t.relayed[min(len(call.Others), len(t.relayed)):]
-		t.mu.Unlock()
-		got.add(&n)
-		better := t.apply(n)
-		t.sources.store(addr, &got)
-		if n.FreshMs > staleAfterMs && (better || t.hasAlternative(addr) || time.Since(began) > time.Second || n.FreshMs >= messages.Never && time.Since(began) > 300*time.Millisecond) {
-			t.mu.Lock()
-			t.avoidedSince[addr] = time.Now()
-			t.mu.Unlock()
-			return false // it hears no majority: another may
+		p.mu.Lock()
+		p.relayed = p.relayed[min(len(call.Others), len(p.relayed)):]
+		p.mu.Unlock()
+		progress.add(&n)
+		seekOther := p.apply(n)
+		p.sources.store(addr, &progress)
+		if n.FreshMs > staleAfterMs && (seekOther || p.hasAlternative(addr) || time.Since(start) > time.Second || n.FreshMs >= messages.Never && time.Since(start) > 300*time.Millisecond) {
+			p.mu.Lock()
+			p.avoidedSince[addr] = time.Now()
+			p.mu.Unlock()
+			return false // it has no contact with a majority: another may
 		}
 		hold := maxPullHold
-		if n.FreshMs <= staleAfterMs { // it is left once it is that long ago, and not a whole hold later
+		if n.FreshMs <= staleAfterMs { // the pull ends when the contact becomes stale, not a whole hold time later
 			hold = min(hold, time.Duration(staleAfterMs+20-n.FreshMs)*time.Millisecond)
 		}
 		call.HoldMs = uint32(hold.Milliseconds())
-		if len(t.registries) > 0 && time.Since(began) > avoidFor && !t.isLocal(addr, s.Zone) {
-			return true // perhaps one of this zone is back
+		if len(p.registries) > 0 && time.Since(start) > avoidFor && !p.isLocal(addr, s.Zone) {
+			return true // a registry of this zone may be back
 		}
 	}
 	return true
 }
 
-// resetSources has all sources tell all again, where something was dropped that is back. The caller holds t.mu.
-func (t *Proxy) resetSources(got *partialNews) {
-	if t.pullAll {
-		t.pullAll, *got = false, partialNews{}
-		clear(t.sources)
+// resetSources makes all sources send everything again if a node whose entry was dropped is back. The caller holds p.mu.
+func (p *Proxy) resetSources(progress *partialNews) {
+	if p.pullAll {
+		p.pullAll, *progress = false, partialNews{}
+		clear(p.sources)
 	}
 }
 
-// pullFromProxy asks another proxy for what this one lacks, while no harbourmaster is of use. One that knows of none asks the proxy that
-// called its gate last: others may still know this machine, whose seeds can't be reached.
-func (t *Proxy) pullFromProxy() {
-	from, ok := t.dataPlane.Another()
+// pullFromProxy asks another proxy for updates while no registry is of use. If this proxy knows no other, it asks the one that called
+// its gate last: others may still know this machine though its seeds are unreachable.
+func (p *Proxy) pullFromProxy() {
+	source, ok := p.dataPlane.Another()
 	if !ok {
-		ip, s := t.dataPlane.Gate.Caller(), t.settings.Load()
+		ip, s := p.dataPlane.Gate.Caller(), p.settings.Load()
 		if ip == "" || ip == s.IP {
 			return
 		}
-		from = messages.Beside(net.JoinHostPort(ip, "0"), s.Ports[0], messages.GatePort)
-	}
-	got := t.sources[from]
-	for !t.isDone() {
-		b := t.dataPlane.Gate.Berth()
-		t.mu.Lock()
-		call := messages.PullCall{Self: &b, Have: t.chosen, Epoch: t.council.Roll().Epoch}
-		t.resetSources(&got)
-		got.continueCall(&call)
-		t.mu.Unlock()
+		source = messages.Beside(net.JoinHostPort(ip, "0"), s.Ports[0], messages.GatePort)
+	}
+	progress := p.sources[source]
+	for !p.isDone() {
+		self := p.dataPlane.Gate.Berth()
+		p.mu.Lock()
+		call := messages.PullCall{Self: &self, Have: p.chosen, Epoch: p.quorum.Roll().Epoch}
+		p.resetSources(&progress)
+		progress.continueCall(&call)
+		p.mu.Unlock()
 		sent := time.Now()
-		raw, err := t.dataPlane.AskNews(from, rpc.Encode(call), pullTimeout)
+		reply, err := p.dataPlane.AskNews(source, rpc.Encode(call), pullTimeout)
 		var n messages.News
-		if err != nil || rpc.Decode(raw, &n) != nil {
+		if err != nil || rpc.Decode(reply, &n) != nil {
 			return
 		}
-		t.proxyPulls.Add(1)
-		got.add(&n)
+		p.proxyPulls.Add(1)
+		progress.add(&n)
 		addTransitTime(&n, sent)
-		t.apply(n)
-		t.sources.store(from, &got)
-		if got.cursor == nil && !got.moreEntries {
+		p.apply(n)
+		p.sources.store(source, &progress)
+		if progress.cursor == nil && !progress.moreEntries {
 			return
 		}
 	}
 }
 
-// newsFor answers another proxy that reaches no harbourmaster, and tells on what it is the source of.
-func (t *Proxy) newsFor(raw []byte) ([]byte, error) {
+// newsFor answers a pull of another proxy that reaches no registry, and passes on that proxy's own entry.
+func (p *Proxy) newsFor(body []byte) ([]byte, error) {
 	var call messages.PullCall
-	if err := rpc.Decode(raw, &call); err != nil {
+	if err := rpc.Decode(body, &call); err != nil {
 		return nil, err
 	}
-	t.mu.Lock()
-	told := call.Self != nil && len(t.relayed) < maxRelayed && t.table.Merge(*call.Self)
-	if told {
-		t.relayed = append(t.relayed, *call.Self)
+	p.mu.Lock()
+	relay := call.Self != nil && len(p.relayed) < maxRelayed && p.table.Merge(*call.Self)
+	if relay {
+		p.relayed = append(p.relayed, *call.Self)
 	}
-	n := messages.News{Life: t.life, FreshMs: messages.Never, Partial: !t.complete}
-	n.Tell(call, t.table, t.chosen, t.items, t.prunedBallot)
-	if r := t.council.Roll(); r.Epoch != call.Epoch && r.Epoch > 0 {
+	n := messages.News{Life: p.life, FreshMs: messages.Never, Partial: !p.complete}
+	n.Tell(call, p.table, p.chosen, p.items, p.prunedBallot)
+	if r := p.quorum.Roll(); r.Epoch != call.Epoch && r.Epoch > 0 {
 		n.Roll = &r
 	}
-	if !t.lastMajority.IsZero() {
-		n.FreshMs = uint32(min(time.Since(t.lastMajority).Milliseconds(), messages.Never))
+	if !p.lastMajority.IsZero() {
+		n.FreshMs = uint32(min(time.Since(p.lastMajority).Milliseconds(), messages.Never))
 	}
-	t.mu.Unlock()
-	if told {
-		t.dataPlane.Learn([]backends.Backend{*call.Self})
-		t.notify()
+	p.mu.Unlock()
+	if relay {
+		p.dataPlane.Learn([]backends.Backend{*call.Self})
+		p.notify()
 	}
 	return rpc.Encode(n), nil
 }
 
-// maxRelayed bounds what is told on for others at a time.
+// maxRelayed bounds the entries waiting to be passed on for other proxies.
 const maxRelayed = 64
 
-// isLocal reports whether a harbourmaster is of this zone, or none is.
-func (t *Proxy) isLocal(addr, zone string) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	some := false
-	for _, m := range t.registries {
+// isLocal reports whether a registry is in the zone, or no known registry is.
+func (p *Proxy) isLocal(addr, zone string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	anyLocal := false
+	for _, m := range p.registries {
 		if m.Zone == zone {
-			some = true
+			anyLocal = true
 			if m.Addr == addr {
 				return true
 			}
 		}
 	}
-	return !some
+	return !anyLocal
 }
 
-// addTransitTime adds the time that news took on its way, of a call sent then: either end may have slept meanwhile.
+// addTransitTime adds to the age of news the time between sending the call and now, without the time that the source held the call:
+// either end may have been suspended meanwhile.
 func addTransitTime(n *messages.News, sent time.Time) {
-	way := max(0, time.Since(sent).Milliseconds()-int64(n.HeldMs))
-	n.FreshMs = uint32(min(int64(n.FreshMs)+way, messages.Never))
+	transit := max(0, time.Since(sent).Milliseconds()-int64(n.HeldMs))
+	n.FreshMs = uint32(min(int64(n.FreshMs)+transit, messages.Never))
 }
 
-// apply takes news. A configuration of one who hears no majority is left there while another may have a newer one: seek.
-func (t *Proxy) apply(n messages.News) (seek bool) {
-	if n.Roll != nil && t.council.Take(*n.Roll) {
-		t.log("roll", fmt.Sprintf("epoch %d, %d count", n.Roll.Epoch, len(n.Roll.Voters)))
+// apply applies news. It ignores the configuration of a source without contact with a majority while another source may have a newer
+// one, and then returns true: the caller should seek another source.
+func (p *Proxy) apply(n messages.News) (seek bool) {
+	if n.Roll != nil && p.quorum.Take(*n.Roll) {
+		p.log("roll", fmt.Sprintf("epoch %d, %d voters", n.Roll.Epoch, len(n.Roll.Voters)))
 	}
-	var news []backends.Backend
+	var merged []backends.Backend
 	var chart *configuration.Chart
-	t.mu.Lock()
+	p.mu.Lock()
 	if len(n.Masters) > 0 {
-		t.registries = mergeRegistries(t.registries, n.Masters, n.FreshMs > staleAfterMs)
+		p.registries = mergeRegistries(p.registries, n.Masters, n.FreshMs > staleAfterMs)
 	}
-	node := t.settings.Load().NodeName
+	node := p.settings.Load().NodeName
 	for _, b := range n.Berths {
-		if t.table.Merge(b) {
-			news = append(news, b)
+		if p.table.Merge(b) {
+			merged = append(merged, b)
 		}
 	}
-	seek = n.FreshMs > staleAfterMs && !t.complete && !t.allAsked
-	if t.chosen.Less(n.Chosen) && !seek { // what is in force never goes back
-		t.chosen = n.Chosen
-		t.items, t.prunedBallot = applyItems(t.items, t.prunedBallot, n)
-		chart = t.items.Chart()
+	seek = n.FreshMs > staleAfterMs && !p.complete && !p.allAsked
+	if p.chosen.Less(n.Chosen) && !seek { // the configuration in force never goes back
+		p.chosen = n.Chosen
+		p.items, p.prunedBallot = applyItems(p.items, p.prunedBallot, n)
+		chart = p.items.Chart()
 	}
 	if n.FreshMs <= staleAfterMs && !n.Chosen.IsZero() {
-		t.complete = t.complete || !n.More && !n.Partial
-		if at := time.Now().Add(-time.Duration(n.FreshMs) * time.Millisecond); at.After(t.lastMajority) { // hearsay does not grow younger by being told
-			t.lastMajority = at
+		p.complete = p.complete || !n.More && !n.Partial
+		if at := time.Now().Add(-time.Duration(n.FreshMs) * time.Millisecond); at.After(p.lastMajority) { // second-hand news does not become fresher by being passed on
+			p.lastMajority = at
 		}
 	}
-	t.mu.Unlock()
+	p.mu.Unlock()
 	if chart != nil {
-		t.dataPlane.Configure(chart)
-		t.log("configuration", fmt.Sprintf("ballot %d: %d items changed", n.Chosen.N, len(n.Items)))
+		p.dataPlane.Configure(chart)
+		p.log("configuration", fmt.Sprintf("ballot %d: %d items changed", n.Chosen.N, len(n.Items)))
 	}
-	if len(news) > 0 {
-		t.dataPlane.Learn(news)
+	if len(merged) > 0 {
+		p.dataPlane.Learn(merged)
 	}
-	for _, b := range news {
+	for _, b := range merged {
 		if b.Node == node {
-			t.dataPlane.Gate.Refute(b)
+			p.dataPlane.Gate.Refute(b)
 		}
 	}
 	return seek
 }
 
-// mergeRegistries is the list of harbourmasters after another was told. One who hears no majority may know few: it takes nobody off.
-func mergeRegistries(known, told []messages.Master, stale bool) []messages.Master {
-	out := slices.Clone(told)
+// mergeRegistries returns the list of registries after a source has sent its own. A source without contact with a majority (stale) may
+// know only a few: its list removes none.
+func mergeRegistries(known, received []messages.Master, stale bool) []messages.Master {
+	out := slices.Clone(received)
 	if stale {
 		for _, m := range known {
-			if !slices.ContainsFunc(told, func(x messages.Master) bool { return x.Name == m.Name }) {
+			if !slices.ContainsFunc(received, func(other messages.Master) bool { return other.Name == m.Name }) {
 				out = append(out, m)
 			}
 		}
@@ -568,61 +575,63 @@
 	return out
 }
 
-// hasMajorityContact reports whether the configuration is that of a majority which was heard lately.
-func (t *Proxy) hasMajorityContact() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return time.Since(t.lastMajority) < contactTimeout
+// hasMajorityContact reports whether the configuration comes from a registry that had contact with a majority within contactTimeout.
+func (p *Proxy) hasMajorityContact() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return time.Since(p.lastMajority) < contactTimeout
 }
 
-// Reload takes other settings: seeds alone may change while it runs.
-func (t *Proxy) Reload(s *settings.Settings) {
-	t.settings.Store(s)
-	t.membership.Reload(s)
+// Reload applies new settings. Only the seeds may change while the proxy runs.
+func (p *Proxy) Reload(s *settings.Settings) {
+	p.settings.Store(s)
+	p.membership.Reload(s)
 }
 
-// Counts are for the log.
-func (t *Proxy) Counts() map[string]int64 {
-	out := t.dataPlane.Report()
-	out["pulls"], out["pulls_by_other"] = t.pulls.Load(), t.proxyPulls.Load()
-	t.mu.Lock()
-	out["berths"], out["masters"] = int64(t.table.Len()), int64(len(t.registries))
-	t.mu.Unlock()
-	t.membership.Count(out)
+// Counts returns the counters for the log.
+func (p *Proxy) Counts() map[string]int64 {
+	out := p.dataPlane.Report()
+	out["pulls"], out["pulls_by_other"] = p.pulls.Load(), p.proxyPulls.Load()
+	p.mu.Lock()
+	out["berths"], out["masters"] = int64(p.table.Len()), int64(len(p.registries))
+	p.mu.Unlock()
+	p.membership.Count(out)
 	return out
 }
 
-// Stop ends in order: not ready, told to others, clients served until they have heard, what is under way finished.
-func (t *Proxy) Stop(grace time.Duration) {
-	begun := time.Now()
-	t.stopping.Store(true)
-	t.dataPlane.Gate.Withdraw()
-	t.dataPlane.Drain()
-	const hear = 2500 * time.Millisecond // the platform asks each second, and twice
-	time.Sleep(min(hear, grace/2))
-	for _, l := range t.listeners {
+// Stop shuts down gracefully: it fails readiness probes and withdraws from the mesh, serves clients until they have noticed, and then
+// finishes the requests in progress, within the grace period.
+func (p *Proxy) Stop(grace time.Duration) {
+	start := time.Now()
+	p.stopping.Store(true)
+	p.dataPlane.Gate.Withdraw()
+	p.dataPlane.Drain()
+	const noticeDelay = 2500 * time.Millisecond // the platform probes readiness once a second, and twice before it reacts
+	time.Sleep(min(noticeDelay, grace/2))
+	for _, l := range p.listeners {
 		l.Close()
 	}
-	t.dataPlane.Stop(grace - time.Since(begun))
-	t.membership.Leave()
-	t.closeAll()
+	p.dataPlane.Stop(grace - time.Since(start))
+	p.membership.Leave()
+	p.closeAll()
 }
 
-func (t *Proxy) closeAll() {
-	close(t.done)
-	for _, s := range t.servers {
+// closeAll ends the goroutines and closes what Stop and Kill have in common.
+func (p *Proxy) closeAll() {
+	close(p.done)
+	for _, s := range p.servers {
 		s.Close()
 	}
-	t.council.Close()
-	t.membership.Close()
-	t.dataPlane.End()
+	p.quorum.Close()
+	p.membership.Close()
+	p.dataPlane.End()
 }
 
-// Kill ends at once, as the end of the process would: nothing is finished, and nobody is told.
-func (t *Proxy) Kill() {
-	t.stopping.Store(true)
-	for _, l := range t.listeners {
+// Kill ends at once, as if the process ended: requests in progress are not finished and others are not notified.
+func (p *Proxy) Kill() {
+	p.stopping.Store(true)
+	for _, l := range p.listeners {
 		l.Close()
 	}
-	t.closeAll()
+	p.closeAll()
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -9,32 +9,34 @@
 	"saltmast/internal/messages"
 )
 
-// News is as old as the way that it took, other than where the harbourmaster held the call: it may lie unread through a sleep.
-func TestNewsAges(t *testing.T) {
+// News ages by the time in transit, without the time that the registry held the call: a message may stay unread while a machine is
+// suspended.
+func TestAddTransitTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, c := range []struct {
+		for _, tt := range []struct {
 			fresh, held uint32
 			took        time.Duration
 			want        uint32
 		}{{100, 1000, 1010 * time.Millisecond, 110}, {100, 1000, 21 * time.Second, 20_100}, {0, 0, 0, 0}, {messages.Never, 0, time.Second, messages.Never}, {5, 900, 0, 5}} {
 			sent := time.Now()
-			time.Sleep(c.took)
-			n := messages.News{FreshMs: c.fresh, HeldMs: c.held}
-			if addTransitTime(&n, sent); n.FreshMs != c.want {
-				t.Errorf("%+v: %d", c, n.FreshMs)
+			time.Sleep(tt.took)
+			n := messages.News{FreshMs: tt.fresh, HeldMs: tt.held}
+			if addTransitTime(&n, sent); n.FreshMs != tt.want {
+				t.Errorf("%+v: %d", tt, n.FreshMs)
 			}
 		}
 	})
 }
 
-// A harbourmaster that hears no majority, as one that has just begun behind a cut, takes no other off the list.
-func TestListed(t *testing.T) {
+// A registry without contact with a majority, such as one that has just started behind a network partition, removes no other from the
+// list.
+func TestMergeRegistries(t *testing.T) {
 	a, b, moved := messages.Master{Name: "a", Addr: "1"}, messages.Master{Name: "b", Addr: "2"}, messages.Master{Name: "a", Addr: "3"}
-	known, told := []messages.Master{a, b}, []messages.Master{moved}
-	if got := mergeRegistries(known, told, true); !slices.Equal(got, []messages.Master{moved, b}) {
+	known, received := []messages.Master{a, b}, []messages.Master{moved}
+	if got := mergeRegistries(known, received, true); !slices.Equal(got, []messages.Master{moved, b}) {
 		t.Error("stale:", got)
 	}
-	if got := mergeRegistries(known, told, false); !slices.Equal(got, told) {
+	if got := mergeRegistries(known, received, false); !slices.Equal(got, received) {
 		t.Error("fresh:", got)
 	}
 }
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -8,36 +8,36 @@
 	"saltmast/internal/rpc"
 )
 
-// lastPull is the last news taken of a harbourmaster.
+// lastPull describes the latest news pulled from a registry.
 type lastPull struct {
 	addr    string
 	at      time.Time
 	freshMs uint32
 }
 
-// report tells what is known here to whoever asks at the gate.
-func (t *Proxy) report(raw []byte) ([]byte, error) {
+// report answers a report call at the gate with the state of this proxy.
+func (p *Proxy) report(body []byte) ([]byte, error) {
 	var call messages.ReportCall
-	if len(raw) > 0 {
-		if err := rpc.Decode(raw, &call); err != nil {
+	if len(body) > 0 {
+		if err := rpc.Decode(body, &call); err != nil {
 			return nil, err
 		}
 	}
-	s, roll := t.settings.Load(), t.council.Roll()
+	s, roll := p.settings.Load(), p.quorum.Roll()
 	r := messages.Reported{Program: messages.TheTug, Version: process.Version, Node: s.NodeName, Zone: s.Zone, Addr: s.Port(messages.GatePort),
-		Life: t.life, UpMs: uint64(t.dataPlane.Up().Milliseconds()), Epoch: roll.Epoch, Voters: roll.Voters, Counts: t.Counts()}
-	own := &messages.TugReport{Ready: t.ready() == nil, Stopping: t.stopping.Load(), FromMs: messages.Never, FreshMs: messages.Never}
-	if p := t.lastPull.Load(); p != nil {
-		own.From, own.FreshMs = p.addr, p.freshMs
-		own.FromMs = uint32(min(time.Since(p.at).Milliseconds(), messages.Never))
+		Life: p.life, UpMs: uint64(p.dataPlane.Up().Milliseconds()), Epoch: roll.Epoch, Voters: roll.Voters, Counts: p.Counts()}
+	own := &messages.TugReport{Ready: p.ready() == nil, Stopping: p.stopping.Load(), FromMs: messages.Never, FreshMs: messages.Never}
+	if pull := p.lastPull.Load(); pull != nil {
+		own.From, own.FreshMs = pull.addr, pull.freshMs
+		own.FromMs = uint32(min(time.Since(pull.at).Milliseconds(), messages.Never))
 	}
-	t.mu.Lock()
-	r.Chosen = t.chosen
-	items := messages.ItemReports(t.items)
-	t.mu.Unlock()
+	p.mu.Lock()
+	r.Chosen = p.chosen
+	items := messages.ItemReports(p.items)
+	p.mu.Unlock()
 	r.SetItems(items)
 	r.Tug = own
 	r.Traffic = rpc.Totals()
-	t.dataPlane.Tell(&r, own, call.Brief)
+	p.dataPlane.Tell(&r, own, call.Brief)
 	return rpc.Encode(r), nil
 }
--- a/internal/proxy/start_test.go
+++ b/internal/proxy/start_test.go
@@ -20,7 +20,7 @@
 	"saltmast/internal/simulation/network"
 )
 
-// routeSet is a configuration of n routes, all of one change.
+// routeSet returns a configuration of n routes, all of one change.
 func routeSet(n int) configuration.Set {
 	b := configuration.Ballot{N: 1, By: 1}
 	items := []configuration.Item{{Key: configuration.Key{Kind: configuration.Services, Name: "cranes"}, Version: 1, Ballot: b, Spec: []byte(`{}`)}}
@@ -31,29 +31,29 @@
 	return configuration.SetOf(items...)
 }
 
-// stubRegistry is a harbourmaster that only tells: what is in force, and nothing else.
+// stubRegistry is a registry that only answers pulls.
 type stubRegistry struct {
 	life      uint64
 	freshMs   uint32
 	items     configuration.Set
-	mu        sync.Mutex // once it serves: of chosen, table and what it counts
+	mu        sync.Mutex // guards chosen, table and the state of onPart once it serves
 	chosen    configuration.Ballot
 	table     *backends.Table
-	onPart    func(part int64, n *messages.News) // before it is told
-	partCount atomic.Int64                       // messages with items or entries
+	onPart    func(part int64, n *messages.News) // called before an answer is sent
+	partCount atomic.Int64                       // answers with items or entries
 	largest   atomic.Int64
-	breakAt   int64 // it ends with this part untold; 0: never
+	breakAt   int64 // onBreak is called in place of sending this part; 0: never
 	onBreak   func()
 }
 
-func (s *stubRegistry) serve(t *testing.T, on *network.Process, addr string) {
-	l, err := rpc.Listen(on, addr)
+func (s *stubRegistry) serve(t *testing.T, p *network.Process, addr string) {
+	l, err := rpc.Listen(p, addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rpc.Serve(l, func(c rpc.Call) {
-		var m messages.PullCall
-		if c.Kind != messages.Pull || rpc.Decode(c.Body, &m) != nil {
+		var call messages.PullCall
+		if c.Kind != messages.Pull || rpc.Decode(c.Body, &call) != nil {
 			return
 		}
 		n := messages.News{Life: s.life, FreshMs: s.freshMs}
@@ -61,10 +61,10 @@
 		if s.table == nil {
 			s.table = backends.New()
 		}
-		n.Tell(m, s.table, s.chosen, s.items, configuration.Ballot{})
+		n.Tell(call, s.table, s.chosen, s.items, configuration.Ballot{})
 		s.mu.Unlock()
 		if len(n.Items)+len(n.Berths) == 0 {
-			time.Sleep(time.Duration(m.HoldMs) * time.Millisecond)
+			time.Sleep(time.Duration(call.HoldMs) * time.Millisecond)
 		} else if s.partCount.Add(1) == s.breakAt {
 			go s.onBreak()
 			return
@@ -85,44 +85,43 @@
 	s.chosen = b
 }
 
-// startProxy starts a proxy with seeds, in a zone.
+// startProxy starts a proxy with the given seeds on a new machine.
 func startProxy(t *testing.T, s *network.Sea, ip, zone string, seeds ...string) (*Proxy, *network.Machine, *network.Process) {
 	m := s.Machine(ip, zone)
 	p := m.Start()
-	g, err := Start(&settings.Settings{NodeName: ip, IP: ip, Zone: zone, Ports: [2]int{7380, 7395}, Heartbeat: time.Second, Bounds: settings.DefaultBounds(),
+	proxy, err := Start(&settings.Settings{NodeName: ip, IP: ip, Zone: zone, Ports: [2]int{7380, 7395}, Heartbeat: time.Second, Bounds: settings.DefaultBounds(),
 		MemoryMB: 100, Seeds: seeds, Listen: map[string]string{"control-plane": ip + ":9100", "outbound": ip + ":9101", "readiness": ip + ":9102"}}, func(string, string) {}, p)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return g, m, p
+	return proxy, m, p
 }
 
-// waitUntil waits until something is so, and gives how long that took; most at the longest.
-func waitUntil(most time.Duration, so func() bool) time.Duration {
-	began := time.Now()
-	for !so() && time.Since(began) < most {
+// waitUntil waits until cond returns true, for at most limit, and returns how long that took.
+func waitUntil(limit time.Duration, cond func() bool) time.Duration {
+	start := time.Now()
+	for !cond() && time.Since(start) < limit {
 		time.Sleep(5 * time.Millisecond)
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
-// A proxy at 10,000 routes begins by parts, also where the first source ends amid them, and where all that it reaches is
-// another proxy.
+// A proxy receives 10,000 routes in parts, also if the first source ends in the middle, and if it reaches nothing but another proxy.
 func TestStartByParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const routes = 10000
 		s := network.New(1)
 		set := routeSet(routes)
 		var ends []func()
-		tellers := []*stubRegistry{{life: 11, breakAt: 3}, {life: 12}}
-		var cores []*network.Machine
-		for i, h := range tellers {
+		registries := []*stubRegistry{{life: 11, breakAt: 3}, {life: 12}}
+		var machines []*network.Machine
+		for i, r := range registries {
 			m := s.Machine(fmt.Sprintf("10.1.0.%d", 2+i), "zone-1")
 			p := m.Start()
-			h.items, h.chosen = set, configuration.Ballot{N: 1, By: 1}
-			h.onBreak = p.End
-			h.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+messages.HarbourPort)))
-			cores = append(cores, m)
+			r.items, r.chosen = set, configuration.Ballot{N: 1, By: 1}
+			r.onBreak = p.End
+			r.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+messages.HarbourPort)))
+			machines = append(machines, m)
 			ends = append(ends, p.End)
 		}
 		first, _, p1 := startProxy(t, s, "10.1.0.10", "zone-1", "10.1.0.2:80", "10.1.0.3:80")
@@ -130,27 +129,27 @@
 		if err := first.ready(); err != nil || first.items.Len() != routes+1 || len(first.items.Chart().Routes()) != routes {
 			t.Fatalf("%v: %d items", err, first.items.Len())
 		}
-		for i, h := range tellers {
-			if h.largest.Load() > messages.PartBytes*5/4 {
-				t.Errorf("teller %d: a message of %d bytes", i, h.largest.Load())
+		for i, r := range registries {
+			if r.largest.Load() > messages.PartBytes*5/4 {
+				t.Errorf("registry %d: a message of %d bytes", i, r.largest.Load())
 			}
 		}
-		if tellers[1].partCount.Load() < 8 {
-			t.Errorf("begun with the other source in %d parts", tellers[1].partCount.Load())
+		if registries[1].partCount.Load() < 8 {
+			t.Errorf("the other source sent %d parts", registries[1].partCount.Load())
 		}
-		// The next one reaches the first alone.
+		// The second proxy reaches only the first one.
 		second, m2, p2 := startProxy(t, s, "10.1.0.11", "zone-1", "10.1.0.2:80", "10.1.0.3:80")
-		for _, c := range cores {
-			s.Cut(m2, c)
+		for _, m := range machines {
+			s.Cut(m2, m)
 		}
 		second.dataPlane.Learn([]backends.Backend{first.dataPlane.Gate.Berth()})
 		waitUntil(20*time.Second, func() bool { return second.proxyPulls.Load() >= 12 })
 		time.Sleep(time.Second)
 		if second.items.Len() != routes+1 || !second.dataPlane.Configured() {
-			t.Errorf("by another proxy: %d items in %d answers", second.items.Len(), second.proxyPulls.Load())
+			t.Errorf("from another proxy: %d items in %d answers", second.items.Len(), second.proxyPulls.Load())
 		}
 		if r := second.items.Chart().Route("quay-77.example", "/b7777/x"); r == nil || r.Name != "berth-07777" {
-			t.Errorf("a route that was told late leads to %v", r)
+			t.Errorf("a route of a late part leads to %v", r)
 		}
 		p1.End()
 		p2.End()
@@ -163,85 +162,85 @@
 	})
 }
 
-// A proxy isn't ready before the last part of the table, wherever its source ends and while entries change; it uses what it was
-// told, and is itself a source of all of it.
+// A proxy isn't ready before it has received the last part of the table, at whichever part its source ends and while entries change. It
+// uses the entries received so far, and can itself serve all of them.
 func TestTableByParts(t *testing.T) {
 	const backendCount = 40
 	release := strings.Repeat("x", messages.PartBytes/5)
 	for breakAt := int64(1); breakAt <= backendCount/4+1; breakAt++ {
 		synctest.Test(t, func(t *testing.T) {
 			s := network.New(1)
-			var cores []*network.Machine
+			var machines []*network.Machine
 			var ends []func()
 			var first atomic.Pointer[Proxy]
-			var told sync.Mutex        // of both tellers' answers, and of
-			whole, partial := false, 3 // answers
+			var answers sync.Mutex     // guards the answers of both registries, whole and partial
+			whole, partial := false, 3 // whether the whole table was sent; how many last parts are still marked partial
 			for i := range 2 {
 				m := s.Machine(fmt.Sprintf("10.1.0.%d", 2+i), "zone-1")
 				p := m.Start()
-				h := &stubRegistry{life: uint64(11 + i), items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}, table: backends.New(), onBreak: p.End}
+				r := &stubRegistry{life: uint64(11 + i), items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}, table: backends.New(), onBreak: p.End}
 				for n := range backendCount {
-					h.table.Merge(backends.Backend{Node: fmt.Sprintf("n-%02d", n), Addr: "10.2.0.1:7", Zone: "zone-1", Version: 1, Release: release})
+					r.table.Merge(backends.Backend{Node: fmt.Sprintf("n-%02d", n), Addr: "10.2.0.1:7", Zone: "zone-1", Version: 1, Release: release})
 				}
 				if i == 0 {
-					h.breakAt = breakAt
+					r.breakAt = breakAt
 				}
-				h.onPart = func(part int64, n *messages.News) {
-					told.Lock()
-					defer told.Unlock()
-					if part <= breakAt { // and another one changes meanwhile
-						h.table.Merge(backends.Backend{Node: fmt.Sprintf("n-%02d", part), Addr: "10.2.0.1:7", Zone: "zone-1", Version: 2, State: backends.Draining})
+				r.onPart = func(part int64, n *messages.News) {
+					answers.Lock()
+					defer answers.Unlock()
+					if part <= breakAt { // another entry changes meanwhile
+						r.table.Merge(backends.Backend{Node: fmt.Sprintf("n-%02d", part), Addr: "10.2.0.1:7", Zone: "zone-1", Version: 2, State: backends.Draining})
 					}
-					if g := first.Load(); g != nil && g.ready() == nil && !whole {
+					if proxy := first.Load(); proxy != nil && proxy.ready() == nil && !whole {
 						t.Errorf("ready with part %d", part)
 					}
-					if !n.More && partial > 0 { // it has begun a moment ago itself
+					if !n.More && partial > 0 { // as a registry that has just started itself
 						partial--
 						n.Partial = true
 					}
 					whole = whole || !n.More && !n.Partial
 				}
-				h.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+messages.HarbourPort)))
-				cores, ends = append(cores, m), append(ends, p.End)
+				r.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+messages.HarbourPort)))
+				machines, ends = append(machines, m), append(ends, p.End)
 			}
-			knows := func(g *Proxy) (n int) {
-				g.mu.Lock()
-				defer g.mu.Unlock()
-				for _, b := range g.table.All() {
+			countBackends := func(proxy *Proxy) (n int) {
+				proxy.mu.Lock()
+				defer proxy.mu.Unlock()
+				for _, b := range proxy.table.All() {
 					if strings.HasPrefix(b.Node, "n-") {
 						n++
 					}
 				}
 				return n
 			}
-			g1, _, p1 := startProxy(t, s, "10.1.0.10", "zone-1", "10.1.0.2:80", "10.1.0.3:80")
-			first.Store(g1)
-			waitUntil(20*time.Second, func() bool { return g1.ready() == nil })
-			if n := knows(g1); g1.ready() != nil || n != backendCount {
-				t.Errorf("the source ends with part %d: %v, %d backends", breakAt, g1.ready(), n)
+			proxy1, _, p1 := startProxy(t, s, "10.1.0.10", "zone-1", "10.1.0.2:80", "10.1.0.3:80")
+			first.Store(proxy1)
+			waitUntil(20*time.Second, func() bool { return proxy1.ready() == nil })
+			if n := countBackends(proxy1); proxy1.ready() != nil || n != backendCount {
+				t.Errorf("the source ends at part %d: %v, %d backends", breakAt, proxy1.ready(), n)
 			}
-			g2, m2, p2 := startProxy(t, s, "10.1.0.11", "zone-1", "10.1.0.2:80", "10.1.0.3:80") // reaches the first alone
-			for _, c := range cores {
+			proxy2, m2, p2 := startProxy(t, s, "10.1.0.11", "zone-1", "10.1.0.2:80", "10.1.0.3:80") // reaches only the first one
+			for _, c := range machines {
 				s.Cut(m2, c)
 			}
-			g2.dataPlane.Learn([]backends.Backend{g1.dataPlane.Gate.Berth()})
-			for began := time.Now(); knows(g2) < backendCount && time.Since(began) < 20*time.Second; {
+			proxy2.dataPlane.Learn([]backends.Backend{proxy1.dataPlane.Gate.Berth()})
+			for start := time.Now(); countBackends(proxy2) < backendCount && time.Since(start) < 20*time.Second; {
 				time.Sleep(50 * time.Millisecond)
 			}
-			asked := g2.proxyPulls.Load()
-			if n := knows(g2); n != backendCount || asked < 8 {
-				t.Errorf("by another proxy: %d backends in %d answers", n, asked)
+			answered := proxy2.proxyPulls.Load()
+			if n := countBackends(proxy2); n != backendCount || answered < 8 {
+				t.Errorf("from another proxy: %d backends in %d answers", n, answered)
 			}
-			g2.mu.Lock()
-			at := g2.sources[g1.dataPlane.Gate.Berth().Addr]
-			g2.mu.Unlock()
-			if at.life != g1.life || at.at < backendCount {
-				t.Errorf("the other has told up to %+v", at)
+			proxy2.mu.Lock()
+			progress := proxy2.sources[proxy1.dataPlane.Gate.Berth().Addr]
+			proxy2.mu.Unlock()
+			if progress.life != proxy1.life || progress.revision < backendCount {
+				t.Errorf("progress of the other proxy: %+v", progress)
 			}
 			p1.End()
 			p2.End()
-			g1.Kill()
-			g2.Kill()
+			proxy1.Kill()
+			proxy2.Kill()
 			for _, end := range ends {
 				end()
 			}
@@ -250,7 +249,8 @@
 	}
 }
 
-// A proxy that begins at 14,000 backends: their entries in parts, encoded, read, joined and taken by what chooses backends.
+// BenchmarkTable measures the start of a proxy at 14,000 backends: their entries are encoded in parts, decoded, merged and passed to the
+// balancer.
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []int{1000, 14000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -260,34 +260,34 @@
 					Life: 1<<60 + uint64(i), Instance: fmt.Sprintf("i-%d-0a1b2c", i), Service: fmt.Sprintf("service-%d", i/14), Release: "v1", Capacity: 8, State: backends.Serving})
 			}
 			b.ReportAllocs()
-			var bytes, most, parts int
-			var kept []any // of the last one
+			var bytes, largest, parts int
+			var kept []any // state of the last iteration
 			var before, after runtime.MemStats
 			for b.Loop() {
 				kept = nil
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				to, balancer := newProxyState(), dataplane.NewBalancer()
-				bytes, most, parts = 0, 0, 0
+				bytes, largest, parts = 0, 0, 0
 				for to.news.moreEntries = true; to.news.moreEntries; parts++ {
-					m := messages.PullCall{}
-					to.news.continueCall(&m)
-					told := messages.News{Life: 1}
-					told.Tell(m, table, configuration.Ballot{}, configuration.Set{}, configuration.Ballot{})
-					raw := rpc.Encode(told)
-					bytes, most = bytes+len(raw), max(most, len(raw))
+					call := messages.PullCall{}
+					to.news.continueCall(&call)
+					sent := messages.News{Life: 1}
+					sent.Tell(call, table, configuration.Ballot{}, configuration.Set{}, configuration.Ballot{})
+					raw := rpc.Encode(sent)
+					bytes, largest = bytes+len(raw), max(largest, len(raw))
 					var news messages.News
 					if err := rpc.Decode(raw, &news); err != nil {
 						b.Fatal(err)
 					}
 					to.news.add(&news)
-					for _, x := range news.Berths {
-						to.table.Merge(x)
+					for _, backend := range news.Berths {
+						to.table.Merge(backend)
 					}
 					balancer.Learn(0, news.Berths)
 				}
-				if to.table.Len() != n || most > messages.PartBytes {
-					b.Fatal(to.table.Len(), most)
+				if to.table.Len() != n || largest > messages.PartBytes {
+					b.Fatal(to.table.Len(), largest)
 				}
 				kept = append(kept, to, balancer)
 			}
@@ -301,20 +301,21 @@
 	}
 }
 
-// A change of one route among many, from a harbourmaster's set to a proxy's chart; and all of them, for a proxy that begins.
+// BenchmarkNews measures a change of one route among many, from a registry's configuration to a proxy's routing table, and the transfer
+// of all routes to a proxy that starts.
 func BenchmarkNews(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		set := routeSet(n).Charted()
 		first, _ := set.Get(configuration.Key{Name: "berth-00000"})
-		tell := func(b *testing.B, to *proxyState, at configuration.Ballot) (bytes int) {
-			for to.chosen.Less(at) {
-				var m messages.PullCall
-				if err := rpc.Decode(rpc.Encode(messages.PullCall{Life: to.news.life, Have: to.chosen, Cursor: to.news.cursor}), &m); err != nil {
+		transfer := func(b *testing.B, to *proxyState, ballot configuration.Ballot) (bytes int) {
+			for to.chosen.Less(ballot) {
+				var call messages.PullCall
+				if err := rpc.Decode(rpc.Encode(messages.PullCall{Life: to.news.life, Have: to.chosen, Cursor: to.news.cursor}), &call); err != nil {
 					b.Fatal(err)
 				}
-				told := messages.News{Life: 1}
-				told.Tell(m, backends.New(), at, set, configuration.Ballot{})
-				raw := rpc.Encode(told)
+				sent := messages.News{Life: 1}
+				sent.Tell(call, backends.New(), ballot, set, configuration.Ballot{})
+				raw := rpc.Encode(sent)
 				bytes += len(raw)
 				var news messages.News
 				if err := rpc.Decode(raw, &news); err != nil {
@@ -327,29 +328,29 @@
 			}
 			return bytes
 		}
-		begin := func() *proxyState { return &proxyState{items: configuration.Set{}.Charted()} }
+		newState := func() *proxyState { return &proxyState{items: configuration.Set{}.Charted()} }
 		b.Run(fmt.Sprint("change-", n), func(b *testing.B) {
-			to, bytes, at := begin(), 0, configuration.Ballot{N: 1, By: 1}
-			tell(b, to, at)
+			to, bytes, ballot := newState(), 0, configuration.Ballot{N: 1, By: 1}
+			transfer(b, to, ballot)
 			b.ReportAllocs()
 			for b.Loop() {
-				at.N++
-				i := first
-				i.Version, i.Ballot = configuration.Version(at.N), at
-				set = set.With(i)
-				if bytes += tell(b, to, at); set.Check() != nil || to.items.Chart().Route("quay-0.example", "/b0/") == nil {
-					b.Fatal("wrong")
+				ballot.N++
+				item := first
+				item.Version, item.Ballot = configuration.Version(ballot.N), ballot
+				set = set.With(item)
+				if bytes += transfer(b, to, ballot); set.Check() != nil || to.items.Chart().Route("quay-0.example", "/b0/") == nil {
+					b.Fatal("the change is not in force")
 				}
 			}
-			b.ReportMetric(float64(bytes)/float64(at.N-1), "wire-B/op")
+			b.ReportMetric(float64(bytes)/float64(ballot.N-1), "wire-B/op")
 		})
 		b.Run(fmt.Sprint("start-", n), func(b *testing.B) {
 			bytes := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				to := begin()
-				if bytes = tell(b, to, configuration.Ballot{N: 1 << 40, By: 1}); to.items.Len() != n+1 {
-					b.Fatal("not all")
+				to := newState()
+				if bytes = transfer(b, to, configuration.Ballot{N: 1 << 40, By: 1}); to.items.Len() != n+1 {
+					b.Fatal("items are missing")
 				}
 			}
 			b.ReportMetric(float64(bytes), "wire-B/op")
@@ -357,51 +358,51 @@
 	}
 }
 
-// Of two harbourmasters the one of this zone is cut off from the core, answers on, and tells nothing new. What the other one tells is
-// in force here long before a change has to be, and nobody goes back to the one that was left while another hears a majority.
-func TestHarbourmasterOutOfContactIsLeft(t *testing.T) {
+// Of two registries, the one of this zone loses contact with the majority, still answers, and has nothing new. A change that the other one
+// sends is in force long before its deadline, and the proxy does not return to the registry it left while another has contact.
+func TestRegistryWithoutContactIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := network.New(1)
 		var cut atomic.Pointer[time.Time]
-		var late atomic.Int64 // pulls of the near one, begun 3 s after the cut and later
+		var late atomic.Int64 // pulls from the near registry more than 3 s after the cut
 		near, far := &stubRegistry{life: 11, items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}}, &stubRegistry{life: 12, items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}}
 		near.onPart = func(_ int64, n *messages.News) {
 			if n.FreshMs = 400; cut.Load() != nil {
-				out := time.Since(*cut.Load())
-				n.FreshMs += uint32(out.Milliseconds())
-				if out > 3*time.Second {
+				sinceCut := time.Since(*cut.Load())
+				n.FreshMs += uint32(sinceCut.Milliseconds())
+				if sinceCut > 3*time.Second {
 					late.Add(1)
 				}
 			}
 		}
 		var ends []func()
-		for i, h := range []*stubRegistry{near, far} {
+		for i, r := range []*stubRegistry{near, far} {
 			ip := fmt.Sprintf("10.1.0.%d", 2+i)
 			p := s.Machine(ip, fmt.Sprint("zone-", 1+i)).Start()
-			h.serve(t, p, net.JoinHostPort(ip, fmt.Sprint(7380+messages.HarbourPort)))
+			r.serve(t, p, net.JoinHostPort(ip, fmt.Sprint(7380+messages.HarbourPort)))
 			ends = append(ends, p.End)
 		}
-		g, _, p := startProxy(t, s, "10.1.0.10", "zone-1", "10.1.0.2:80", "10.1.0.3:80")
-		g.mu.Lock()
-		g.registries = []messages.Master{{Name: "near", Addr: "10.1.0.2:7380", Zone: "zone-1"}, {Name: "far", Addr: "10.1.0.3:7380", Zone: "zone-2"}}
-		g.mu.Unlock()
+		proxy, _, p := startProxy(t, s, "10.1.0.10", "zone-1", "10.1.0.2:80", "10.1.0.3:80")
+		proxy.mu.Lock()
+		proxy.registries = []messages.Master{{Name: "near", Addr: "10.1.0.2:7380", Zone: "zone-1"}, {Name: "far", Addr: "10.1.0.3:7380", Zone: "zone-2"}}
+		proxy.mu.Unlock()
 		time.Sleep(12 * time.Second)
-		if from := g.lastPull.Load(); from == nil || from.addr != "10.1.0.2:7380" {
-			t.Fatalf("it pulls from %+v", from)
+		if from := proxy.lastPull.Load(); from == nil || from.addr != "10.1.0.2:7380" {
+			t.Fatalf("the proxy pulls from %+v", from)
 		}
 		now := time.Now()
 		cut.Store(&now)
 		far.choose(configuration.Ballot{N: 2, By: 1})
-		took := waitUntil(20*time.Second, func() bool { g.mu.Lock(); defer g.mu.Unlock(); return g.chosen.N == 2 })
+		took := waitUntil(20*time.Second, func() bool { proxy.mu.Lock(); defer proxy.mu.Unlock(); return proxy.chosen.N == 2 })
 		if took > 1500*time.Millisecond {
 			t.Errorf("a change was in force after %v", took)
 		}
 		time.Sleep(20 * time.Second)
-		if n := late.Load(); n > 5 { // a look each 5 s
-			t.Errorf("the one that is cut off was asked %d times in 20 s", n)
+		if n := late.Load(); n > 5 { // one attempt every 5 s
+			t.Errorf("the registry that is cut off was asked %d times in 20 s", n)
 		}
 		p.End()
-		g.Kill()
+		proxy.Kill()
 		for _, end := range ends {
 			end()
 		}
@@ -409,20 +410,20 @@
 	})
 }
 
-// A proxy that begins anew, of whose seeds none can be reached and whom nobody told of another, learns all by whoever calls its gate.
-func TestProxyIsToldByItsCaller(t *testing.T) {
+// A restarted proxy that reaches none of its seeds and knows no other proxy gets everything from a proxy that calls its gate.
+func TestPullFromCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := network.New(1)
-		h := &stubRegistry{life: 11, items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}}
-		core := s.Machine("10.1.0.2", "zone-1")
-		pc := core.Start()
-		h.serve(t, pc, net.JoinHostPort(core.IP, fmt.Sprint(7380+messages.HarbourPort)))
+		r := &stubRegistry{life: 11, items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}}
+		machine := s.Machine("10.1.0.2", "zone-1")
+		registry := machine.Start()
+		r.serve(t, registry, net.JoinHostPort(machine.IP, fmt.Sprint(7380+messages.HarbourPort)))
 		first, _, p1 := startProxy(t, s, "10.1.0.10", "zone-1", "10.1.0.2:80")
 		waitUntil(5*time.Second, func() bool { return first.ready() == nil })
 		second, m2, p2 := startProxy(t, s, "10.1.0.11", "zone-1", "10.1.0.2:80")
-		s.Cut(m2, core)
+		s.Cut(m2, machine)
 		if took := waitUntil(3*time.Second, func() bool { return second.ready() == nil }); second.ready() == nil {
-			t.Fatalf("ready after %v, by nobody", took)
+			t.Fatalf("ready after %v without any source", took)
 		}
 		c, err := p1.Dial(t.Context(), "10.1.0.11:7382", time.Second)
 		if err != nil {
@@ -436,7 +437,7 @@
 		p2.End()
 		first.Kill()
 		second.Kill()
-		pc.End()
+		registry.End()
 		time.Sleep(10 * time.Second)
 	})
 }
