--- a/internal/backends/size_test.go
+++ b/internal/backends/size_test.go
@@ -16,7 +16,7 @@
 		t := New()
 		for i := range n {
 			t.Merge(Backend{Node: fmt.Sprintf("q-%05d", i), Addr: fmt.Sprintf("127.17.%d.%d:21005", 1+i/250, 1+i%250), Zone: fmt.Sprintf("zone-%02d", i%32), Version: 1,
-				Life: uint64(i) << 20, Instance: fmt.Sprintf("i-%d-%06x", i, i), Service: fmt.Sprintf("service-%04d", i%1000), Release: "v1", Capacity: 8, State: Serving})
+				Incarnation: uint64(i) << 20, Instance: fmt.Sprintf("i-%d-%06x", i, i), Service: fmt.Sprintf("service-%04d", i%1000), Release: "v1", Capacity: 8, State: Serving})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/backends/sweep_test.go
+++ b/internal/backends/sweep_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// A dropped entry is restored by a whole entry of the same version, but not by one of a life that has not learnt of that version,
+// A dropped entry is restored by a whole entry of the same version, but not by one of an incarnation that has not learned of that version,
 // and the number of dropped entries is bounded.
 func TestSweep(t *testing.T) {
 	table := New()
 	noneAlive := func(Backend) bool { return false }
-	b := Backend{Node: "a", Addr: "10.0.0.1:7", Version: 7, Life: 5, State: Serving, Instance: "i"}
+	b := Backend{Node: "a", Addr: "10.0.0.1:7", Version: 7, Incarnation: 5, State: Serving, Instance: "i"}
 	table.Merge(b)
 	if gone := table.Sweep(1, time.Minute, noneAlive); gone != nil {
 		t.Fatalf("%v dropped at the first sweep", gone)
@@ -25,11 +25,11 @@
 		t.Fatalf("dropped: %v", gone)
 	}
 	dropped, _ := table.Get("a")
-	if dropped != (Backend{Node: "a", Version: 7, Life: 5}) || len(table.ChangedSince(revision)) != 0 || !table.HasDropped(map[string]bool{"a": true}) {
+	if dropped != (Backend{Node: "a", Version: 7, Incarnation: 5}) || len(table.ChangedSince(revision)) != 0 || !table.HasDropped(map[string]bool{"a": true}) {
 		t.Errorf("after the drop: %+v", dropped)
 	}
-	if restarted := (Backend{Node: "a", Addr: b.Addr, Version: 2, Life: 9}); table.Merge(restarted) {
-		t.Error("merged an entry of a life that has not learnt of the former one")
+	if restarted := (Backend{Node: "a", Addr: b.Addr, Version: 2, Incarnation: 9}); table.Merge(restarted) {
+		t.Error("merged an entry of an incarnation that has not learned of the former one")
 	}
 	if !table.Merge(b) || table.Merge(dropped) || table.Len() != 1 {
 		t.Error("a whole entry of the dropped version does not replace the dropped one")
--- a/internal/backends/table.go
+++ b/internal/backends/table.go
@@ -25,32 +25,32 @@
 
 // Backend is the entry of one proxy and of the backend beside it.
 type Backend struct {
-	Node     string `cbor:"1,keyasint"` // the proxy's machine
-	Addr     string `cbor:"2,keyasint"` // host:port of the proxy's gate
-	Zone     string `cbor:"3,keyasint"`
-	Version  uint64 `cbor:"4,keyasint"` // rises with each change
-	Life     uint64 `cbor:"5,keyasint"` // identifies the run of the proxy's process
-	Instance string `cbor:"6,keyasint"` // identifies the run of the backend; "" if there is none
-	Service  string `cbor:"7,keyasint"`
-	Release  string `cbor:"8,keyasint,omitempty"` // version of the backend's software
-	Capacity int    `cbor:"9,keyasint"`           // concurrent requests
-	State    State  `cbor:"10,keyasint"`
-	WarmMs   uint32 `cbor:"11,keyasint,omitempty"` // how long the backend stays slow after this entry was sent
+	Node        string `cbor:"1,keyasint"` // the proxy's machine
+	Addr        string `cbor:"2,keyasint"` // host:port of the proxy's gate
+	Zone        string `cbor:"3,keyasint"`
+	Version     uint64 `cbor:"4,keyasint"` // rises with each change
+	Incarnation uint64 `cbor:"5,keyasint"` // identifies the run of the proxy's process
+	Instance    string `cbor:"6,keyasint"` // identifies the run of the backend; "" if there is none
+	Service     string `cbor:"7,keyasint"`
+	Release     string `cbor:"8,keyasint,omitempty"` // version of the backend's software
+	Capacity    int    `cbor:"9,keyasint"`           // concurrent requests
+	State       State  `cbor:"10,keyasint"`
+	WarmMs      uint32 `cbor:"11,keyasint,omitempty"` // how long the backend stays slow after this entry was sent
 }
 
-// newer reports whether b supersedes old, an entry of the same node. Two runs of a proxy may send the same version: the higher Life
-// wins until the running one learns of it and sends a higher version. A whole entry supersedes a dropped one of the same version.
+// newer reports whether b supersedes old, an entry of the same node. Two incarnations of a proxy may send the same version: the higher
+// one wins until the running one learns of it and sends a higher version. A whole entry supersedes a dropped one of the same version.
 func (b Backend) newer(old Backend) bool {
 	if b.Version != old.Version {
 		return b.Version > old.Version
 	}
-	if b.Life != old.Life {
-		return b.Life > old.Life
+	if b.Incarnation != old.Incarnation {
+		return b.Incarnation > old.Incarnation
 	}
 	return old.dropped() && !b.dropped()
 }
 
-// dropped reports whether only the node, version and life of the entry are left: a proxy always sends the address of its gate.
+// dropped reports whether only the node, version and incarnation of the entry are left: a proxy always sends the address of its gate.
 func (b Backend) dropped() bool { return b.Addr == "" }
 
 // Table holds the newest entry of each node and the order in which entries changed. It is not safe for concurrent use.
@@ -93,7 +93,7 @@
 func (t *Table) stale(r *row) bool { return t.rows[r.Node] != r }
 
 // Sweep drops the entries of nodes that were not alive at any sweep for as long as keep, and returns those nodes. now must be
-// above 0. Of a dropped entry the version and the life stay: a proxy that restarts on that node learns of them and raises its own
+// above 0. Of a dropped entry the version and the incarnation stay: a proxy that restarts on that node learns of them and raises its own
 // above. Without them, tables that had dropped the entry and tables that had not would order its updates differently. The number of
 // dropped entries is bounded by maxDropped; the least recently changed are removed first.
 func (t *Table) Sweep(now, keep time.Duration, alive func(b Backend) bool) (gone []string) {
@@ -108,7 +108,7 @@
 			r.deadSince = now
 		case now-r.deadSince >= keep:
 			gone = append(gone, r.Node)
-			r.Backend = Backend{Node: r.Node, Version: r.Version, Life: r.Life}
+			r.Backend = Backend{Node: r.Node, Version: r.Version, Incarnation: r.Incarnation}
 			dropped = append(dropped, r)
 		}
 	}
--- a/internal/backends/table_test.go
+++ b/internal/backends/table_test.go
@@ -13,8 +13,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		entry := rapid.Custom(func(t *rapid.T) Backend {
 			b := Backend{Node: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "node"),
-				Version: rapid.Uint64Range(1, 4).Draw(t, "version"), Life: rapid.Uint64Range(1, 3).Draw(t, "life")}
-			b.Capacity = int(b.Version*10 + b.Life) // one source: one content for each version and life
+				Version: rapid.Uint64Range(1, 4).Draw(t, "version"), Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation")}
+			b.Capacity = int(b.Version*10 + b.Incarnation) // one source: one content for each version and incarnation
 			return b
 		})
 		entries := rapid.SliceOfN(entry, 0, 12).Draw(t, "entries")
--- a/internal/dataplane/answers_test.go
+++ b/internal/dataplane/answers_test.go
@@ -39,7 +39,7 @@
 func TestKeptAnswerToAHead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWay(t, strings.Replace(lookup, "idempotent", "deduplicated", 1), func(io.Writer, *http.Request) { t.Error("it ran again") })
-		id := idempotency.ID{Life: 7, N: 1}
+		id := idempotency.ID{Incarnation: 7, N: 1}
 		w.book.Ask(func(b *idempotency.Cache[*Answer]) {
 			b.Begin(w.now(), "k", id)
 			b.Finish("k", id, idempotency.Done, &Answer{Status: 200, Header: []Field{{Name: HeaderID, Value: "A"}}, Body: []byte("kept"), Length: 4}, 4, "")
--- a/internal/dataplane/backend.go
+++ b/internal/dataplane/backend.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		again = false
 	}
-	c.LastUser = a.ID
+	c.LastRequestID = a.ID
 	if o.answer != nil && o.answer.Rest != nil {
 		o.answer.end = func(whole bool) { g.giveBack(c, in, whole && again, rested) }
 		return o
@@ -91,7 +91,7 @@
 		if c == nil {
 			break
 		}
-		if c.LastUser != a.ID || a.ID == "" {
+		if c.LastRequestID != a.ID || a.ID == "" {
 			return c, nil
 		}
 		g.pool.Close(c) // a second copy of that answer may come, and could be taken for the answer to this
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -203,7 +203,7 @@
 	known := false
 	g.book.Ask(func(b *idempotency.Cache[*Answer]) { op, known = b.Lookup(a.Key) })
 	o := recalled(op, known, a.Claim)
-	if a.Claim.Life == g.o.Life && (!known || op.ID != a.Claim) { // of this life, and not the one that was sent: it is void
+	if a.Claim.Incarnation == g.o.Life && (!known || op.ID != a.Claim) { // of this life, and not the one that was sent: it is void
 		o.State = idempotency.NotExecuted
 	}
 	return o
--- a/internal/dataplane/gate.go
+++ b/internal/dataplane/gate.go
@@ -62,7 +62,7 @@
 
 func newGate(o Options, pacer *pacing.Pacer) *Gate {
 	g := &Gate{o: o, pacer: pacer, pool: links.New(backendIdle, backendDial, 0), left: disconnect.New(disconnect.Interval), open: map[*resting]bool{},
-		berth: backends.Backend{Node: o.Node, Addr: o.GateAddr, Zone: o.Zone, Life: o.Life, Version: 1, Service: o.Service}}
+		berth: backends.Backend{Node: o.Node, Addr: o.GateAddr, Zone: o.Zone, Incarnation: o.Life, Version: 1, Service: o.Service}}
 	g.pool.Net = sock.On(o.Net)
 	g.book = rpc.Own(idempotency.NewCache[*Answer](o.KeyWindow, o.AnswerBytes/2), 256)
 	return g
@@ -94,7 +94,7 @@
 func (g *Gate) Refute(other backends.Backend) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if other.Life != g.berth.Life && other.Version >= g.berth.Version {
+	if other.Incarnation != g.berth.Incarnation && other.Version >= g.berth.Version {
 		g.change(func(b *backends.Backend) { b.Version = other.Version })
 	}
 }
--- a/internal/dataplane/gate_test.go
+++ b/internal/dataplane/gate_test.go
@@ -250,7 +250,7 @@
 // What is told of a key depends on whose claim is asked for; an answer that is told again bears the id of who asks, and the one
 // that is kept stays as it is.
 func TestRecalled(t *testing.T) {
-	id, other := idempotency.ID{Life: 1, N: 1}, idempotency.ID{Life: 1, N: 2}
+	id, other := idempotency.ID{Incarnation: 1, N: 1}, idempotency.ID{Incarnation: 1, N: 2}
 	kept := &Answer{Status: 200, Header: []Field{{Name: HeaderID, Value: "first"}, {Name: HeaderSeal, Value: "s"}}}
 	for _, c := range []struct {
 		name  string
--- a/internal/dataplane/hop_test.go
+++ b/internal/dataplane/hop_test.go
@@ -16,7 +16,7 @@
 // A message is read as it was written, or not at all where it is cut; a body's end is told only where it is whole.
 func TestHopFraming(t *testing.T) {
 	want := ask{Kind: run, Instance: "i", Service: "s", Method: "POST", Target: "/x", Header: []Field{{Name: "A", Value: strings.Repeat("b", 9000)}},
-		Length: pieces, Left: 9, Key: "k", Claim: idempotency.ID{Life: 1, N: 2, Addr: "h:1"}}
+		Length: pieces, Left: 9, Key: "k", Claim: idempotency.ID{Incarnation: 1, N: 2, Addr: "h:1"}}
 	var out bytes.Buffer
 	out.Write(appendMessage(nil, &want, nil))
 	head := out.Len()
--- a/internal/dataplane/keyed.go
+++ b/internal/dataplane/keyed.go
@@ -28,7 +28,7 @@
 	if v.key = v.r.Header.Get(HeaderKey); v.key == "" || len(v.key) > 512 {
 		return nil, errcode.Unreadable
 	}
-	id := idempotency.ID{Life: g.o.Life, N: g.claim.Add(1), Addr: g.o.GateAddr}
+	id := idempotency.ID{Incarnation: g.o.Life, N: g.claim.Add(1), Addr: g.o.GateAddr}
 	var known idempotency.Operation[*Answer]
 	begun := false
 	g.book.Ask(func(b *idempotency.Cache[*Answer]) { known, begun = b.Begin(g.now(), v.key, id) })
@@ -135,7 +135,7 @@
 			}
 			time.Sleep(5*time.Millisecond + rand.N(20*time.Millisecond))
 			old := v.claim // void for good
-			v.claim = idempotency.ID{Life: g.o.Life, N: g.claim.Add(1), Addr: g.o.GateAddr}
+			v.claim = idempotency.ID{Incarnation: g.o.Life, N: g.claim.Add(1), Addr: g.o.GateAddr}
 			g.book.Ask(func(b *idempotency.Cache[*Answer]) {
 				b.Forget(v.key, old)
 				b.Begin(g.now(), v.key, v.claim)
--- a/internal/dataplane/walk_gate_test.go
+++ b/internal/dataplane/walk_gate_test.go
@@ -202,7 +202,7 @@
 		n := fmt.Sprint(i)
 		if w.forget {
 			if c := g.pool.Get("i-1"); c != nil {
-				c.LastUser = ""
+				c.LastRequestID = ""
 				g.pool.Release(c)
 			}
 		}
@@ -450,7 +450,7 @@
 				t.Errorf("%s: %+v, %v; it ran %d times", step.name, o.told, o.err, ran-was)
 			}
 			if c := w.Gate.pool.Get("i-1"); c != nil { // asked again under its id, it would go out on a fresh one
-				c.LastUser = ""
+				c.LastRequestID = ""
 				w.Gate.pool.Release(c)
 			}
 		}
--- a/internal/dataplane/way_test.go
+++ b/internal/dataplane/way_test.go
@@ -223,7 +223,7 @@
 		go other.Serve(l, func(a *ask, _ []byte) outcome { return outcome{told: told{Verdict: idempotency.Won}} })
 		w.Learn([]backends.Backend{{Node: "other", Addr: "10.0.0.2:82", Version: 1}})
 		for n := range uint64(20) {
-			if v, _ := w.claimAnyhow("k", idempotency.ID{Life: 7, N: n + 1}, claimTime); v != idempotency.Won {
+			if v, _ := w.claimAnyhow("k", idempotency.ID{Incarnation: 7, N: n + 1}, claimTime); v != idempotency.Won {
 				t.Errorf("claim %d: verdict %d", n, v)
 			}
 			time.Sleep(time.Duration(n) * 10 * time.Millisecond)
--- a/internal/idempotency/cache_test.go
+++ b/internal/idempotency/cache_test.go
@@ -28,7 +28,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
 				n++
-				known, begun := c.Begin(now, key, ID{Life: 1, N: n})
+				known, begun := c.Begin(now, key, ID{Incarnation: 1, N: n})
 				if begun && op != nil && op.state != NotExecuted && now-op.begun <= window {
 					t.Fatalf("%s began again after %v, %d", key, now-op.begun, op.state)
 				}
@@ -39,13 +39,13 @@
 					t.Fatalf("answer %d returned for operation %d", known.Answer, known.ID.N)
 				}
 				if begun {
-					last[key] = &operation{ID{Life: 1, N: n}, now, InProgress}
+					last[key] = &operation{ID{Incarnation: 1, N: n}, now, InProgress}
 				}
 			case 2:
 				if op != nil && op.state == InProgress {
 					op.state = rapid.SampledFrom([]State{Done, Unknown, NotExecuted}).Draw(t, "state")
 					c.Finish(key, op.id, op.state, int(op.id.N), rapid.IntRange(0, 70).Draw(t, "size"), "")
-					c.Finish(key, ID{Life: 2, N: 1}, NotExecuted, 0, 0, "") // ignored: the id of another claim
+					c.Finish(key, ID{Incarnation: 2, N: 1}, NotExecuted, 0, 0, "") // ignored: the id of another claim
 				}
 			case 3:
 				if op != nil && op.state == NotExecuted {
@@ -62,9 +62,9 @@
 				c.Finish(k, op.id, Unknown, 0, 0, "")
 			}
 		}
-		c.Begin(now+window+1, "e", ID{Life: 1, N: n + 1})
-		c.Finish("e", ID{Life: 1, N: n + 1}, Done, 0, 1, "")
-		c.Begin(now+3*window, "f", ID{Life: 1, N: n + 2})
+		c.Begin(now+window+1, "e", ID{Incarnation: 1, N: n + 1})
+		c.Finish("e", ID{Incarnation: 1, N: n + 1}, Done, 0, 1, "")
+		c.Begin(now+3*window, "f", ID{Incarnation: 1, N: n + 2})
 		if ops, size := c.Len(); ops != 1 || size != 0 || len(c.started) != 1 || len(c.answered) != 0 {
 			t.Fatalf("%d operations, %d entries, %d bytes, %d answered entries after three windows", ops, len(c.started), size, len(c.answered))
 		}
@@ -75,13 +75,13 @@
 func TestCacheKeyRetried(t *testing.T) {
 	const window = 10 * time.Second
 	c := NewCache[int](window, 100)
-	c.Begin(0, "again", ID{Life: 1, N: 1})
+	c.Begin(0, "again", ID{Incarnation: 1, N: 1})
 	for i := range 100 {
 		now := time.Duration(i) * time.Second
-		c.Finish("again", ID{Life: 1, N: uint64(2*i + 1)}, NotExecuted, 0, 0, "")
-		c.Begin(now, "other"+string(rune('A'+i)), ID{Life: 1, N: uint64(2*i + 2)})
-		c.Finish("other"+string(rune('A'+i)), ID{Life: 1, N: uint64(2*i + 2)}, Unknown, 0, 0, "")
-		c.Begin(now, "again", ID{Life: 1, N: uint64(2*i + 3)})
+		c.Finish("again", ID{Incarnation: 1, N: uint64(2*i + 1)}, NotExecuted, 0, 0, "")
+		c.Begin(now, "other"+string(rune('A'+i)), ID{Incarnation: 1, N: uint64(2*i + 2)})
+		c.Finish("other"+string(rune('A'+i)), ID{Incarnation: 1, N: uint64(2*i + 2)}, Unknown, 0, 0, "")
+		c.Begin(now, "again", ID{Incarnation: 1, N: uint64(2*i + 3)})
 	}
 	if ops, _ := c.Len(); ops > 13 || len(c.started) > 30 {
 		t.Errorf("%d operations and %d entries after a window of 10 s", ops, len(c.started))
@@ -91,7 +91,7 @@
 // The counts by state follow every way in which operations change or are removed.
 func TestCacheCounts(t *testing.T) {
 	c := NewCache[string](time.Minute, 10)
-	id := func(n uint64) ID { return ID{Life: 1, N: n} }
+	id := func(n uint64) ID { return ID{Incarnation: 1, N: n} }
 	check := func(inProgress, done, unknown, notExecuted int) {
 		t.Helper()
 		ops, _ := c.Len()
--- a/internal/idempotency/claims.go
+++ b/internal/idempotency/claims.go
@@ -11,14 +11,14 @@
 
 // ID identifies one claim: the N-th of one run of a claimant.
 type ID struct {
-	_    struct{} `cbor:",toarray"`
-	Life uint64   // identifies the run of the claimant's process
-	N    uint64
-	Addr string // host:port where the claimant answers questions about it
+	_           struct{} `cbor:",toarray"`
+	Incarnation uint64   // identifies the run of the claimant's process
+	N           uint64
+	Addr        string // host:port where the claimant answers questions about it
 }
 
 // IsZero reports whether id identifies no claim.
-func (id ID) IsZero() bool { return id.Life == 0 && id.N == 0 }
+func (id ID) IsZero() bool { return id.Incarnation == 0 && id.N == 0 }
 
 // ClaimTable is one voter's record of the holders of keys.
 type ClaimTable struct {
@@ -102,7 +102,7 @@
 
 // Grant is one voter's answer to a claim.
 type Grant struct {
-	Vouch   consensus.Vouch `cbor:"1,keyasint"`
+	Origin  consensus.Vouch `cbor:"1,keyasint"`
 	Granted bool            `cbor:"2,keyasint"`
 	Holder  ID              `cbor:"3,keyasint"` // of the key, if it was not granted
 }
@@ -130,7 +130,7 @@
 func (c *GrantCounter) Add(g Grant) {
 	c.answered++
 	if g.Granted {
-		c.granted = append(c.granted, g.Vouch)
+		c.granted = append(c.granted, g.Origin)
 		return
 	}
 	if c.denied == nil {
@@ -150,7 +150,7 @@
 	}
 	var top ID
 	for id, n := range c.denied {
-		if m := c.denied[top]; n > m || n == m && (id.Life < top.Life || id.Life == top.Life && id.N < top.N) {
+		if m := c.denied[top]; n > m || n == m && (id.Incarnation < top.Incarnation || id.Incarnation == top.Incarnation && id.N < top.N) {
 			top = id
 		}
 	}
--- a/internal/idempotency/modelcheck_test.go
+++ b/internal/idempotency/modelcheck_test.go
@@ -64,7 +64,7 @@
 type world struct {
 	m       [members]member
 	claims  [3]uint8
-	grants  [3][members]uint32       // sent so far, as sets of the incarnations in their vouches; each may arrive at any time
+	grants  [3][members]uint32       // sent so far, as sets of the incarnations in their origins; each may arrive at any time
 	reports [members][members]report // to the first by the second, since the first last began to repair
 	lost    struct{ memory, disks uint8 }
 }
@@ -91,7 +91,7 @@
 // packIncs encodes three incarnations of up to 3 each in six bits.
 func packIncs(incs [members]uint8) uint8 { return incs[0]<<4 | incs[1]<<2 | incs[2] }
 
-func vouch(by int, packed uint8) consensus.Vouch {
+func origin(by int, packed uint8) consensus.Vouch {
 	return consensus.Vouch{By: by, Incs: []uint64{uint64(packed >> 4), uint64(packed >> 2 & 3), uint64(packed & 3)}}
 }
 
@@ -103,7 +103,7 @@
 // packedOfBit returns the packed incarnations of bit number n of a set.
 func packedOfBit(n int) uint8 { return uint8(n/9+1)<<4 | uint8(n/3%3+1)<<2 | uint8(n%3+1) }
 
-func claimID(id uint8) ID { return ID{Life: 1, N: uint64(id)} }
+func claimID(id uint8) ID { return ID{Incarnation: 1, N: uint64(id)} }
 
 // newTable returns a ClaimTable in which the key has the given holder.
 func newTable(holder uint8) *ClaimTable {
@@ -285,7 +285,7 @@
 func (r rules) wins(sent [members]uint32, received []consensus.Vouch) bool {
 	c := GrantCounter{Voters: members}
 	for _, h := range received {
-		c.Add(Grant{Vouch: h, Granted: true})
+		c.Add(Grant{Origin: h, Granted: true})
 	}
 	if result, _ := c.Result(); result == Won || r.countUnsound && len(received) >= consensus.Majority(members) {
 		return true
@@ -296,7 +296,7 @@
 	}
 	for i := from; i < members; i++ {
 		for b := range 27 {
-			if sent[i]&(1<<b) != 0 && r.wins(sent, append(received[:len(received):len(received)], vouch(i, packedOfBit(b)))) {
+			if sent[i]&(1<<b) != 0 && r.wins(sent, append(received[:len(received):len(received)], origin(i, packedOfBit(b)))) {
 				return true
 			}
 		}
--- a/internal/links/pool.go
+++ b/internal/links/pool.go
@@ -55,12 +55,12 @@
 // pool; the Conn's own Close would leave it in the pool's count.
 type Conn struct {
 	net.Conn
-	LastUser string // set by users to identify the last request on the connection; not used by the pool
-	group    *group
-	since    time.Time     // when it was last given back
-	maxIdle  time.Duration // how long it may be idle
-	closed   bool          // guarded by Pool.mu
-	cancel   func() bool   // undoes CloseOnDone, and reports whether the connection is still open; nil if CloseOnDone was not called
+	LastRequestID string // ID of the last request on the connection, set by users; not used by the pool
+	group         *group
+	since         time.Time     // when it was last given back
+	maxIdle       time.Duration // how long it may be idle
+	closed        bool          // guarded by Pool.mu
+	cancel        func() bool   // undoes CloseOnDone, and reports whether the connection is still open; nil if CloseOnDone was not called
 }
 
 // CloseOnDone closes the connection when ctx ends before the connection is given back, so that its reads and writes fail. The pool
--- a/internal/loadline/loadline.go
+++ b/internal/loadline/loadline.go
@@ -309,7 +309,7 @@
 
 // entry is what agent i tells of itself and of its backend.
 func entry(l Layout, i int, version, life uint64) backends.Backend {
-	return backends.Backend{Node: l.Node(i), Addr: l.Addr(i, free+messages.GatePort), Zone: l.Zone(i), Version: version, Life: life,
+	return backends.Backend{Node: l.Node(i), Addr: l.Addr(i, free+messages.GatePort), Zone: l.Zone(i), Version: version, Incarnation: life,
 		Instance: fmt.Sprintf("i-%d-%06x", i, life&0xffffff), Service: l.Service(i), Release: "v1", Capacity: 8, State: backends.Serving}
 }
 
--- a/internal/loadline/phases.go
+++ b/internal/loadline/phases.go
@@ -255,7 +255,7 @@
 				for time.Now().Before(end) && x.ctx.Err() == nil {
 					k := n.Add(1)
 					begun := time.Now()
-					call := rpc.Encode(messages.ClaimCall{Key: fmt.Sprintf("scale-key-%012d", k), ID: idempotency.ID{Life: 1, N: k, Addr: x.l.Addr(0, free)}, Epoch: w.Roll.Epoch})
+					call := rpc.Encode(messages.ClaimCall{Key: fmt.Sprintf("scale-key-%012d", k), ID: idempotency.ID{Incarnation: 1, N: k, Addr: x.l.Addr(0, free)}, Epoch: w.Roll.Epoch})
 					votes := 0
 					co.Gather(messages.Claim, func(int) []byte { return call }, time.Second, func(t quorum.Told) bool {
 						if t.Err == nil {
--- a/internal/messages/report.go
+++ b/internal/messages/report.go
@@ -180,7 +180,7 @@
 
 // Reports makes the report of an entry.
 func Reports(b backends.Backend) BerthReport {
-	return BerthReport{Node: b.Node, Addr: b.Addr, Zone: b.Zone, Version: b.Version, Life: b.Life, Instance: b.Instance, Service: b.Service,
+	return BerthReport{Node: b.Node, Addr: b.Addr, Zone: b.Zone, Version: b.Version, Life: b.Incarnation, Instance: b.Instance, Service: b.Service,
 		Capacity: b.Capacity, State: b.State}
 }
 
--- a/internal/proxy/partialnews.go
+++ b/internal/proxy/partialnews.go
@@ -9,7 +9,7 @@
 // arrive: each is complete by itself, and none is removed because it was not sent. Items are applied only when all have arrived: the
 // configuration that comes into force is always one chosen value, as a whole.
 type partialNews struct {
-	life        uint64 // of the source
+	incarnation uint64 // of the source
 	revision    uint64 // of the source's table, up to which all entries were received
 	moreEntries bool   // the source has more entries
 	items       []configuration.Item
@@ -19,10 +19,10 @@
 
 // add adds an answer. It withholds the items of a part from n; the last part, which carries the ballot chosen, gets them all.
 func (p *partialNews) add(n *messages.News) {
-	if n.Whole || p.life != n.Life || p.cursor == nil { // the items start anew
+	if n.Whole || p.incarnation != n.Life || p.cursor == nil { // the items start anew
 		p.items, p.snapshot = nil, n.Whole
 	}
-	p.life, p.revision, p.moreEntries, p.cursor = n.Life, n.At, n.More, n.Cursor
+	p.incarnation, p.revision, p.moreEntries, p.cursor = n.Life, n.At, n.More, n.Cursor
 	p.items = append(p.items, n.Items...)
 	if p.cursor != nil {
 		n.Items, n.Whole = nil, false
@@ -33,7 +33,7 @@
 
 // continueCall makes a call continue after the last answer.
 func (p *partialNews) continueCall(call *messages.PullCall) {
-	call.Life, call.At, call.Cursor = p.life, p.revision, p.cursor
+	call.Life, call.At, call.Cursor = p.incarnation, p.revision, p.cursor
 }
 
 // sources is the progress by address of each source that was asked, so that a return to one continues there.
@@ -47,7 +47,7 @@
 	if _, ok := s[addr]; !ok && len(s) >= maxSources {
 		clear(s)
 	}
-	s[addr] = partialNews{life: p.life, revision: p.revision}
+	s[addr] = partialNews{incarnation: p.incarnation, revision: p.revision}
 }
 
 // applyItems returns the configuration after news with a higher ballot than the one in force. A proxy keeps no tombstones: its ballot
--- a/internal/proxy/partialnews_test.go
+++ b/internal/proxy/partialnews_test.go
@@ -39,7 +39,7 @@
 		}
 		change(12)
 		latest := []int{1, 1}                            // ballot number of two registries, which are sources 1 and 2
-		lives := []uint64{0, 1, 2, 3}                    // by source
+		incarnations := []uint64{0, 1, 2, 3}             // by source
 		other, proxy := newProxyState(), newProxyState() // source 3, which keeps no tombstones; the proxy under test
 		tables := []*backends.Table{nil, backends.New(), backends.New(), other.table}
 		versions := uint64(0)
@@ -51,7 +51,7 @@
 			changeEntry()
 		}
 		call := func(source uint64, to *proxyState) { // pulls one message
-			n := messages.News{Life: lives[source]}
+			n := messages.News{Life: incarnations[source]}
 			var c messages.PullCall
 			c.Have = to.chosen
 			to.news.continueCall(&c)
@@ -117,7 +117,7 @@
 				}
 			case 3:
 				if source = rapid.Uint64Range(1, 3).Draw(t, "source"); rapid.Bool().Draw(t, "reconnects") {
-					proxy.news = proxy.sources[fmt.Sprint(source)] // a new connection; otherwise the source is another life at the same address
+					proxy.news = proxy.sources[fmt.Sprint(source)] // a new connection; otherwise the source is another incarnation at the same address
 				}
 			case 7:
 				for range rapid.IntRange(1, 5).Draw(t, "entries") {
@@ -130,7 +130,7 @@
 				}
 			case 9: // a registry restarts and first receives the table of the other one
 				s := rapid.IntRange(1, 2).Draw(t, "restarted")
-				lives[s] += 10
+				incarnations[s] += 10
 				all := tables[3-s].All()
 				tables[s] = backends.New()
 				for _, b := range all {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -30,13 +30,13 @@
 
 // Proxy is one running proxy.
 type Proxy struct {
-	settings   atomic.Pointer[settings.Settings]
-	log        func(event, text string)
-	network    sock.Net
-	dataPlane  *dataplane.DataPlane
-	quorum     *quorum.Council
-	membership *transport.Masthead
-	life       uint64
+	settings    atomic.Pointer[settings.Settings]
+	log         func(event, text string)
+	network     sock.Net
+	dataPlane   *dataplane.DataPlane
+	quorum      *quorum.Council
+	membership  *transport.Masthead
+	incarnation uint64
 
 	mu           sync.Mutex
 	registries   []messages.Master
@@ -81,7 +81,7 @@
 // Start starts a proxy with the given settings. A nil network means the system's.
 func Start(s *settings.Settings, log func(event, text string), network sock.Net) (*Proxy, error) {
 	network = sock.On(network)
-	p := &Proxy{log: log, network: network, quorum: quorum.New(network), life: process.Life(), table: backends.New(), sources: sources{}, avoidedSince: map[string]time.Time{}, items: configuration.Set{}.Charted(),
+	p := &Proxy{log: log, network: network, quorum: quorum.New(network), incarnation: process.Life(), table: backends.New(), sources: sources{}, avoidedSince: map[string]time.Time{}, items: configuration.Set{}.Charted(),
 		changed: make(chan struct{}, 1), done: make(chan struct{})}
 	p.settings.Store(s)
 	listen := func(addr string) (net.Listener, error) {
@@ -107,7 +107,7 @@
 		maxConns = s.Descriptors / 2
 	}
 	p.dataPlane = dataplane.New(dataplane.Options{Node: s.NodeName, Zone: s.Zone, Service: s.Service, App: s.AppAddr, GateAddr: gateAddr,
-		Life: p.life, Begun: time.Now(), Heartbeat: s.Heartbeat, Ratio: s.Bounds.RetryRatio, Allowance: s.Bounds.RetryAllowance,
+		Life: p.incarnation, Begun: time.Now(), Heartbeat: s.Heartbeat, Ratio: s.Bounds.RetryRatio, Allowance: s.Bounds.RetryAllowance,
 		Window: s.Bounds.RetryWindow, KeyWindow: s.Bounds.DedupWindow + keyMargin, AnswerBytes: answerBytes, MaxConns: maxConns, LinkMbps: s.BandwidthMbps,
 		Net: network, Council: p.quorum, News: p.newsFor, Report: p.report, Vouched: p.hasMajorityContact, Log: log,
 		Heard: func(addr string) { p.membership.Heard(addr) }})
@@ -132,7 +132,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("readiness: %w", err)
 	}
-	p.membership = transport.Start(s, messages.RoleTug, messages.RosterTugPort, messages.GatePort, p.life, network, log)
+	p.membership = transport.Start(s, messages.RoleTug, messages.RosterTugPort, messages.GatePort, p.incarnation, network, log)
 	p.serveHTTP(control, &controlapi.Port{Beat: p.dataPlane.Gate.Beat, Leave: p.dataPlane.Gate.Leave, Refused: p.refused})
 	p.serveHTTP(readiness, &controlapi.Port{Ready: p.ready})
 	go p.dataPlane.ServeGate(gate)
@@ -473,7 +473,7 @@
 	if relay {
 		p.relayed = append(p.relayed, *call.Self)
 	}
-	n := messages.News{Life: p.life, FreshMs: messages.Never, Partial: !p.complete}
+	n := messages.News{Life: p.incarnation, FreshMs: messages.Never, Partial: !p.complete}
 	n.Tell(call, p.table, p.chosen, p.items, p.prunedBallot)
 	if r := p.quorum.Roll(); r.Epoch != call.Epoch && r.Epoch > 0 {
 		n.Roll = &r
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -25,7 +25,7 @@
 	}
 	s, roll := p.settings.Load(), p.quorum.Roll()
 	r := messages.Reported{Program: messages.TheTug, Version: process.Version, Node: s.NodeName, Zone: s.Zone, Addr: s.Port(messages.GatePort),
-		Life: p.life, UpMs: uint64(p.dataPlane.Up().Milliseconds()), Epoch: roll.Epoch, Voters: roll.Voters, Counts: p.Counts()}
+		Life: p.incarnation, UpMs: uint64(p.dataPlane.Up().Milliseconds()), Epoch: roll.Epoch, Voters: roll.Voters, Counts: p.Counts()}
 	own := &messages.TugReport{Ready: p.ready() == nil, Stopping: p.stopping.Load(), FromMs: messages.Never, FreshMs: messages.Never}
 	if pull := p.lastPull.Load(); pull != nil {
 		own.From, own.FreshMs = pull.addr, pull.freshMs
--- a/internal/proxy/start_test.go
+++ b/internal/proxy/start_test.go
@@ -33,17 +33,17 @@
 
 // stubRegistry is a registry that only answers pulls.
 type stubRegistry struct {
-	life      uint64
-	freshMs   uint32
-	items     configuration.Set
-	mu        sync.Mutex // guards chosen, table and the state of onPart once it serves
-	chosen    configuration.Ballot
-	table     *backends.Table
-	onPart    func(part int64, n *messages.News) // called before an answer is sent
-	partCount atomic.Int64                       // answers with items or entries
-	largest   atomic.Int64
-	breakAt   int64 // onBreak is called in place of sending this part; 0: never
-	onBreak   func()
+	incarnation uint64
+	freshMs     uint32
+	items       configuration.Set
+	mu          sync.Mutex // guards chosen, table and the state of onPart once it serves
+	chosen      configuration.Ballot
+	table       *backends.Table
+	onPart      func(part int64, n *messages.News) // called before an answer is sent
+	partCount   atomic.Int64                       // answers with items or entries
+	largest     atomic.Int64
+	breakAt     int64 // onBreak is called in place of sending this part; 0: never
+	onBreak     func()
 }
 
 func (s *stubRegistry) serve(t *testing.T, p *network.Process, addr string) {
@@ -56,7 +56,7 @@
 		if c.Kind != messages.Pull || rpc.Decode(c.Body, &call) != nil {
 			return
 		}
-		n := messages.News{Life: s.life, FreshMs: s.freshMs}
+		n := messages.News{Life: s.incarnation, FreshMs: s.freshMs}
 		s.mu.Lock()
 		if s.table == nil {
 			s.table = backends.New()
@@ -113,7 +113,7 @@
 		s := network.New(1)
 		set := routeSet(routes)
 		var ends []func()
-		registries := []*stubRegistry{{life: 11, breakAt: 3}, {life: 12}}
+		registries := []*stubRegistry{{incarnation: 11, breakAt: 3}, {incarnation: 12}}
 		var machines []*network.Machine
 		for i, r := range registries {
 			m := s.Machine(fmt.Sprintf("10.1.0.%d", 2+i), "zone-1")
@@ -178,7 +178,7 @@
 			for i := range 2 {
 				m := s.Machine(fmt.Sprintf("10.1.0.%d", 2+i), "zone-1")
 				p := m.Start()
-				r := &stubRegistry{life: uint64(11 + i), items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}, table: backends.New(), onBreak: p.End}
+				r := &stubRegistry{incarnation: uint64(11 + i), items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}, table: backends.New(), onBreak: p.End}
 				for n := range backendCount {
 					r.table.Merge(backends.Backend{Node: fmt.Sprintf("n-%02d", n), Addr: "10.2.0.1:7", Zone: "zone-1", Version: 1, Release: release})
 				}
@@ -234,7 +234,7 @@
 			proxy2.mu.Lock()
 			progress := proxy2.sources[proxy1.dataPlane.Gate.Berth().Addr]
 			proxy2.mu.Unlock()
-			if progress.life != proxy1.life || progress.revision < backendCount {
+			if progress.incarnation != proxy1.incarnation || progress.revision < backendCount {
 				t.Errorf("progress of the other proxy: %+v", progress)
 			}
 			p1.End()
@@ -257,7 +257,7 @@
 			table := backends.New()
 			for i := range n {
 				table.Merge(backends.Backend{Node: fmt.Sprintf("side-%05d", i), Addr: fmt.Sprintf("10.%d.%d.%d:7382", i>>12, i>>6&63, i&63), Zone: fmt.Sprintf("zone-%d", i%32), Version: 7,
-					Life: 1<<60 + uint64(i), Instance: fmt.Sprintf("i-%d-0a1b2c", i), Service: fmt.Sprintf("service-%d", i/14), Release: "v1", Capacity: 8, State: backends.Serving})
+					Incarnation: 1<<60 + uint64(i), Instance: fmt.Sprintf("i-%d-0a1b2c", i), Service: fmt.Sprintf("service-%d", i/14), Release: "v1", Capacity: 8, State: backends.Serving})
 			}
 			b.ReportAllocs()
 			var bytes, largest, parts int
@@ -310,7 +310,7 @@
 		transfer := func(b *testing.B, to *proxyState, ballot configuration.Ballot) (bytes int) {
 			for to.chosen.Less(ballot) {
 				var call messages.PullCall
-				if err := rpc.Decode(rpc.Encode(messages.PullCall{Life: to.news.life, Have: to.chosen, Cursor: to.news.cursor}), &call); err != nil {
+				if err := rpc.Decode(rpc.Encode(messages.PullCall{Life: to.news.incarnation, Have: to.chosen, Cursor: to.news.cursor}), &call); err != nil {
 					b.Fatal(err)
 				}
 				sent := messages.News{Life: 1}
@@ -365,7 +365,7 @@
 		s := network.New(1)
 		var cut atomic.Pointer[time.Time]
 		var late atomic.Int64 // pulls from the near registry more than 3 s after the cut
-		near, far := &stubRegistry{life: 11, items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}}, &stubRegistry{life: 12, items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}}
+		near, far := &stubRegistry{incarnation: 11, items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}}, &stubRegistry{incarnation: 12, items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}}
 		near.onPart = func(_ int64, n *messages.News) {
 			if n.FreshMs = 400; cut.Load() != nil {
 				sinceCut := time.Since(*cut.Load())
@@ -414,7 +414,7 @@
 func TestPullFromCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := network.New(1)
-		r := &stubRegistry{life: 11, items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}}
+		r := &stubRegistry{incarnation: 11, items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}}
 		machine := s.Machine("10.1.0.2", "zone-1")
 		registry := machine.Start()
 		r.serve(t, registry, net.JoinHostPort(machine.IP, fmt.Sprint(7380+messages.HarbourPort)))
--- a/internal/reconfig/explore_test.go
+++ b/internal/reconfig/explore_test.go
@@ -283,7 +283,7 @@
 	if held == nobody {
 		return idempotency.ID{}
 	}
-	return idempotency.ID{Life: 1, N: uint64(held)}
+	return idempotency.ID{Incarnation: 1, N: uint64(held)}
 }
 
 func holder(l *idempotency.ClaimTable) (held uint8) {
--- a/internal/simulation/flaws.go
+++ b/internal/simulation/flaws.go
@@ -108,7 +108,7 @@
 	for _, core := range m.w.core {
 		c := rpc.NewClient(m.crowd(), net.JoinHostPort(core.m.IP, strconv.Itoa(firstFree+messages.PurserPort)))
 		var g idempotency.Grant
-		mine := idempotency.ID{Life: 1, N: 1, Addr: "nowhere"}
+		mine := idempotency.ID{Incarnation: 1, N: 1, Addr: "nowhere"}
 		if c.Call(messages.Claim, messages.ClaimCall{Key: key, ID: mine, Epoch: 1}, &g, time.Second) == nil {
 			id := g.Holder
 			if g.Granted {
--- a/internal/simulation/syncs_test.go
+++ b/internal/simulation/syncs_test.go
@@ -20,7 +20,7 @@
 	version int
 }
 
-var keyed = idempotency.ID{Life: 7, N: 1, Addr: "10.9.0.2:1"}
+var keyed = idempotency.ID{Incarnation: 7, N: 1, Addr: "10.9.0.2:1"}
 
 // grants asks the voters of a roll for the key on behalf of a claimant, and gives how many grant it, of how many.
 func (q *quay) grants(id idempotency.ID) (given, of int) {
@@ -59,7 +59,7 @@
 
 // stands looks whether all that was acknowledged is there, and nobody else gets the key.
 func (q *quay) stands(why string) {
-	if given, of := q.grants(idempotency.ID{Life: 8, N: 1, Addr: "10.9.0.2:2"}); given >= consensus.Majority(of) {
+	if given, of := q.grants(idempotency.ID{Incarnation: 8, N: 1, Addr: "10.9.0.2:2"}); given >= consensus.Majority(of) {
 		q.must(fmt.Errorf("%s: %d of %d grant the key to another", why, given, of))
 	}
 	q.op.readBack()
@@ -158,7 +158,7 @@
 	if serving >= 2 {
 		return false
 	}
-	if given, _ := q.grants(idempotency.ID{Life: 8, N: 1, Addr: "10.9.0.2:2"}); given > serving {
+	if given, _ := q.grants(idempotency.ID{Incarnation: 8, N: 1, Addr: "10.9.0.2:2"}); given > serving {
 		q.must(fmt.Errorf("%s: %d grant the key to another, %d serve", why, given, serving))
 	}
 	if q.op.readBack(); q.log.ReadOK {
--- a/internal/store/purser.go
+++ b/internal/store/purser.go
@@ -426,7 +426,7 @@
 }
 
 func putClaim(key string, id idempotency.ID) storage.Put {
-	v := binary.BigEndian.AppendUint64(nil, id.Life)
+	v := binary.BigEndian.AppendUint64(nil, id.Incarnation)
 	v = binary.BigEndian.AppendUint64(v, id.N)
 	return storage.Put{Table: tableClaims, Key: []byte(key), Value: append(v, id.Addr...)}
 }
@@ -435,7 +435,7 @@
 	if len(v) < 16 {
 		return idempotency.ID{}, errors.New("a claim of " + strconv.Itoa(len(v)) + " bytes")
 	}
-	return idempotency.ID{Life: binary.BigEndian.Uint64(v), N: binary.BigEndian.Uint64(v[8:]), Addr: string(v[16:])}, nil
+	return idempotency.ID{Incarnation: binary.BigEndian.Uint64(v), N: binary.BigEndian.Uint64(v[8:]), Addr: string(v[16:])}, nil
 }
 
 func (b *books) read() error {
@@ -907,7 +907,7 @@
 		return errcode.New(errcode.Malformed, "")
 	}
 	holder, granted := b.ledger.Claim(b.now(), m.Key, m.ID)
-	answer := idempotency.Grant{Vouch: b.vouch(), Granted: granted, Holder: holder}
+	answer := idempotency.Grant{Origin: b.vouch(), Granted: granted, Holder: holder}
 	switch {
 	case !granted:
 		b.p.Counts.Denied.Add(1)
--- a/internal/store/purser_test.go
+++ b/internal/store/purser_test.go
@@ -174,7 +174,7 @@
 	return d
 }
 
-func id(n uint64) idempotency.ID { return idempotency.ID{Life: 7, N: n, Addr: "x:1"} }
+func id(n uint64) idempotency.ID { return idempotency.ID{Incarnation: 7, N: n, Addr: "x:1"} }
 
 // What a disk told before its reading failed counts for nothing: the next one may be empty.
 func TestDiskThatFailsAmidReading(t *testing.T) {
--- a/internal/store/relief_test.go
+++ b/internal/store/relief_test.go
@@ -22,7 +22,7 @@
 	d.open()
 	d.settle()
 	claim := func(d *desk, key string) errcode.Kind {
-		r := d.call(messages.Claim, messages.ClaimCall{Key: key, ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1})
+		r := d.call(messages.Claim, messages.ClaimCall{Key: key, ID: idempotency.ID{Incarnation: 1, N: 1}, Epoch: 1})
 		d.settle()
 		return errcode.Of(r.err)
 	}
@@ -43,7 +43,7 @@
 	if _, k := hand(d); accept.n != 0 || k != errcode.Gone {
 		t.Errorf("%d answers, handed over %v, before the seal is on disk", accept.n, k)
 	}
-	if r := d.call(messages.Claim, messages.ClaimCall{Key: "amid", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
+	if r := d.call(messages.Claim, messages.ClaimCall{Key: "amid", ID: idempotency.ID{Incarnation: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
 		t.Errorf("a claim while the seal is on its way: %v", r.err)
 	}
 	d.settle()
@@ -98,7 +98,7 @@
 		if r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2}); d.state != c.want || r.err != nil {
 			t.Errorf("%s: %s, handed over: %v", c.name, d.state, r.err)
 		}
-		if r := d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
+		if r := d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: idempotency.ID{Incarnation: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
 			t.Errorf("%s: a claim of the old epoch: %v", c.name, r.err)
 		}
 	}
