--- a/internal/store/reconfig_test.go
+++ b/internal/store/reconfig_test.go
@@ -22,7 +22,7 @@
 	voter.openDisk()
 	voter.settle()
 	claim := func(voter *testVoter, key string) errcode.Kind {
-		r := voter.call(messages.Claim, messages.ClaimCall{Key: key, ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1})
+		r := voter.call(messages.Claim, messages.ClaimCall{Key: key, ID: idempotency.ID{Incarnation: 1, N: 1}, Epoch: 1})
 		voter.settle()
 		return errcode.Of(r.err)
 	}
@@ -43,7 +43,7 @@
 	if _, k := hand(voter); accept.count != 0 || k != errcode.Gone {
 		t.Errorf("%d answers, handed over %v, before the seal is on disk", accept.count, k)
 	}
-	if r := voter.call(messages.Claim, messages.ClaimCall{Key: "amid", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
+	if r := voter.call(messages.Claim, messages.ClaimCall{Key: "amid", ID: idempotency.ID{Incarnation: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
 		t.Errorf("a claim while the seal is being written: %v", r.err)
 	}
 	voter.settle()
@@ -98,7 +98,7 @@
 		if r := voter.call(messages.Handover, messages.HandoverCall{Epoch: 2}); voter.state != c.want || r.err != nil {
 			t.Errorf("%s: %s, handed over: %v", c.name, voter.state, r.err)
 		}
-		if r := voter.call(messages.Claim, messages.ClaimCall{Key: "k", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
+		if r := voter.call(messages.Claim, messages.ClaimCall{Key: "k", ID: idempotency.ID{Incarnation: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
 			t.Errorf("%s: a claim of the old epoch: %v", c.name, r.err)
 		}
 	}
--- a/internal/store/server.go
+++ b/internal/store/server.go
@@ -100,7 +100,7 @@
 	state               State
 	disk                disk // nil: not open
 	acceptor            *consensus.Acceptor
-	claims              *idempotency.Ledger
+	claims              *idempotency.ClaimTable
 	leases              *lease.Granter
 	voterSet            messages.Roll
 	index               int      // in the voter set; -1: not a voter
@@ -240,7 +240,7 @@
 
 // resetContent clears the register and the claims.
 func (s *voterState) resetContent() {
-	s.acceptor, s.claims, s.deltaRows = consensus.NewAcceptor(), idempotency.NewLedger(s.srv.opts.Window), 0
+	s.acceptor, s.claims, s.deltaRows = consensus.NewAcceptor(), idempotency.NewClaimTable(s.srv.opts.Window), 0
 }
 
 // reset clears everything that is loaded from disk.
@@ -429,16 +429,16 @@
 }
 
 func putClaim(key string, id idempotency.ID) storage.Put {
-	v := binary.BigEndian.AppendUint64(nil, id.Life)
+	v := binary.BigEndian.AppendUint64(nil, id.Incarnation)
 	v = binary.BigEndian.AppendUint64(v, id.N)
-	return storage.Put{Table: tableClaims, Key: []byte(key), Value: append(v, id.At...)}
+	return storage.Put{Table: tableClaims, Key: []byte(key), Value: append(v, id.Addr...)}
 }
 
 func readClaim(v []byte) (idempotency.ID, error) {
 	if len(v) < 16 {
 		return idempotency.ID{}, errors.New("a claim of " + strconv.Itoa(len(v)) + " bytes")
 	}
-	return idempotency.ID{Life: binary.BigEndian.Uint64(v), N: binary.BigEndian.Uint64(v[8:]), At: string(v[16:])}, nil
+	return idempotency.ID{Incarnation: binary.BigEndian.Uint64(v), N: binary.BigEndian.Uint64(v[8:]), Addr: string(v[16:])}, nil
 }
 
 func (s *voterState) loadDisk() error {
@@ -913,7 +913,7 @@
 		return errcode.New(errcode.Malformed, "")
 	}
 	holder, granted := s.claims.Claim(s.now(), m.Key, m.ID)
-	answer := idempotency.Grant{Vouch: s.vouch(), Given: granted, Holder: holder}
+	answer := idempotency.Grant{Origin: s.vouch(), Granted: granted, Holder: holder}
 	switch {
 	case !granted:
 		s.srv.Counts.Denied.Add(1)
--- a/internal/store/server_test.go
+++ b/internal/store/server_test.go
@@ -174,7 +174,7 @@
 	return voter
 }
 
-func id(n uint64) idempotency.ID { return idempotency.ID{Life: 7, N: n, At: "x:1"} }
+func id(n uint64) idempotency.ID { return idempotency.ID{Incarnation: 7, N: n, Addr: "x:1"} }
 
 // What was loaded from a disk before reading failed is discarded: the next disk may be empty.
 func TestDiskThatFailsWhileLoading(t *testing.T) {
@@ -267,12 +267,12 @@
 	voter.fake.sync(storage.ErrDisk)
 	voter.fake.sync(nil)
 	voter.runQueue()
-	if errcode.Of(first.err) != errcode.DiskOut || !again.grant(t).Given {
+	if errcode.Of(first.err) != errcode.DiskOut || !again.grant(t).Granted {
 		t.Fatalf("the first: %v, again: %v", first.err, again.err)
 	}
 	other := claim(2)
 	voter.settle()
-	if g := other.grant(t); g.Given || g.Holder != id(1) {
+	if g := other.grant(t); g.Granted || g.Holder != id(1) {
 		t.Errorf("a key that is held was granted to another: %+v", g)
 	}
 }
@@ -285,12 +285,12 @@
 		return voter.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
 	}
 	first, denied := claim(1), claim(2)
-	if denied.grant(t).Given {
+	if denied.grant(t).Granted {
 		t.Fatal("granted twice")
 	}
 	voter.fake.sync(storage.ErrFull)
 	voter.runQueue()
-	if claim(4).grant(t).Given {
+	if claim(4).grant(t).Granted {
 		t.Error("granted although the first claim may be repeated")
 	}
 	voter.call(messages.Release, messages.ReleaseCall{Key: "k", ID: id(2)}) // does not hold the key
@@ -303,7 +303,7 @@
 	if got, _ := readClaim(voter.fake.rows[tableClaims]["k"]); got != id(3) {
 		t.Errorf("%v on disk", got)
 	}
-	if errcode.Of(first.err) != errcode.DiskOut || !third.grant(t).Given {
+	if errcode.Of(first.err) != errcode.DiskOut || !third.grant(t).Granted {
 		t.Errorf("the first: %v, the third: %v", first.err, third.err)
 	}
 }
@@ -363,7 +363,7 @@
 		for n := uint64(1); n <= 3; n++ {
 			r := x.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(n), Epoch: 1})
 			x.settle()
-			if g := r.grant(t); g.Given || !g.Holder.IsZero() {
+			if g := r.grant(t); g.Granted || !g.Holder.IsZero() {
 				t.Errorf("%d: %+v", n, g)
 			}
 		}
@@ -497,7 +497,7 @@
 		granted := map[string]idempotency.ID{}
 		claim := func(key string, n uint64) {
 			var g idempotency.Grant
-			if call(messages.Claim, messages.ClaimCall{Key: key, ID: id(n), Epoch: 1}, &g) && g.Given {
+			if call(messages.Claim, messages.ClaimCall{Key: key, ID: id(n), Epoch: 1}, &g) && g.Granted {
 				granted[key] = id(n)
 			}
 		}
@@ -538,7 +538,7 @@
 		for key, holder := range granted {
 			r := again.call(messages.Claim, messages.ClaimCall{Key: key, ID: id(9), Epoch: 1})
 			again.settle()
-			if g := r.grant(t); g.Given || g.Holder != holder {
+			if g := r.grant(t); g.Granted || g.Holder != holder {
 				t.Errorf("sync %d: %q was granted to %v: %+v", turn, key, holder, g)
 			}
 		}
@@ -600,7 +600,7 @@
 		switch {
 		case damaged && (voter.state != NoVoterSet || errcode.Of(again.err) != errcode.CoreOut):
 			t.Errorf("%s with a damaged disk, a claim: %v", voter.state, again.err)
-		case !damaged && (voter.state != Serving || voter.claims.Len() != 1 || !again.grant(t).Given):
+		case !damaged && (voter.state != Serving || voter.claims.Len() != 1 || !again.grant(t).Granted):
 			t.Errorf("%s with %d keys", voter.state, voter.claims.Len())
 		}
 	}
