--- a/allowance_test.go
+++ b/allowance_test.go
@@ -23,7 +23,7 @@
 			}
 			for _, a := range r.outcome(id, saltmast.Full, ms) {
 				switch a := a.(type) {
-				case saltmast.Short:
+				case saltmast.RetryBudgetExhausted:
 					short++
 				case saltmast.Refuse:
 					if a.Request == id {
@@ -37,11 +37,11 @@
 	if short, refused := fails(3); short != 0 || refused != 0 {
 		t.Fatalf("untold: %d short, %d refused", short, refused)
 	}
-	r.step(saltmast.Allowance{Retries: 5}) // three of them wait already
+	r.step(saltmast.RetryBudget{Retries: 5}) // three of them wait already
 	if short, refused := fails(4); short != 2 || refused != 2 {
 		t.Errorf("with two left: %d of 4 short, %d refused at once", short, refused)
 	}
-	r.step(saltmast.Allowance{Retries: 0})
+	r.step(saltmast.RetryBudget{Retries: 0})
 	if short, refused := fails(2); short != 2 || refused != 2 {
 		t.Errorf("with none left: %d of 2 short, %d refused at once", short, refused)
 	}
@@ -52,14 +52,14 @@
 	s := settings()
 	s.MaxAttempts = 2
 	r := newRig(t, s, 5, backends(6))
-	r.step(saltmast.Allowance{Retries: 1000})
+	r.step(saltmast.RetryBudget{Retries: 1000})
 	retried := 0
 	for i := range 30 {
 		id := fmt.Sprint("r", i)
 		r.request(id, safe)
 		r.now += ms
 		for _, a := range r.outcome(id, saltmast.Errored, ms) {
-			if _, ok := a.(saltmast.Short); ok {
+			if _, ok := a.(saltmast.RetryBudgetExhausted); ok {
 				t.Error("short of an allowance of 1000")
 			}
 		}
--- a/api.go
+++ b/api.go
@@ -1,27 +1,27 @@
-// Package saltmast decides, for one sidecar balancer, where each
-// service-to-service request goes, when it is tried again, and when it is
-// refused. It performs no I/O: the embedding agent owns the clock, the timers
-// and the connections, passes on what happened as events, and carries out the
-// actions it gets back, in order.
+// Package saltmast implements client-side load balancing for one sidecar
+// proxy: it decides which backend gets each request, when a request is retried
+// and when it is refused. It performs no I/O: the embedding agent owns the
+// clock, the timers and the connections, reports what happened as events, and
+// carries out the returned actions in order.
 //
-// A Balancer belongs to one goroutine. All times are durations on the agent's
-// own monotonic clock, whose zero is of no matter; they must not run backwards.
-// Its memory is bounded by the requests and attempts that are open, the timers
-// that are pending and the backends that are listed or still have attempts out.
+// A Balancer must be used by one goroutine at a time. All times are durations
+// on the agent's monotonic clock, with an arbitrary zero, and must not run
+// backwards. Memory is bounded by the open requests and attempts, the pending
+// timers, and the backends that are listed or still have attempts in flight.
 package saltmast
 
 import "time"
 
-// Effect says what repeating a request does.
+// Effect says whether repeating a request is safe.
 type Effect uint8
 
 const (
-	Safe   Effect = iota // may be repeated and refused at will
-	Keyed                // backends of one group drop a repeat within a window
-	Unsafe               // may be repeated only when no attempt can have run
+	Safe   Effect = iota // may be repeated or refused at any time
+	Keyed                // the backends of one group discard a repeat within a time window
+	Unsafe               // may be repeated only if no attempt can have run
 )
 
-// Group says which backends drop repeats of a keyed request.
+// Group says which backends deduplicate a keyed request.
 type Group uint8
 
 const (
@@ -30,26 +30,26 @@
 	GroupCell              // the backends of one cell
 )
 
-// Class describes one class of requests.
+// Class describes a class of requests and the service level that it needs.
 type Class struct {
-	Aim       time.Duration // an answer within this time earns the full worth
-	Deadline  time.Duration // the time a client waits, over all its tries
-	Worth     float64       // worth of a request (or of a unit of work, see Settings.ByWork)
-	LateWorth float64       // share of the worth earned between aim and deadline
+	Aim       time.Duration // latency target: an answer within it earns the full worth
+	Deadline  time.Duration // how long a client waits, over all its tries
+	Worth     float64       // value of a request (or of a unit of work, see Settings.WorthPerWork)
+	LateWorth float64       // share of the worth that an answer between aim and deadline earns
 	Effect    Effect
 	Group     Group         // for Keyed
-	Window    time.Duration // for Keyed: how long a repeat is dropped after the first send
-	// KeepOrder: requests with the same key run one at a time, in the order taken. All such
+	Window    time.Duration // for Keyed: how long after the first send a repeat is discarded
+	// KeepOrder makes requests with the same key run one at a time, in order of arrival. All such
 	// classes share one key space.
 	KeepOrder  bool
-	AimStretch float64 // the aim grows by this multiple of the request's own work; 0: it does not
-	Stream     bool    // the answer is streamed: StreamStarted comes
+	AimStretch float64 // the aim grows by this multiple of the request's work; 0: fixed aim
+	Stream     bool    // the answer is streamed and announced by StreamStarted
 }
 
-// Tenant is one of those who share the service.
+// Tenant describes one of the tenants that share the service.
 type Tenant struct {
-	Share float64 // the fraction of the service allotted to it
-	Quota float64 // requests a second, over all agents, that are within its share
+	Share float64 // fraction of the service allotted to the tenant
+	Quota float64 // requests per second, over all agents, within that share
 }
 
 // Weights says what Backend.Weight means.
@@ -57,21 +57,21 @@
 
 const (
 	WeightsNone    Weights = iota // always 1
-	WeightsNominal                // the registered size
-	WeightsRough                  // about the size
-	WeightsLive                   // size over 1 + requests held per core, some time ago
+	WeightsNominal                // the registered capacity
+	WeightsRough                  // an approximate capacity
+	WeightsLive                   // capacity divided by 1 + requests held per core, measured some time ago
 )
 
-// Reports says where load reports come with.
+// Reports says which messages carry load reports.
 type Reports uint8
 
 const (
 	ReportsNone    Reports = iota
 	ReportsAnswers         // with outcomes and probe results
-	ReportsProbes          // with probe results alone
+	ReportsProbes          // only with probe results
 )
 
-// Fields is the set of values that load reports hold.
+// Fields is the set of values that load reports contain.
 type Fields uint8
 
 const (
@@ -83,84 +83,85 @@
 	FieldErrors
 )
 
-// Settings are what an agent is told. The zero value of a field that
-// may be absent means what its comment says; the zero value of a price, a goal or
-// a span switches off what rests on it. The interface
-// carries all that agents are told, whether or not the present module acts on it.
+// Settings configure a Balancer. The zero value of an optional field means what
+// its comment says; the zero value of a price, a goal or a duration disables the
+// feature that depends on it. Some settings are accepted but not used by this
+// module.
 type Settings struct {
-	Generation uint64 // tells these settings from others; see Retune
-	Balancers  int    // agents that share these backends, this one included; at least 1
-	Self       int    // this agent's number, from 0
-	Zone       int    // this agent's zone
-	Zones      int    // number of zones; 0: not told
-	Kinds      int    // number of machine kinds; 0: not told
-	Tier       int    // the tier of backends that this agent sends to, from 0 ...
-	Tiers      int    // ... of so many; 0: not told
-	Classes    []Class
-	Tenants    []Tenant      // none: requests belong to no tenant
-	ByWork     bool          // worth counts per unit of work, not per request
-	Subscribe  bool          // the list must be asked for; else it is told unasked
-	Tick       time.Duration // shortest gap between two steps; 0: none
-	WarmKeys   bool          // a backend that lately served a key serves it again with less work
-	Weights    Weights
-	Reports    Reports
-	Fields     Fields // what the reports hold
-	// MarksRetry: clients mark their repeats (Request.Repeat). PassesDeadline: a backend that calls
-	// a further tier passes on the time its own request has left.
+	Generation   uint64 // identifies these settings; see SettingsUpdate
+	Balancers    int    // number of agents that share the backends, including this one; at least 1
+	Self         int    // index of this agent, from 0
+	Zone         int    // this agent's zone
+	Zones        int    // number of zones; 0: unknown
+	Kinds        int    // number of machine kinds; 0: unknown
+	Tier         int    // index of the tier of backends that this agent sends to, from 0
+	Tiers        int    // number of tiers; 0: unknown
+	Classes      []Class
+	Tenants      []Tenant      // empty: requests belong to no tenant
+	WorthPerWork bool          // Class.Worth is per unit of work instead of per request
+	Subscribe    bool          // the backend list must be subscribed to; otherwise it is pushed
+	Tick         time.Duration // shortest interval between two steps; 0: none
+	WarmKeys     bool          // a backend that recently served a key serves it again with less work
+	Weights      Weights
+	Reports      Reports
+	Fields       Fields // values that load reports contain
+	// MarksRetry: clients mark their retries (Request.Repeat). PassesDeadline: a backend that calls
+	// another tier passes on the remaining time of its own request.
 	MarksRetry, PassesDeadline bool
 
-	MaxAttempts    int           // attempts one request may get; 0: 1
-	SecondCopies   bool          // two attempts of one request may be out together
+	MaxAttempts    int           // most attempts per request; 0: 1
+	SecondCopies   bool          // two attempts of one request may be in flight together (hedging)
 	MayProbe       bool          // Probe actions are allowed
 	MayCancel      bool          // Cancel actions are allowed
-	Peers          bool          // TellPeers actions are allowed
-	RetryAfter     bool          // clients are shown Refuse.RetryAfter
-	MaxRetryAfter  time.Duration // the longest wait that a client heeds
-	ConnectTimeout time.Duration // a connection not made in this time fails
+	Peers          bool          // SendToPeers actions are allowed
+	RetryAfter     bool          // clients receive Refuse.RetryAfter
+	MaxRetryAfter  time.Duration // longest wait that clients honor
+	ConnectTimeout time.Duration // a connection not established within this time fails
 	IdleClose      time.Duration // a connection unused for this long closes; 0: never
-	StreamsPerConn int           // attempts that one connection carries at once; 0: not told
-	MaxOpen        int           // requests that an agent may hold open; 0: no limit
-	CPUPerSecond   time.Duration // CPU that an agent has in each second; 0: no limit
-	CPUPerRequest  time.Duration // mean CPU for a request with its outcomes; 0: no limit
-
-	DrainGrace   time.Duration // how long sends to a draining backend are still tolerated
-	AnswerGrace  time.Duration // how long after its deadline a final answer still counts
-	AskWithin    time.Duration // Subscribe: ask at least this often while not subscribed
-	ColdShare    float64       // a backend starts at this share of its capacity or more; 0: 1
-	RampTime     time.Duration // and is warm no later than this after its start
-	FallMultiple float64       // a cold backend sent more than this multiple of its capacity ...
-	FallWindow   time.Duration // ... over this span falls over
-	FullNoProof  bool          // an attempt that ended as Full may have run
-	KeyRest      time.Duration // KeepOrder: a key rests so long after a time-out, reset or cancel
-
-	// What the operator weighs: all, the worst span, the worst class, the worst tenant in its share.
+	StreamsPerConn int           // concurrent attempts per connection; 0: unknown
+	MaxOpen        int           // open requests per agent; 0: no limit
+	CPUPerSecond   time.Duration // CPU time per second that an agent has; 0: no limit
+	CPUPerRequest  time.Duration // mean CPU time per request including its outcomes; 0: no limit
+
+	DrainGrace     time.Duration // how long sends to a draining backend are tolerated
+	AnswerGrace    time.Duration // how long after its deadline a final answer still counts
+	AskWithin      time.Duration // with Subscribe: longest interval between subscription attempts
+	ColdShare      float64       // a backend starts with at least this share of its capacity; 0: 1
+	RampTime       time.Duration // a backend has its full capacity this long after its start
+	FallMultiple   float64       // a cold backend that is sent more than this multiple of its capacity ...
+	FallWindow     time.Duration // ... over this time fails
+	FullMayHaveRun bool          // an attempt that ended with Full may have run
+	KeyRest        time.Duration // with KeepOrder: pause of a key after a timeout, reset or cancellation
+
+	// Weights of the operator's goals: all requests, the worst period, the worst class, and the worst
+	// tenant within its share.
 	GoalWhole, GoalWindow, GoalClass, GoalTenant float64
 	OverShareWorth                               float64 // worth of a request beyond its tenant's share, against one within
 
-	// What things cost, as a share of the result.
-	CrossZonePrice  float64 // each request crossing zones once
-	WastePrice      float64 // backend work that served no answer, as much as was asked for
-	LateFailPrice   float64 // all worth left unserved only after its aim
-	ProbePrice      float64 // a probe a request
-	PeerPrice       float64 // a full message (256 bytes) a request, for each receiver
-	HandshakePrice  float64 // a new connection a request
-	ConnectionPrice float64 // 100 open connections for each backend
-	ListPrice       float64 // 100 list lines a request
-	MovePrice       float64 // a move a request
-	OriginPrice     float64 // a fetch from the origin a request
-	FleetPrice      float64 // as many backends running as at the start
+	// Costs, as a share of the result. Each comment names the amount that costs the full price.
+	CrossZonePrice  float64 // every request crossing zones once
+	WastePrice      float64 // as much wasted backend work as was requested
+	LateFailPrice   float64 // the whole worth failed only after the aim
+	ProbePrice      float64 // one probe per request
+	PeerPrice       float64 // one full message (256 bytes) per request, for each receiver
+	HandshakePrice  float64 // one new connection per request
+	ConnectionPrice float64 // 100 open connections per backend
+	ListPrice       float64 // 100 list entries per request
+	MovePrice       float64 // one move per request
+	OriginPrice     float64 // one fetch from the origin per request
+	FleetPrice      float64 // as many running backends as at the start
 }
 
-// BackendState is what the list says of a backend.
+// BackendState is the state of a backend in the list.
 type BackendState uint8
 
 const (
 	Up       BackendState = iota
-	Draining              // finishing its work
+	Draining              // finishing its requests; gets no new ones
 	Gone                  // removed
 )
 
-// Backend is one entry of the list.
+// Backend is an entry of the backend list.
 type Backend struct {
 	ID      string
 	State   BackendState
@@ -168,207 +169,209 @@
 	Cell    int
 	Kind    int
 	Weight  float64
-	Started time.Duration // when its process last started; 0: long ago
+	Started time.Duration // when its process last started; 0: unknown, long ago
 }
 
-// Event is something that happened at the time of a Step.
+// Event is an input of Balancer.Step.
 type Event interface{ event() }
 
-// ListKind says how a List is to be read.
+// ListKind says how to interpret a List.
 type ListKind uint8
 
 const (
 	ListDelta  ListKind = iota // changed entries only
-	ListFull                   // all entries; a backend that is missing is gone
-	ListCached                 // all entries as last stored; may be stale
-	ListFailed                 // asking failed or the subscription broke; the old list holds
+	ListFull                   // all entries; a missing backend is gone
+	ListCached                 // all entries as last stored, possibly stale
+	ListFailed                 // the fetch or subscription failed; the previous list stays valid
 )
 
 type (
-	// List carries the backends or the failure to get them.
+	// List delivers the backend list, or the failure to get it.
 	List struct {
 		Kind     ListKind
 		Backends []Backend
 	}
-	// Request is a client's request. The balancer owes it one final answer.
+	// Request is a new client request. The balancer gives it exactly one final answer.
 	Request struct {
 		ID         string
-		Class      int // by number in the settings of Generation, whose rules it keeps
+		Class      int // index into the classes of the settings of Generation, which apply to it to the end
 		Generation uint64
-		Left       time.Duration // until this client stops waiting
+		TimeLeft   time.Duration // how long the client still waits
 		Work       time.Duration // expected work; 0: unknown
-		Repeat     bool          // the client says that it tries again
-		Key        string        // what the request is about; "": nothing told
-		Tenant     int           // whose it is, by Settings.Tenants
-		Write      bool          // it writes
-		// Coming: its body is still coming and is passed on as it comes, to one attempt. Arrived tells of its last byte;
-		// its times count from there, Left included.
-		Coming bool
+		Repeat     bool          // the client marked it as a retry
+		Key        string        // key for affinity and ordering; "": none
+		Tenant     int           // index into Settings.Tenants
+		Write      bool          // the request is a write
+		// BodyPending: the body is still being received and is streamed to a single attempt. Times,
+		// including TimeLeft, start with the BodySent event.
+		BodyPending bool
 	}
-	// Arrived says that the last byte of a request that was Coming has gone out to its attempt.
-	Arrived struct{ Request string }
-	// Outcome ends one attempt. The agent passes on exactly one for each Send.
+	// BodySent reports that the last byte of a request with BodyPending was sent to its attempt.
+	BodySent struct{ Request string }
+	// Outcome ends one attempt. The agent reports exactly one for each Send.
 	Outcome struct {
-		Request string
-		Attempt int // attempts of a request count from 0 in the order of their Send
-		Backend string
-		Result  Result
-		Latency time.Duration // since it was sent
-		Done    bool          // the request has its final answer, by this outcome or before
-		Spent   bool          // the body can't be sent once more: no further attempt is possible
-		Load    Load
+		Request      string
+		Attempt      int // index of the attempt, from 0 in the order of the Sends
+		Backend      string
+		Result       Result
+		Latency      time.Duration // since the send
+		Done         bool          // the request has its final answer, from this outcome or earlier
+		BodyConsumed bool          // the body can't be replayed: no further attempt is possible
+		Load         Load
 	}
-	// Maintenance says that operators have taken a backend out of service, or put it back. It gets nothing new
-	// meanwhile, whatever the list says. Put back, it counts as started at Since.
+	// Maintenance reports that operators took a backend out of service or put it back. While it is out of
+	// service it gets no new requests, whatever the list says. Once put back it counts as started at Since.
 	Maintenance struct {
-		Backend string
-		Out     bool
-		Since   time.Duration
+		Backend      string
+		OutOfService bool
+		Since        time.Duration
 	}
-	// Retune brings other settings, of another Generation, for the requests of that one. What makes no sense is not
-	// taken. From tells, by class, the number of the class of the settings in force that it continues; -1: none.
-	Retune struct {
-		Settings Settings
-		From     []int
+	// SettingsUpdate replaces the settings for requests of the new Generation. Invalid settings are ignored.
+	// PreviousClass maps each class to the index of the class of the current settings that it continues, or
+	// -1.
+	SettingsUpdate struct {
+		Settings      Settings
+		PreviousClass []int
 	}
-	// Room says how many requests may be held open from now on, in place of what the settings say; 0: no limit.
-	Room struct{ MaxOpen int }
-	// Allowance says how many retries may begin or be on their way from now on, by what agents share; it takes away from
-	// what the private bucket allows, and adds nothing. Until it is told there is no such bound.
-	Allowance struct{ Retries int }
-	// Hearsay says what others saw of a backend, a prior until this balancer has an answer of its own: Bad, since Age and
-	// to be taken so For a while; else that it is back.
-	Hearsay struct {
-		Backend  string
-		Bad      bool
-		Age, For time.Duration
+	// OpenLimit overrides the MaxOpen of the settings from now on; 0: no limit.
+	OpenLimit struct{ MaxOpen int }
+	// RetryBudget is the number of retries, pending ones included, that the budget shared by all agents
+	// allows from now on. It only restricts the balancer's own token bucket further. There is no such limit
+	// before the first event.
+	RetryBudget struct{ Retries int }
+	// PeerHealthReport is what other agents observed Age ago: that a backend is unhealthy, to be avoided for
+	// TTL, or that it has recovered. A newer answer to this balancer takes precedence.
+	PeerHealthReport struct {
+		Backend   string
+		Unhealthy bool
+		Age, TTL  time.Duration
 	}
-	// StreamStarted says that the answer of an attempt has begun to reach the client.
+	// StreamStarted reports that the client began to receive the answer of an attempt.
 	StreamStarted struct {
 		Request string
 		Attempt int
 	}
-	// Abandoned says that the client left; nothing is owed any longer.
+	// Abandoned reports that the client left; the request needs no answer.
 	Abandoned struct{ Request string }
-	// ProbeResult answers a Probe.
+	// ProbeResult is the result of a Probe.
 	ProbeResult struct {
 		Backend string
 		Result  Result
 		Latency time.Duration
 		Load    Load
 	}
-	// TimerFired says that a SetTimer has come due.
+	// TimerFired reports that the timer of a SetTimer expired.
 	TimerFired struct{ Token int64 }
-	// PeerMessage carries bytes from another agent.
+	// PeerMessage delivers a message from another agent.
 	PeerMessage struct {
 		From int
 		Data []byte
 	}
 )
 
-// Load is what a backend reported of itself, late and with noise.
+// Load is a backend's report of its own load; it is delayed and noisy.
 type Load struct {
 	Valid        bool
 	InFlight     float64       // requests held; negative: not reported
 	Queue        float64       // requests waiting; negative: not reported
 	Utilization  float64       // share of CPU in use; negative: not reported
-	Throughput   float64       // requests served a second; negative: not reported
-	Service      time.Duration // recent service time without waiting; negative: not reported
+	Throughput   float64       // requests served per second; negative: not reported
+	Service      time.Duration // recent service time without queueing; negative: not reported
 	ErrorsPerSec float64       // negative: not reported
 }
 
-// Result says how an attempt or a probe ended.
+// Result is the result of an attempt or a probe.
 type Result uint8
 
 const (
 	OK            Result = iota // served
 	Errored                     // the backend returned an error; may have run
-	Full                        // turned away unseen; never ran
-	TimedOut                    // no answer in time; may have run or be running
+	Full                        // rejected by an overloaded backend before processing; never ran
+	TimedOut                    // no answer in time; may have run or still be running
 	ConnectFailed               // no connection; never ran
 	Reset                       // the connection broke; may have run
-	Cancelled                   // withdrawn; may have run
+	Cancelled                   // cancelled by the balancer; may have run
 	NotSent                     // never sent
 )
 
-// NeverRan reports whether the result proves that the attempt had no effect, where Full is
-// proof; see Settings.FullNoProof.
+// NeverRan reports whether the result proves that the attempt had no effect. It takes Full
+// as proof; see Settings.FullMayHaveRun.
 func (r Result) NeverRan() bool { return r == Full || r == ConnectFailed || r == NotSent }
 
-// Action is something the agent must do now, in the order given. Agents carry
-// out every kind, whether or not the present module sends it.
+// Action is an instruction that the agent must carry out at once, in the given
+// order. Agents support every kind, including those that this module never sends.
 type Action interface{ action() }
 
 type (
-	// Send starts the next attempt of a request. Timeout 0 means until the client stops waiting.
+	// Send starts the next attempt of a request. With Timeout 0 it lasts until the client stops waiting.
 	Send struct {
 		Request, Backend string
 		Timeout          time.Duration
 	}
-	// Cancel withdraws an attempt; its Outcome still comes.
+	// Cancel cancels an attempt, whose Outcome is still reported.
 	Cancel struct {
 		Request string
 		Attempt int
 	}
-	// Refuse is a final answer: not done, a new try does no harm.
+	// Refuse is the final answer that the request had no effect and may be retried safely.
 	Refuse struct {
 		Request    string
 		RetryAfter time.Duration // 0: no advice
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is the final answer that the request failed and may have had an effect.
 	Fail struct{ Request string }
-	// SetTimer asks for a TimerFired after a while. Timers are never revoked.
+	// SetTimer requests a TimerFired after a delay. Timers are never cancelled.
 	SetTimer struct {
 		After time.Duration
 		Token int64
 	}
-	// Probe examines a backend outside any request.
+	// Probe checks the health of a backend independently of any request.
 	Probe struct{ Backend string }
-	// TellPeers sends at most 256 bytes to all other agents, or to one. They may come late or not at all.
-	TellPeers struct {
+	// SendToPeers sends at most 256 bytes to all other agents or to one. Messages may be delayed or lost.
+	SendToPeers struct {
 		Data []byte
-		One  bool // only to the agent numbered To
+		One  bool // only to the agent with index To
 		To   int
 	}
-	// Subscribe asks that list changes be delivered from now on.
+	// Subscribe starts the delivery of list changes.
 	Subscribe struct{}
-	// Unsubscribe asks that list changes be delivered no longer.
+	// Unsubscribe stops the delivery of list changes.
 	Unsubscribe struct{}
-	// FetchList asks for the whole list once.
+	// FetchList requests the whole list once.
 	FetchList struct{}
-	// CloseIdle closes the idle connections to a backend.
+	// CloseIdle closes all idle connections to a backend.
 	CloseIdle struct{ Backend string }
-	// Short says that a retry was wanted and not begun since the Allowance is used up.
-	Short struct{ Request string }
-	// Note is a line for the operators' log.
+	// RetryBudgetExhausted reports that a retry was not started because the RetryBudget is used up.
+	RetryBudgetExhausted struct{ Request string }
+	// Note writes a line to the operators' log.
 	Note struct{ Text string }
 )
 
-func (List) event()          {}
-func (Request) event()       {}
-func (Arrived) event()       {}
-func (Outcome) event()       {}
-func (Maintenance) event()   {}
-func (Retune) event()        {}
-func (Room) event()          {}
-func (Allowance) event()     {}
-func (Hearsay) event()       {}
-func (StreamStarted) event() {}
-func (Abandoned) event()     {}
-func (ProbeResult) event()   {}
-func (TimerFired) event()    {}
-func (PeerMessage) event()   {}
-
-func (Send) action()        {}
-func (Cancel) action()      {}
-func (Refuse) action()      {}
-func (Fail) action()        {}
-func (SetTimer) action()    {}
-func (Probe) action()       {}
-func (TellPeers) action()   {}
-func (Subscribe) action()   {}
-func (Unsubscribe) action() {}
-func (FetchList) action()   {}
-func (CloseIdle) action()   {}
-func (Short) action()       {}
-func (Note) action()        {}
+func (List) event()             {}
+func (Request) event()          {}
+func (BodySent) event()         {}
+func (Outcome) event()          {}
+func (Maintenance) event()      {}
+func (SettingsUpdate) event()   {}
+func (OpenLimit) event()        {}
+func (RetryBudget) event()      {}
+func (PeerHealthReport) event() {}
+func (StreamStarted) event()    {}
+func (Abandoned) event()        {}
+func (ProbeResult) event()      {}
+func (TimerFired) event()       {}
+func (PeerMessage) event()      {}
+
+func (Send) action()                 {}
+func (Cancel) action()               {}
+func (Refuse) action()               {}
+func (Fail) action()                 {}
+func (SetTimer) action()             {}
+func (Probe) action()                {}
+func (SendToPeers) action()          {}
+func (Subscribe) action()            {}
+func (Unsubscribe) action()          {}
+func (FetchList) action()            {}
+func (CloseIdle) action()            {}
+func (RetryBudgetExhausted) action() {}
+func (Note) action()                 {}
--- a/bench_test.go
+++ b/bench_test.go
@@ -34,7 +34,7 @@
 // playOne plays request i to its end.
 func playOne(lb *saltmast.Balancer, now *time.Duration, i int) {
 	id := fmt.Sprint("q", i)
-	events := []saltmast.Event{saltmast.Request{ID: id, Class: safe, Left: time.Second, Key: id}}
+	events := []saltmast.Event{saltmast.Request{ID: id, Class: safe, TimeLeft: time.Second, Key: id}}
 	for n := 0; len(events) > 0; {
 		acts := lb.Step(*now, events)
 		events = nil
--- a/example_test.go
+++ b/example_test.go
@@ -41,7 +41,7 @@
 		}
 	}
 	step(saltmast.List{Kind: saltmast.ListFull, Backends: []saltmast.Backend{{ID: "10.0.0.1:80"}, {ID: "10.0.0.2:80"}}})
-	step(saltmast.Request{ID: "r1", Class: 0, Left: time.Second})
+	step(saltmast.Request{ID: "r1", Class: 0, TimeLeft: time.Second})
 
 	first := backend
 	now += 3 * time.Millisecond
--- a/finish.go
+++ b/finish.go
@@ -1,72 +1,72 @@
 package saltmast
 
-// The start of attempts and the end of requests, where the rules are checked last.
+// Starts attempts and ends requests, after a last check of the rules.
 
 import "time"
 
-// send starts an attempt. Nothing else does; the rules are checked here last.
+// send starts an attempt after a last check of the rules. No other function sends.
 func (b *Balancer) send(r *request, t *backend) {
-	if !t.isUp() || !b.mayRepeat(r, t) || !b.inTurn(r) || b.now >= r.deadline {
+	if !t.isAvailable() || !b.mayAttempt(r, t) || !b.isNextForKey(r) || b.now >= r.deadline {
 		b.finish(r)
 		return
 	}
-	a := &attempt{b: t, sent: b.now, coming: r.coming, open: true, fresh: !b.isLinked(t),
-		cost:     max(b.expected(r), 1),
-		patience: time.Duration(max(silentAfter*float64(r.c.Aim), silentMeans*b.expected(r)))}
+	a := &attempt{backend: t, sentAt: b.now, bodyPending: r.bodyPending, open: true,
+		outsideSet: !b.inWorkingSet(t), cost: max(b.expectedLatency(r), 1),
+		silentAfter: time.Duration(max(silenceAims*float64(r.class.Aim), silenceMeans*b.expectedLatency(r)))}
 	r.attempts = append(r.attempts, a)
 	r.open++
-	if r.risky++; r.anchor == nil {
-		r.anchor = a
+	if r.mayHaveRun++; r.firstMayHaveRun == nil {
+		r.firstMayHaveRun = a
 	}
-	t.out = append(t.out, a)
+	t.attempts = append(t.attempts, a)
 	b.inFlight++
 	if len(r.attempts) == 1 {
-		b.sent++
+		b.recentSent++
 	}
 	if t.cold {
-		t.budget -= a.cost
+		t.coldBudget -= a.cost
 	}
 	b.actions = append(b.actions, Send{Request: r.id, Backend: t.ID})
-	b.awaitSilence(r)
+	b.scheduleHedge(r)
 }
 
-// finish gives a request its final answer. Nothing else does. It is a refusal where no attempt may have run,
-// which lets any client try again; else a failure.
+// finish gives a request its final answer; no other function does. It refuses the request if no attempt can
+// have run, so that any client may try again, and fails it otherwise.
 func (b *Balancer) finish(r *request) {
 	if r.ended {
 		return
 	}
-	if r.risky == 0 {
-		b.actions = append(b.actions, Refuse{Request: r.id, RetryAfter: b.comeBack(r)})
+	if r.mayHaveRun == 0 {
+		b.actions = append(b.actions, Refuse{Request: r.id, RetryAfter: b.retryAfter(r)})
 	} else {
 		b.actions = append(b.actions, Fail{Request: r.id})
 	}
 	b.close(r)
 }
 
-// comeBack is when a refused client should try again, where clients are told: after a fully jittered wait
-// like those of our own retries, at their ceiling since what refuses is a crowd and not one backend. Guards
-// against clients that were refused together and come back together.
-func (b *Balancer) comeBack(r *request) time.Duration {
-	if !b.s.RetryAfter {
+// retryAfter returns the fully jittered wait that a refused client is advised, or 0 if clients are not told.
+// It draws from the ceiling of the retry backoff, since refusals come from overload of the fleet and not of
+// one backend. The jitter keeps clients that were refused together from returning together.
+func (b *Balancer) retryAfter(r *request) time.Duration {
+	if !b.cfg.RetryAfter {
 		return 0
 	}
-	longest := float64(r.c.Aim) * backoffCeiling / backoffUnits
-	return time.Duration(b.rng.Float64() * min(longest, float64(b.s.MaxRetryAfter)))
+	longest := float64(r.class.Aim) * maxBackoff / backoffUnits
+	return time.Duration(b.rng.Float64() * min(longest, float64(b.cfg.MaxRetryAfter)))
 }
 
-// close forgets a request once it has ended and its attempts are in.
+// close marks a request as ended and removes it once all its attempts have their outcome.
 func (b *Balancer) close(r *request) {
 	if !r.ended {
-		b.taken--
+		b.unanswered--
 	}
 	r.ended = true
-	if r.holding {
+	if r.held {
 		b.unhold(r)
 	}
 	if r.open == 0 && b.requests[r.id] == r {
 		delete(b.requests, r.id)
-		r.rules.open--
-		b.leaveLine(r)
+		r.version.openRequests--
+		b.leaveKeyQueue(r)
 	}
 }
--- a/health.go
+++ b/health.go
@@ -1,6 +1,6 @@
 package saltmast
 
-// What answers and failures tell of a backend, and for how long it is left out.
+// Outlier detection: what outcomes say about a backend, and how long it is ejected.
 
 import (
 	"cmp"
@@ -9,184 +9,183 @@
 	"time"
 )
 
-// observe learns from the outcome of an attempt.
-func (b *Balancer) observe(r *request, a *attempt, e Outcome) {
-	t, c, lat := a.b, r.c, float64(e.Latency)
-	// Incident iec25a3: agents stayed with the backends of a small fleet while it grew fivefold. One that
-	// turns work away or answers nothing leaves the working set, though still connected.
+// recordOutcome updates the statistics and the health of a backend from the outcome of an attempt.
+func (b *Balancer) recordOutcome(r *request, a *attempt, e Outcome) {
+	t, c, lat := a.backend, r.class, float64(e.Latency)
+	// A backend that rejects work or does not answer leaves the working set, even if still connected.
+	// Otherwise agents stay with the backends of a small fleet while it grows fivefold (incident iec25a3).
 	good := 0.0
 	if e.Result == OK && b.now <= r.aim {
 		good = 1
 	}
-	if a.fresh {
-		c.freshOK += smooth * (good - c.freshOK)
+	if a.outsideSet {
+		c.outsideSetSuccess += smoothing * (good - c.outsideSetSuccess)
 	} else {
-		c.knownOK += smooth * (good - c.knownOK)
-		c.freshOK += smooth / 10 * (good - c.freshOK) // forgets, since few fresh ones are tried meanwhile
+		c.inSetSuccess += smoothing * (good - c.inSetSuccess)
+		// Without this it would not recover, since few backends outside the set are tried meanwhile.
+		c.outsideSetSuccess += smoothing / 10 * (good - c.outsideSetSuccess)
 	}
 	if e.Result == OK || e.Result == Errored {
-		t.heard = max(t.heard, a.sent)
+		t.lastAnsweredSend = max(t.lastAnsweredSend, a.sentAt)
 	}
-	t.linked, t.usedAt, t.joined, t.back = e.Result == OK || e.Result == Errored, b.now, false, false
+	t.connected, t.usedAt, t.joined, t.reinstated = e.Result == OK || e.Result == Errored, b.now, false, false
 	switch e.Result {
 	case OK:
-		// It came back before the list told: treat it as just started. One failure is no proof that it was
-		// away: a process that dies resets all its connections and refuses new ones for a while.
-		if t.down && t.warmFrom < a.sent && t.failedAt < a.sent {
-			b.start(t, b.now)
+		// It came back before the list showed it: treat it as just started. One failure does not prove a
+		// restart: a process that dies resets all its connections and refuses new ones for a while.
+		if t.down && t.rampStart < a.sentAt && t.firstFailure < a.sentAt {
+			b.markStarted(t, b.now)
 		}
-		t.down, t.fails = false, 0
-		b.failing -= smooth / 10 * b.failing
+		t.down, t.failures = false, 0
+		b.failureRate -= smoothing / 10 * b.failureRate
 		if !t.cold {
-			b.doneWork = b.decayed() + a.cost
+			b.servedWork = b.recentServedWork() + a.cost
 		}
-		t.strikes = max(0, t.strikes-strikeHeal)
-		delete(t.shuns, r.c)
-		t.lastOK, t.seen = b.now, true
-		b.learnSpeed(t, lat/a.cost)
+		t.strikes = max(0, t.strikes-strikeRecovery)
+		delete(t.classEjections, r.class)
+		t.lastSuccess, t.hasAnswered = b.now, true
+		b.recordLatency(t, lat/a.cost)
 		if r.work > 0 && c.work > 0 {
 			lat *= c.work / r.work
 		}
-		b.vary = blend(b.vary, math.Abs(lat/c.latency-1))
-		c.latency = blend(c.latency, max(lat, 1))
-		b.pace(float64(e.Latency) / float64(c.Aim))
+		b.latencyDeviation = movingAverage(b.latencyDeviation, math.Abs(lat/c.latency-1))
+		c.latency = movingAverage(c.latency, max(lat, 1))
+		b.adjustLimit(float64(e.Latency) / float64(c.Aim))
 	case Full:
-		t.fullTill = b.now + time.Duration(b.rng.Float64()*c.latency)
-		// One full backend tells less than a queue that was waited in: at the higher clip a quarter of all
-		// attempts turned away by one of eight cut the limit while the other seven answered at once.
-		b.pace(min(1, max(outlier*b.base, 2*aimedFloor)))
+		t.fullUntil = b.now + time.Duration(b.rng.Float64()*c.latency)
+		// A full backend says less than a wait in a queue: with the higher bound of adjustLimit, one of eight
+		// that rejected a quarter of all attempts cut the limit while the others answered at once.
+		b.adjustLimit(min(1, max(outlierMultiple*b.baseDelay, 2*minTargetDelay)))
 	case TimedOut:
-		b.shun(t, r.c)
-		if t.lastOK < a.sent { // nothing came back since: more than a slow request, and no queue
+		b.ejectForClass(t, r.class)
+		if t.lastSuccess < a.sentAt { // no answer since the send: neither a slow request nor a queue
 			b.strike(t, a, c)
 		} else {
-			b.pace(max(1, lat/float64(c.Aim)))
-			b.learnSpeed(t, lat/a.cost) // at least so slow
+			b.adjustLimit(max(1, lat/float64(c.Aim)))
+			b.recordLatency(t, lat/a.cost) // a lower bound of its latency
 		}
 	case Errored, Reset, ConnectFailed:
-		if t.fails++; t.fails == 1 {
-			t.failedAt = b.now
+		if t.failures++; t.failures == 1 {
+			t.firstFailure = b.now
 		}
-		n := b.inARow(e.Result)
-		if b.survived(t, e) {
-			n = mostInARow
-			if e.Result == ConnectFailed { // it takes no new connection now, which is what Full says
-				t.fullTill = b.now + time.Duration(b.rng.Float64()*c.latency)
+		n := b.failureThreshold(e.Result)
+		if b.isAlive(t, e) {
+			n = maxFailureThreshold
+			if e.Result == ConnectFailed { // it accepts no connection now: like Full
+				t.fullUntil = b.now + time.Duration(b.rng.Float64()*c.latency)
 			}
 		}
-		if t.fails >= n && (e.Result == ConnectFailed || b.maySpare()) {
+		if t.failures >= n && (e.Result == ConnectFailed || b.mayEjectAnother()) {
 			t.down = t.down || e.Result != Errored
 			b.strike(t, a, c)
 		}
-		if t.fails == 1 { // only the first of a run: a backend that is dead says nothing of the others
-			b.failing += smooth / 10 * (1 - b.failing)
+		if t.failures == 1 { // only the first of a run: a dead backend says nothing about the others
+			b.failureRate += smoothing / 10 * (1 - b.failureRate)
 		}
 	}
 }
 
-// survived reports whether t lives although a connection to it broke or failed: a process that dies takes all
-// its connections along, and attempts sent before the first failure are still open. Guards against any
-// trouble of single connections (resets on the way, stale ones, a full table) that passes for a dead backend:
-// on the day of the report some backend was always left out for two of them in a row, with a dozen attempts
-// open there that were then answered. A machine that vanishes leaves its connections open, so a dial without
-// any answer is no sign of life. Harm: one that dies with the resets lost on the way is found out later.
-func (b *Balancer) survived(t *backend, e Outcome) bool {
-	if e.Result == Errored || e.Result == ConnectFailed && e.Latency > b.s.ConnectTimeout/2 {
+// isAlive reports whether t must be alive although a connection to it broke or failed: a process that dies
+// loses all connections, but attempts sent before the first failure are still open. Otherwise problems of
+// single connections (resets by the network, stale connections, a full table) look like a death: two in a row
+// ejected backends with a dozen attempts open that were answered later. A vanished machine leaves connections
+// open, so a connect without any answer does not count. Cost: a death with lost resets is detected later.
+func (b *Balancer) isAlive(t *backend, e Outcome) bool {
+	if e.Result == Errored || e.Result == ConnectFailed && e.Latency > b.cfg.ConnectTimeout/2 {
 		return false
 	}
-	return len(t.out) > 0 && t.out[0].sent < t.failedAt
+	return len(t.attempts) > 0 && t.attempts[0].sentAt < t.firstFailure
 }
 
-// maySpare reports whether one more backend may be left out for errors. Seen on the long day: where half of
-// them erred now and then, leaving them all out cost several times what their errors did.
-func (b *Balancer) maySpare() bool {
-	out := b.count(func(t *backend) bool { return t.isUp() && b.now < t.ejected })
-	return float64(out)+1 <= max(1, sparePart*float64(b.up))
+// mayEjectAnother reports whether one more backend may be ejected for errors. When half of the backends
+// returned occasional errors, ejecting them all cost several times as much as the errors did.
+func (b *Balancer) mayEjectAnother() bool {
+	out := b.count(func(t *backend) bool { return t.isAvailable() && b.now < t.ejectedUntil })
+	return float64(out)+1 <= max(1, maxEjectedShare*float64(b.upCount))
 }
 
-// inARow is how many failures of a backend, with no answer between, tell of it and not of the fleet: so many
-// that chance alone hardly makes them where failures are as common as they are. Guards against days on which
-// answers come spoilt or connections break at all backends alike: with a strike for each, most were ejected
-// or taken for restarted, and what was left was crowded.
-func (b *Balancer) inARow(res Result) int {
-	least, chance := 2.0, byChance
-	if res == ConnectFailed { // such a one has not run, and says more
-		least, chance = 1, byChance*50
+// failureThreshold returns how many consecutive failures indicate that the backend is bad and not the fleet:
+// a run that is unlikely by chance at the current failure rate. Otherwise, when all backends return corrupt
+// answers or break connections alike, most are ejected or taken for restarted and the rest is overloaded.
+func (b *Balancer) failureThreshold(res Result) int {
+	least, chance := 2.0, chanceThreshold
+	if res == ConnectFailed { // stronger evidence: the attempt never ran
+		least, chance = 1, chanceThreshold*50
 	}
-	n := math.Ceil(math.Log(chance) / math.Log(min(max(b.failing, 1e-6), 0.3)))
-	return int(min(max(least, n), mostInARow))
+	n := math.Ceil(math.Log(chance) / math.Log(min(max(b.failureRate, 1e-6), 0.3)))
+	return int(min(max(least, n), maxFailureThreshold))
 }
 
-// learnSpeed takes one latency, as a multiple of the expected, into a backend's slowness. The first few weigh
-// more, since a quiet agent sees an answer of each only now and then.
-func (b *Balancer) learnSpeed(t *backend, sample float64) {
-	t.slow = cmp.Or(t.slow, 1)
+// recordLatency adds a latency, as a multiple of the expected, to a backend's running mean. The first samples
+// have a larger weight, since a quiet agent rarely sees an answer of each backend.
+func (b *Balancer) recordLatency(t *backend, sample float64) {
+	t.latencyRatio = cmp.Or(t.latencyRatio, 1)
 	t.samples++
-	t.slow += max(smooth, 1/(t.samples+priorSamples)) * (min(sample, slowBound) - t.slow)
+	t.latencyRatio += max(smoothing, 1/(t.samples+priorSamples)) * (min(sample, maxSlowness) - t.latencyRatio)
 }
 
-// strike ejects a backend for a while that doubles with each further strike. Departure: a backend that fails
-// fast is always idle and would draw all traffic. What was sent before the last strike adds nothing.
+// strike ejects a backend, for twice as long with each further strike. Otherwise a backend that fails fast is
+// always idle and attracts all traffic. Attempts sent before the last strike don't count.
 func (b *Balancer) strike(t *backend, a *attempt, c *classState) {
-	if a.sent < t.struckAt {
+	if a.sentAt < t.lastStrike {
 		return
 	}
-	t.strikes, t.struckAt = min(t.strikes+1, strikeCap), b.now
-	t.ejected = b.now + time.Duration(math.Exp2(t.strikes-1)*(0.75+0.5*b.rng.Float64())*float64(c.Aim))
+	t.strikes, t.lastStrike = min(t.strikes+1, maxStrikes), b.now
+	t.ejectedUntil = b.now + time.Duration(math.Exp2(t.strikes-1)*(0.75+0.5*b.rng.Float64())*float64(c.Aim))
 }
 
-// onHearsay takes others' word on a backend for a first strike, or takes that back; its own answer since
-// counts for more. Guards against quiet agents that each lose requests to one known to be silent.
-func (b *Balancer) onHearsay(e Hearsay) {
+// onPeerHealthReport ejects a backend that peers report as unhealthy, with one strike, or ends this, unless
+// this balancer has a newer answer. It saves quiet agents from losing one request each to a silent backend.
+func (b *Balancer) onPeerHealthReport(e PeerHealthReport) {
 	switch t := b.byID[e.Backend]; {
-	case t == nil || t.heard > b.now-e.Age:
-	case e.Bad:
-		t.ejected, t.struckAt = max(t.ejected, b.now+e.For), b.now
-		t.strikes, t.hearsay = max(t.strikes, 1), true
-	case t.hearsay:
-		t.ejected, t.strikes, t.hearsay = b.now, 0, false
+	case t == nil || t.lastAnsweredSend > b.now-e.Age:
+	case e.Unhealthy:
+		t.ejectedUntil, t.lastStrike = max(t.ejectedUntil, b.now+e.TTL), b.now
+		t.strikes, t.ejectedByPeers = max(t.strikes, 1), true
+	case t.ejectedByPeers:
+		t.ejectedUntil, t.strikes, t.ejectedByPeers = b.now, 0, false
 	}
 }
 
-// shun leaves a backend out for one class for a while that doubles with each further silence of it. Guards
-// against backends that leave one class unanswered and serve the others, on which they are kept. Acts only
-// for a class that fares clearly worse than another: where answers of all classes get lost, leaving backends
-// out would crowd the rest for nothing.
-func (b *Balancer) shun(t *backend, c *classState) {
-	if !slices.ContainsFunc(b.classes, func(o *classState) bool { return c.share() <= o.share()-trustGap }) {
+// ejectForClass ejects a backend for one class, for twice as long with each further unanswered attempt. It
+// handles backends that answer other classes, which keeps them in use. It acts only for a class that does
+// clearly worse than another: if all classes lose answers, ejections would only crowd the rest.
+func (b *Balancer) ejectForClass(t *backend, c *classState) {
+	if !slices.ContainsFunc(b.classes, func(o *classState) bool {
+		return c.inTimeShare() <= o.inTimeShare()-successGap
+	}) {
 		return
 	}
-	s := t.shuns[c]
-	s.fails = min(s.fails+1, strikeCap)
-	s.till = b.now + time.Duration(shunFor*math.Exp2(s.fails-1)*float64(c.Aim))
-	t.shuns[c] = s
+	s := t.classEjections[c]
+	s.silences = min(s.silences+1, maxStrikes)
+	s.until = b.now + time.Duration(classEjectionAims*math.Exp2(s.silences-1)*float64(c.Aim))
+	t.classEjections[c] = s
 }
 
-// silent reports whether t has answered nothing since it was sent its oldest open attempt, for longer than a
-// queue within the aims would explain. What hangs there must not use up the room of a quiet agent, which
-// would refuse all else until its client leaves.
-func (b *Balancer) silent(t *backend) bool {
-	for _, a := range t.out {
-		if !a.coming {
-			return t.lastOK < a.sent && b.now-a.sent > a.patience
+// isSilent reports whether t has answered nothing since its oldest open attempt, for longer than a queue
+// within the aims explains. Such attempts must not use up a quiet agent's limit, which would refuse all else.
+func (b *Balancer) isSilent(t *backend) bool {
+	for _, a := range t.attempts {
+		if !a.bodyPending {
+			return t.lastSuccess < a.sentAt && b.now-a.sentAt > a.silentAfter
 		}
 	}
 	return false
 }
 
-// healthy reports whether t may get r as ordinary traffic. After an ejection it gets one attempt at a time
-// until it has healed: of those that may be repeated, and of others where none of these came as long again.
-func (b *Balancer) healthy(t *backend, r *request) bool {
-	if b.now < t.ejected || b.silent(t) || b.now < t.shuns[r.c].till {
+// isHealthy reports whether t may get r as ordinary traffic. After an ejection it gets one attempt at a time
+// until its strikes are gone: repeatable ones, and others once the ejection time has passed again.
+func (b *Balancer) isHealthy(t *backend, r *request) bool {
+	if b.now < t.ejectedUntil || b.isSilent(t) || b.now < t.classEjections[r.class].until {
 		return false
 	}
-	safe := r.c.Effect != Unsafe || b.now >= 2*t.ejected-t.struckAt
-	return t.strikes == 0 || safe && len(t.out) == 0
+	safe := r.class.Effect != Unsafe || b.now >= 2*t.ejectedUntil-t.lastStrike
+	return t.strikes == 0 || safe && len(t.attempts) == 0
 }
 
-func blend(mean, sample float64) float64 {
+func movingAverage(mean, sample float64) float64 {
 	if mean == 0 {
 		return sample
 	}
-	return mean + smooth*(sample-mean)
+	return mean + smoothing*(sample-mean)
 }
--- a/hearsay_test.go
+++ b/hearsay_test.go
@@ -24,8 +24,8 @@
 		}
 		return a
 	}
-	told := func(bad bool) saltmast.Hearsay {
-		return saltmast.Hearsay{Backend: "a", Bad: bad, Age: time.Second, For: 3 * time.Second}
+	told := func(bad bool) saltmast.PeerHealthReport {
+		return saltmast.PeerHealthReport{Backend: "a", Unhealthy: bad, Age: time.Second, TTL: 3 * time.Second}
 	}
 	r := newRig(t, s, 5, backends(2))
 	r.step(told(true))
@@ -49,7 +49,7 @@
 	if n := to(r, 40); n == 0 {
 		t.Error("it is left out for good")
 	}
-	r.step(saltmast.Hearsay{Backend: "none", Bad: true, For: time.Second})
+	r.step(saltmast.PeerHealthReport{Backend: "none", Unhealthy: true, TTL: time.Second})
 }
 
 // The word of others ends no ejection of this balancer's own.
@@ -81,7 +81,7 @@
 	if before = count(); before == 0 || before > 10 {
 		t.Fatalf("%d of 60 went to one that fails", before)
 	}
-	r.step(saltmast.Hearsay{Backend: bad})
+	r.step(saltmast.PeerHealthReport{Backend: bad})
 	for i := range 20 {
 		id := fmt.Sprint("g", i)
 		r.request(id, safe)
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -56,7 +56,7 @@
 // hearsay tells the modules what others saw of a backend.
 func (a *Agent) hearsay(backend string, bad bool, age, lasts time.Duration) {
 	for _, l := range a.loops {
-		l.Post(saltmast.Hearsay{Backend: backend, Bad: bad, Age: age, For: lasts})
+		l.Post(saltmast.PeerHealthReport{Backend: backend, Unhealthy: bad, Age: age, TTL: lasts})
 	}
 }
 
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -100,7 +100,7 @@
 }
 
 func (s *service) event(c maintenance.Change) saltmast.Event {
-	return saltmast.Maintenance{Backend: c.ID, Out: c.Out, Since: s.clock.FromUnixMs(float64(c.At))}
+	return saltmast.Maintenance{Backend: c.ID, OutOfService: c.Out, Since: s.clock.FromUnixMs(float64(c.At))}
 }
 
 // run serves the operators until ctx ends.
@@ -378,7 +378,7 @@
 	}
 	a.room = open
 	for _, l := range a.loops {
-		l.Post(saltmast.Room{MaxOpen: open / len(a.loops)})
+		l.Post(saltmast.OpenLimit{MaxOpen: open / len(a.loops)})
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -156,7 +156,7 @@
 	if err := c.checkRaw(); err != nil {
 		return nil, err
 	}
-	if err := c.Settings.Check(); err != nil {
+	if err := c.Settings.Validate(); err != nil {
 		return nil, err
 	}
 	return c, nil
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -56,24 +56,24 @@
 
 // play runs a loop with a module that tries each request three times, and says Short where it was told that none is left.
 // It returns the answer to one request, and what the module was told.
-func play(t *testing.T, f *ledger, result saltmast.Result) (Answer, []saltmast.Allowance) {
+func play(t *testing.T, f *ledger, result saltmast.Result) (Answer, []saltmast.RetryBudget) {
 	t.Helper()
 	settings, _, err := wire.ParseSettings([]byte(testsupport.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told []saltmast.Allowance
+	var told []saltmast.RetryBudget
 	sends := 0
 	script := testsupport.Script(func(_ time.Duration, e saltmast.Event) []saltmast.Action {
 		switch e := e.(type) {
-		case saltmast.Allowance:
+		case saltmast.RetryBudget:
 			told = append(told, e)
 		case saltmast.Request:
 			sends++
 			return []saltmast.Action{saltmast.Send{Request: e.ID, Backend: "b"}}
 		case saltmast.Outcome:
 			if sends++; sends > 3 || e.Result == saltmast.NotSent {
-				return []saltmast.Action{saltmast.Short{Request: e.Request}, saltmast.Fail{Request: e.Request}}
+				return []saltmast.Action{saltmast.RetryBudgetExhausted{Request: e.Request}, saltmast.Fail{Request: e.Request}}
 			}
 			return []saltmast.Action{saltmast.Send{Request: e.Request, Backend: "b"}}
 		}
@@ -86,7 +86,7 @@
 	l.Connect(fails{result}, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	go l.Run(ctx)
-	r := l.NewRequest(&settings, saltmast.Request{ID: id, Left: 6 * time.Second}, time.Now(), nil)
+	r := l.NewRequest(&settings, saltmast.Request{ID: id, TimeLeft: 6 * time.Second}, time.Now(), nil)
 	l.Submit(r)
 	a := testsupport.Receive(t, r.Answer())
 	cancel()
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -123,13 +123,13 @@
 	at := l.clock.At(arrived)
 	event.Generation = rules.Generation
 	r := &Request{Call: Call{ID: event.ID, Payload: payload}, event: event, rules: rules, class: event.Class, arrived: at,
-		deadline: at + event.Left, answer: make(chan Answer, 1)}
-	if event.Coming {
+		deadline: at + event.TimeLeft, answer: make(chan Answer, 1)}
+	if event.BodyPending {
 		r.deadline = at + comingFor
 		r.whole = func(t time.Time) time.Time {
 			r.wholeAt.Store(int64(l.clock.At(t)))
 			l.post(whole{r})
-			return t.Add(event.Left - 2*netMargin)
+			return t.Add(event.TimeLeft - 2*netMargin)
 		}
 	}
 	return r
@@ -311,7 +311,7 @@
 func (l *Loop) Retune(ctx context.Context, rules *saltmast.Settings, from []int, openRequests int) bool {
 	settings := *rules
 	settings.MaxOpen = openRequests
-	return l.tell(ctx, told{event: saltmast.Retune{Settings: settings, From: from}, rules: rules, done: make(chan struct{})})
+	return l.tell(ctx, told{event: saltmast.SettingsUpdate{Settings: settings, PreviousClass: from}, rules: rules, done: make(chan struct{})})
 }
 
 func (l *Loop) tell(ctx context.Context, m told) bool {
@@ -433,9 +433,9 @@
 		}
 	case whole:
 		if !m.r.ended {
-			m.r.deadline = time.Duration(m.r.wholeAt.Load()) + m.r.event.Left
+			m.r.deadline = time.Duration(m.r.wholeAt.Load()) + m.r.event.TimeLeft
 			l.guard(m.r)
-			l.pending = append(l.pending, saltmast.Arrived{Request: m.r.ID})
+			l.pending = append(l.pending, saltmast.BodySent{Request: m.r.ID})
 		}
 	case move:
 		l.lists.Move(l.ctx, m.addr)
@@ -535,7 +535,7 @@
 	if res := m.event.Result; res == saltmast.OK || res == saltmast.Errored || res == saltmast.Full {
 		l.fleet.Count(r.event.Generation, r.class, shared.Answered)
 	}
-	r.risky = r.risky || !m.event.Result.NeverRan() || r.rules.FullNoProof && m.event.Result == saltmast.Full
+	r.risky = r.risky || !m.event.Result.NeverRan() || r.rules.FullMayHaveRun && m.event.Result == saltmast.Full
 	if m.event.Result == saltmast.OK && !r.ended {
 		l.reply(r, Answer{Kind: Served, Payload: m.payload})
 	} else {
@@ -588,24 +588,24 @@
 	for i, e := range events {
 		if q, ok := e.(saltmast.Request); ok && l.open[q.ID] != nil {
 			r := l.open[q.ID]
-			if q.Coming {
-				q.Left -= cutMargin
+			if q.BodyPending {
+				q.TimeLeft -= cutMargin
 				r.cut = r.deadline
 				events[i] = q
 				continue
 			}
 			// A step comes within a tick of an arrival. When the machine is late with it, the module must
 			// not take the delay for a client with less patience, which it reads as one that tries again.
-			q.Left = r.deadline - cutMargin - r.arrived - min(now-r.arrived, l.s.Tick)
+			q.TimeLeft = r.deadline - cutMargin - r.arrived - min(now-r.arrived, l.s.Tick)
 			// An attempt that times out with the request must not do so before the module's deadline for
 			// that: the module would wait for another try that can't come, until the safety net answers.
-			r.cut = min(now+q.Left, r.deadline-2*netMargin)
+			r.cut = min(now+q.TimeLeft, r.deadline-2*netMargin)
 			events[i] = q
 		}
 	}
 	l.last = now
 	if left := l.fleet.Left(); left >= 0 {
-		events = append([]saltmast.Event{saltmast.Allowance{Retries: left}}, events...)
+		events = append([]saltmast.Event{saltmast.RetryBudget{Retries: left}}, events...)
 	}
 	for _, a := range l.decide(now, events) {
 		l.perform(now, a)
@@ -659,7 +659,7 @@
 		l.lists.Fetch(l.ctx)
 	case saltmast.CloseIdle:
 		l.up.CloseIdle(a.Backend)
-	case saltmast.Short:
+	case saltmast.RetryBudgetExhausted:
 		l.fleet.Missed()
 	case saltmast.Note:
 		l.log.Info(a.Text)
@@ -717,7 +717,7 @@
 	until := l.clock.base.Add(cut - clockStart)
 	aim := r.rules.Classes[r.class].Aim
 	told := time.Duration(-1)
-	if !r.event.Coming { // how long a body takes to come says nothing of the backend
+	if !r.event.BodyPending { // how long a body takes to come says nothing of the backend
 		told = l.fleet.Sent(a.Backend, aim)
 	}
 	l.work.Go(func() {
@@ -726,7 +726,7 @@
 		if at := r.wholeAt.Load(); at > 0 { // how long a body took to come says nothing of the backend
 			from = time.Duration(at)
 		}
-		event.Result, event.Latency, event.Load, event.Spent = rep.Result, max(0, l.clock.At(rep.At)-from), rep.Load, rep.Spent
+		event.Result, event.Latency, event.Load, event.BodyConsumed = rep.Result, max(0, l.clock.At(rep.At)-from), rep.Load, rep.Spent
 		l.post(outcome{r: r, event: event, payload: rep.Payload, unrecorded: rep.Unrecorded, told: told, aim: aim})
 	})
 }
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -33,7 +33,7 @@
 	}
 	l.bal = testsupport.Script(func(_ time.Duration, e saltmast.Event) []saltmast.Action {
 		if q, ok := e.(saltmast.Request); ok {
-			left = q.Left
+			left = q.TimeLeft
 		}
 		return nil
 	})
--- a/internal/dataplane/balancer.go
+++ b/internal/dataplane/balancer.go
@@ -254,7 +254,7 @@
 		return 0, enough
 	}
 	ceiling := max(ceilingLow, r.Target/ceilingPart)
-	wait = retry.Wait(h.Rand.Float64(), retries, backoffUnit, ceiling)
+	wait = retry.Backoff(h.Rand.Float64(), retries, backoffUnit, ceiling)
 	if wait >= left {
 		return 0, enough
 	}
--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -223,7 +223,7 @@
 		}
 		arrived = time.Now() // a request's time counts from its last byte
 	}
-	event.Coming = q.Coming != nil
+	event.BodyPending = q.Coming != nil
 	req := f.loop.NewRequest(terms.Settings, event, arrived, q)
 	if record {
 		req.Record = &core.Record{Class: terms.Classes[event.Class], Account: terms.Record.account(r.Header, q.Body), Key: q.Key, Digest: sha256.Sum256(q.Body)}
@@ -319,10 +319,10 @@
 		return e, http.StatusBadRequest, "X-Call-Id: 16 hex digits wanted"
 	}
 	budget, err := strconv.ParseUint(r.Header.Get("X-Budget-Ms"), 10, 32)
-	if e.Left = time.Duration(budget) * time.Millisecond; err != nil || e.Left <= 0 || e.Left > maxBudget {
+	if e.TimeLeft = time.Duration(budget) * time.Millisecond; err != nil || e.TimeLeft <= 0 || e.TimeLeft > maxBudget {
 		return e, http.StatusBadRequest, "X-Budget-Ms: whole milliseconds wanted"
 	}
-	e.Left = min(e.Left, t.Settings.Classes[class].Deadline) // no client of the class waits longer
+	e.TimeLeft = min(e.TimeLeft, t.Settings.Classes[class].Deadline) // no client of the class waits longer
 	// Backends know a repeat by its key alone: without one, a second attempt might run again.
 	if key := r.Header.Get("Idempotency-Key"); (effect == saltmast.Keyed) != (key != "") || len(key) > maxKey {
 		return e, http.StatusBadRequest, "Idempotency-Key: wanted for a keyed class alone"
--- a/internal/front/thrift/front.go
+++ b/internal/front/thrift/front.go
@@ -373,7 +373,7 @@
 		return e, thrift.UnknownMethod, fmt.Sprintf("unknown method %.100q", m.Name)
 	}
 	class := &t.Settings.Classes[method.Class]
-	e = saltmast.Request{Class: method.Class, Left: class.Deadline}
+	e = saltmast.Request{Class: method.Class, TimeLeft: class.Deadline}
 	id, ok := field(m, method.ID)
 	switch {
 	case !ok && len(method.ID) > 0 && present(m, method.ID), len(id) > maxKey:
@@ -397,7 +397,7 @@
 		if !isInt || ms <= 0 || ms > maxBudget.Milliseconds() {
 			return e, thrift.ProtocolError, "the budget is no whole number of milliseconds above 0"
 		}
-		e.Left = min(e.Left, time.Duration(ms)*time.Millisecond)
+		e.TimeLeft = min(e.TimeLeft, time.Duration(ms)*time.Millisecond)
 	}
 	if tenant, ok := field(m, method.Tenant); ok {
 		for i, name := range t.Tenants {
--- a/internal/model/agent.go
+++ b/internal/model/agent.go
@@ -184,8 +184,8 @@
 	for i, e := range events {
 		if q, ok := e.(saltmast.Request); ok {
 			if r := a.open[q.ID]; r != nil {
-				q.Left = r.deadline - cutMargin - r.came - min(a.w.now-r.came, tick)
-				r.cut = min(a.w.now+q.Left, r.deadline-2*netMargin)
+				q.TimeLeft = r.deadline - cutMargin - r.came - min(a.w.now-r.came, tick)
+				r.cut = min(a.w.now+q.TimeLeft, r.deadline-2*netMargin)
 				events[i] = q
 			}
 		}
@@ -218,7 +218,7 @@
 		})
 	case saltmast.Subscribe:
 		w.list.subscribe(a, life, a.version)
-	case saltmast.Unsubscribe, saltmast.FetchList, saltmast.TellPeers, saltmast.Note:
+	case saltmast.Unsubscribe, saltmast.FetchList, saltmast.SendToPeers, saltmast.Note:
 		// The module asks for none of it where lists are watched and agents share nothing.
 	case saltmast.Probe:
 		w.probes++
--- a/internal/model/job.go
+++ b/internal/model/job.go
@@ -70,7 +70,7 @@
 	a.clients++
 	a.taken++
 	a.open[id] = r
-	a.event(saltmast.Request{ID: id, Class: j.plan.Class, Left: budget, Repeat: j.n > 0})
+	a.event(saltmast.Request{ID: id, Class: j.plan.Class, TimeLeft: budget, Repeat: j.n > 0})
 	life := a.life
 	w.at(r.deadline-netMargin, func() { // the safety net
 		if !r.ended && a.is(life) {
--- a/internal/model/late.go
+++ b/internal/model/late.go
@@ -84,7 +84,7 @@
 		case saltmast.TimerFired:
 			out = append(out, saltmast.Subscribe{})
 		case saltmast.Request:
-			r := &lateTry{class: e.Class, until: now + min(e.Left, w.settings.Classes[e.Class].Aim)}
+			r := &lateTry{class: e.Class, until: now + min(e.TimeLeft, w.settings.Classes[e.Class].Aim)}
 			l.tries[e.ID] = r
 			out = l.send(out, e.ID, r, now)
 		case saltmast.Outcome:
--- a/internal/retry/pick.go
+++ b/internal/retry/pick.go
@@ -5,17 +5,17 @@
 	"math"
 )
 
-// Candidate is a backend that Pick may choose.
+// Candidate describes a backend that Pick may choose.
 type Candidate struct {
-	InFlight float64 // attempts of this agent that are out there
-	Used     bool    // this agent has sent to it; else it counts at the mean of those used, against a rush
-	Skip     bool    // it has just failed the request
-	Bias     float64 // among equals the lower one is chosen; 0: none
+	InFlight float64 // attempts of this agent in flight to it
+	Used     bool    // this agent has used it; unused ones count at the mean of the used, to avoid a rush
+	Skip     bool    // it just failed the request
+	Bias     float64 // breaks ties: the lowest is chosen
 }
 
-// Pick returns the number of one candidate: one that counts less than one attempt in flight, at random; else
-// one with the fewest, ties at random; one to skip only where there is no other. draw gives numbers in [0,
-// 1); it is called for each candidate that is as good as the best before it. -1: there are no candidates.
+// Pick returns the index of a candidate: a random one with less than one attempt in flight, or else one with
+// the fewest, ties broken by Bias and then at random; a skipped one only if there is no other, -1 if there is
+// none. draw returns numbers in [0, 1); it is called for each candidate that ties or beats the best.
 func Pick(c []Candidate, draw func() float64) int {
 	sum, used, others := 0.0, 0.0, false
 	for _, x := range c {
@@ -24,7 +24,7 @@
 		}
 		others = others || !x.Skip
 	}
-	best, fewest, bias := Least[int]{It: -1}, math.Inf(1), math.Inf(1)
+	best, fewest, bias := Least[int]{Item: -1}, math.Inf(1), math.Inf(1)
 	for i, x := range c {
 		if x.Skip && others {
 			continue
@@ -44,22 +44,23 @@
 			best.Offer(i, draw())
 		}
 	}
-	return best.It
+	return best.Item
 }
 
-// Least keeps the one of the least score among those offered, the first of equals. Its zero value has none.
+// Least keeps the offered item with the lowest score, the first of equals. The zero value is empty.
 type Least[T any] struct {
-	It    T
+	Item  T
 	Score float64
 	Found bool
 }
 
-// Offer takes one more into account.
+// Offer keeps the item if its score is lower than that of the current one.
 func (l *Least[T]) Offer(it T, score float64) {
 	if score < l.Score || !l.Found && score < math.Inf(1) {
-		l.It, l.Score, l.Found = it, score, true
+		l.Item, l.Score, l.Found = it, score, true
 	}
 }
 
-// Race is a score by which the least of several is a random choice by weight.
-func Race(draw, weight float64) float64 { return -math.Log(max(draw, 1e-12)) / weight }
+// WeightedScore returns a score for weighted random selection: the lowest score of several items, with
+// independent draws in [0, 1), selects each with a probability proportional to its weight.
+func WeightedScore(draw, weight float64) float64 { return -math.Log(max(draw, 1e-12)) / weight }
--- a/internal/retry/pick_test.go
+++ b/internal/retry/pick_test.go
@@ -73,8 +73,8 @@
 	rng, heavy := rand.New(rand.NewPCG(1, 1)), 0
 	for range 4000 {
 		var l Least[bool]
-		l.Offer(false, Race(rng.Float64(), 1))
-		if l.Offer(true, Race(rng.Float64(), 3)); l.It {
+		l.Offer(false, WeightedScore(rng.Float64(), 1))
+		if l.Offer(true, WeightedScore(rng.Float64(), 3)); l.Item {
 			heavy++
 		}
 	}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry holds what programs share that send attempts to backends: a bucket that pays for retries, the
-// wait before one, and the choice of a backend. It performs no I/O; time and chance are passed in.
+// Package retry implements the retry token bucket, the backoff and the selection of a backend that are shared
+// by programs that send requests to backends. It performs no I/O; time and random numbers are passed in.
 package retry
 
 import (
@@ -7,14 +7,13 @@
 	"time"
 )
 
-// Bucket holds the tokens that retries cost; first attempts go out regardless of it. Not for several
-// goroutines.
+// Bucket is a token bucket that limits retries but not first attempts. It is not safe for concurrent use.
 type Bucket struct{ tokens, capacity float64 }
 
-// NewBucket returns a bucket that is full.
+// NewBucket returns a full bucket.
 func NewBucket(capacity float64) Bucket { return Bucket{tokens: capacity, capacity: capacity} }
 
-// Spend takes the cost if there is enough; else it takes nothing and reports false.
+// Spend takes cost tokens and reports true, or takes none and reports false if there are too few.
 func (b *Bucket) Spend(cost float64) bool {
 	if b.tokens < cost {
 		return false
@@ -23,14 +22,14 @@
 	return true
 }
 
-// Refill brings n tokens back, up to the capacity.
+// Refill adds n tokens, up to the capacity.
 func (b *Bucket) Refill(n float64) { b.tokens = min(b.capacity, b.tokens+n) }
 
-// Tokens is what is left.
+// Tokens returns the number of tokens left.
 func (b *Bucket) Tokens() float64 { return b.tokens }
 
-// Wait is the wait before a retry, fully jittered: the draw, in [0, 1), times a span that begins at the unit,
-// doubles with each retry already made and ends at the ceiling.
-func Wait(draw float64, retries int, unit, ceiling time.Duration) time.Duration {
+// Backoff returns the wait before a retry, exponential with full jitter: draw, in [0, 1), times a bound that
+// starts at unit, doubles with each earlier retry and ends at ceiling.
+func Backoff(draw float64, retries int, unit, ceiling time.Duration) time.Duration {
 	return time.Duration(draw * min(math.Ldexp(float64(unit), min(retries, 63)), float64(ceiling)))
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -70,7 +70,7 @@
 		{0.5, math.MaxInt, 0, 20 * s, 0},
 		{0.5, math.MaxInt, math.MaxInt64, math.MaxInt64, 1 << 62}, // ... here neither
 	} {
-		if got := Wait(c.draw, c.retries, c.unit, c.ceiling); got != c.want {
+		if got := Backoff(c.draw, c.retries, c.unit, c.ceiling); got != c.want {
 			t.Errorf("Wait(%v, %d, %v, %v) = %v, want %v", c.draw, c.retries, c.unit, c.ceiling, got, c.want)
 		}
 	}
@@ -82,7 +82,7 @@
 		span := rapid.Int64Range(0, math.MaxInt64)
 		unit, ceiling := time.Duration(span.Draw(t, "unit")), time.Duration(span.Draw(t, "ceiling"))
 		draw, n := rapid.Float64Range(0, 1-1e-15).Draw(t, "draw"), rapid.IntRange(0, 2000).Draw(t, "retries")
-		got, next := Wait(draw, n, unit, ceiling), Wait(draw, n+1, unit, ceiling)
+		got, next := Backoff(draw, n, unit, ceiling), Backoff(draw, n+1, unit, ceiling)
 		if got < 0 || got > ceiling || next < got {
 			t.Fatalf("%v, then %v", got, next)
 		}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -113,7 +113,7 @@
 		Balancers:      f.Balancers,
 		Self:           f.Me,
 		Zone:           f.Zone,
-		ByWork:         f.CountedBy == "work",
+		WorthPerWork:   f.CountedBy == "work",
 		Subscribe:      f.MembershipMode == "subscribe",
 		Tick:           duration(f.TickMs),
 		MaxAttempts:    f.PolicyLimits.TryLimit,
@@ -146,7 +146,7 @@
 		StreamsPerConn: f.PolicyLimits.StreamsPerConn,
 		CPUPerSecond:   duration(f.PolicyLimits.CpuUsPerS / 1000),
 		CPUPerRequest:  duration(f.PolicyLimits.CpuUsPerRequest / 1000),
-		FullNoProof:    f.Contract.BusyIsNoProof,
+		FullMayHaveRun: f.Contract.BusyIsNoProof,
 		KeyRest:        duration(f.Contract.KeyRestMs),
 
 		CrossZonePrice:  f.Prices.CrossZone,
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -181,7 +181,7 @@
 		if m.Job == nil || m.TierClass == nil || m.GraceMs == nil {
 			return errors.New("missing Job, TierClass or GraceMs")
 		}
-		q := saltmast.Request{ID: *m.Job, Class: *m.TierClass, Left: duration(*m.GraceMs),
+		q := saltmast.Request{ID: *m.Job, Class: *m.TierClass, TimeLeft: duration(*m.GraceMs),
 			Repeat: m.StateBits&bitRepeat != 0, Write: m.StateBits&bitWrite != 0,
 			Key: m.Item, Tenant: m.Project}
 		if m.StateBits&bitHintValid != 0 {
@@ -347,7 +347,7 @@
 			w.begin("SetTimer", agent).ms("SpanMs", a.After).num("Cookie", a.Token)
 		case saltmast.Probe:
 			w.begin("Test", agent).str("Backend", a.Backend)
-		case saltmast.TellPeers:
+		case saltmast.SendToPeers:
 			w.begin("WritePeer", agent)
 			if a.One {
 				w.num("Whom", int64(a.To))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -31,10 +31,10 @@
 		want saltmast.Event
 	}{
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":240.5,"WorkHintMs":12,"StateBits":7,"Project":2,"Item":"91f0"}`,
-			saltmast.Request{ID: "d0", Class: 1, Left: 240500 * time.Microsecond, Work: 12 * ms, Repeat: true,
+			saltmast.Request{ID: "d0", Class: 1, TimeLeft: 240500 * time.Microsecond, Work: 12 * ms, Repeat: true,
 				Write: true, Tenant: 2, Key: "91f0"}},
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":240,"WorkHintMs":12,"Later":{"x":1}}`,
-			saltmast.Request{ID: "d0", Left: 240 * ms}},
+			saltmast.Request{ID: "d0", TimeLeft: 240 * ms}},
 		{`{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"pass","WaitTimeMs":18.5,"Backend":"b","SendNo":2,"Ended":true,"Usage":{"backlog":4,"recent_ms":7,"errors_per_s":0.5,"outstanding":6,"utilization":0.75,"throughput":90,"later":1}}`,
 			saltmast.Outcome{Request: "d0", Attempt: 2, Backend: "b", Latency: 18500 * time.Microsecond, Done: true,
 				Load: saltmast.Load{Valid: true, InFlight: 6, Queue: 4, Utilization: 0.75, Throughput: 90, Service: 7 * ms,
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	want := saltmast.Settings{
-		Balancers: 3, Self: 1, Zone: 2, ByWork: true, Subscribe: true, Tick: 5 * ms,
+		Balancers: 3, Self: 1, Zone: 2, WorthPerWork: true, Subscribe: true, Tick: 5 * ms,
 		Classes: []saltmast.Class{{Aim: 400 * ms, Deadline: 1500 * ms, Worth: 3, LateWorth: 0.25,
 			Effect: saltmast.Keyed, Group: saltmast.GroupCell, Window: 3 * time.Second, KeepOrder: true, AimStretch: 1.5, Stream: true}},
 		Zones: 3, Kinds: 1, Tier: 1, Tiers: 2, Weights: saltmast.WeightsRough, MarksRetry: true, WarmKeys: true,
@@ -94,7 +94,7 @@
 		Reports: saltmast.ReportsProbes, Fields: saltmast.FieldInFlight | saltmast.FieldQueue,
 		MaxOpen: 20000, StreamsPerConn: 1, CPUPerSecond: 8 * ms, CPUPerRequest: 10 * time.Microsecond,
 		MayProbe: true, MayCancel: true, RetryAfter: true, ConnectTimeout: 250 * ms,
-		FullNoProof: true, KeyRest: 200 * ms, GoalTenant: 0.25,
+		FullMayHaveRun: true, KeyRest: 200 * ms, GoalTenant: 0.25,
 		WastePrice: 0.15, LateFailPrice: 0.08, ProbePrice: 0.01, PeerPrice: 0.03, HandshakePrice: 0.04,
 		ConnectionPrice: 0.05, ListPrice: 0.06, MovePrice: 0.07, OriginPrice: 0.09, FleetPrice: 0.11,
 		MaxAttempts: 4, SecondCopies: true, Peers: true, MaxRetryAfter: 1500 * ms, IdleClose: time.Minute,
@@ -149,8 +149,8 @@
 		{saltmast.Fail{Request: `q"\`}, `{"msg":"DropRequest","Agent":4,"Job":"q\"\\"}`},
 		{saltmast.SetTimer{After: ms / 4, Token: 9}, `{"msg":"SetTimer","Agent":4,"SpanMs":0.25,"Cookie":9}`},
 		{saltmast.Probe{Backend: "b"}, `{"msg":"Test","Agent":4,"Backend":"b"}`},
-		{saltmast.TellPeers{Data: []byte("hi 7")}, `{"msg":"WritePeer","Agent":4,"Whom":null,"Msg":"68692037"}`},
-		{saltmast.TellPeers{Data: []byte("hi 7"), One: true, To: 2},
+		{saltmast.SendToPeers{Data: []byte("hi 7")}, `{"msg":"WritePeer","Agent":4,"Whom":null,"Msg":"68692037"}`},
+		{saltmast.SendToPeers{Data: []byte("hi 7"), One: true, To: 2},
 			`{"msg":"WritePeer","Agent":4,"Whom":2,"Msg":"68692037"}`},
 		{saltmast.Unsubscribe{}, `{"msg":"KeepInformed","Agent":4,"Enable":false}`},
 		{saltmast.FetchList{}, `{"msg":"ListAll","Agent":4}`},
--- a/limit.go
+++ b/limit.go
@@ -1,6 +1,6 @@
 package saltmast
 
-// How much may be in flight, and which requests wait for room, leave, or are given up.
+// The in-flight limit, and which held requests are sent or given up.
 
 import (
 	"cmp"
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// releaseHeld sends what is held while there is room: first tries before clients' repeats, the most valuable
-// class first, within it the newest, which has the most time left. Waiting here costs the backends nothing;
-// it ends when an answer within the aim is out of reach.
-func (b *Balancer) releaseHeld() {
+// sendHeld sends held requests while the limit allows: first tries before clients' retries, the most valuable
+// class first, and within it the newest, which has the most time left. Waiting here costs the backends
+// nothing; a request is given up when it can't be answered within its aim any more.
+func (b *Balancer) sendHeld() {
 	if len(b.held) == 0 {
 		return
 	}
@@ -22,7 +22,7 @@
 	for float64(b.inFlight-b.stuck) < b.limit() && !b.throttled() {
 		best, value := -1, 0.0
 		for i, r := range b.held {
-			if v := b.heldValue(r); !r.passed && b.inTurn(r) && (best < 0 || v >= value) {
+			if v := b.heldValue(r); !r.skipped && b.isNextForKey(r) && (best < 0 || v >= value) {
 				best, value = i, v
 			}
 		}
@@ -34,30 +34,29 @@
 			b.unhold(r)
 			b.send(r, t)
 		} else {
-			r.passed = true
+			r.skipped = true
 		}
 	}
 	for _, r := range slices.Backward(b.held) {
-		need := min(holdMargin*b.expected(r), holdAtMost*float64(r.c.Aim))
-		give := min(r.aim, r.deadline) - time.Duration(need)
-		r.passed = false
-		hopeless := b.up == 0 && len(b.withdrawn) > 0 // staff put none back within an aim
-		if r.repeat || give <= b.now || hopeless {
+		margin := min(holdMargin*b.expectedLatency(r), maxHoldMargin*float64(r.class.Aim))
+		giveUpAt := min(r.aim, r.deadline) - time.Duration(margin)
+		r.skipped = false
+		hopeless := b.upCount == 0 && len(b.outOfService) > 0 // operators reinstate none within an aim
+		if r.repeat || giveUpAt <= b.now || hopeless {
 			b.unhold(r)
 			b.giveUp(r)
 		} else if r.timer == 0 {
-			b.timer(r, give)
+			b.setRequestTimer(r, giveUpAt)
 		}
 	}
-	b.keepSpare()
+	b.reserveOpenSlots()
 }
 
-// keepSpare gives up what is held and worth least, of that the oldest, while few more requests may be held
-// open. Guards against whatever makes requests wait: they fill the places, the agent's or its clients', and
-// what comes next is turned away unseen, whatever it is worth: 700 of 7,700 on the day of the report. Harm:
-// of a burst that would be over at once some are given up that could have been served.
-func (b *Balancer) keepSpare() {
-	for b.maxOpen > 0 && float64(b.taken) > (1-sparePlaces)*float64(b.maxOpen) && len(b.held) > 0 {
+// reserveOpenSlots gives up the least valuable held requests, oldest first, while few open requests are left.
+// Otherwise waiting requests use up the limit and new ones are rejected whatever their value (700 of 7,700 in
+// a simulated day). Cost: a short burst loses requests that could be served.
+func (b *Balancer) reserveOpenSlots() {
+	for b.maxOpen > 0 && float64(b.unanswered) > (1-reservedOpenShare)*float64(b.maxOpen) && len(b.held) > 0 {
 		byValue := func(x, y *request) int { return cmp.Compare(b.heldValue(x), b.heldValue(y)) }
 		worst := slices.MinFunc(b.held, byValue)
 		b.unhold(worst)
@@ -65,115 +64,118 @@
 	}
 }
 
-// heldValue is what sending a held request now adds, against others.
+// heldValue returns the relative value of sending a held request now.
 func (b *Balancer) heldValue(r *request) float64 {
-	v := r.c.value
+	v := r.class.value
 	if r.repeat {
 		v *= repeatValue
 	}
-	if r.aim-b.now < time.Duration(b.expected(r)/2) {
-		v *= r.c.LateWorth
+	if r.aim-b.now < time.Duration(b.expectedLatency(r)/2) {
+		v *= r.class.LateWorth
 	}
 	return v
 }
 
-// value is what a unit of work spent on a class now adds to the operator's goal.
+// value returns what a unit of work spent on a class now adds to the operator's goals.
 func (b *Balancer) value(c *classState) float64 {
-	total, low := 0.0, math.Inf(1)
+	total, lowest := 0.0, math.Inf(1)
 	var worst *classState
 	for _, o := range b.classes {
-		total += o.arrived * o.Worth * b.unit(o)
-		if share := o.share(); share < low {
-			worst, low = o, share
+		total += o.arrived * o.Worth * b.workUnit(o)
+		if share := o.inTimeShare(); share < lowest {
+			worst, lowest = o, share
 		}
 	}
-	v := (b.s.GoalWhole + b.s.GoalWindow) * c.Worth * b.unit(c) / c.latency / max(total, 1e-9)
+	v := (b.cfg.GoalWhole + b.cfg.GoalWindow) * c.Worth * b.workUnit(c) / c.latency / max(total, 1e-9)
 	if c == worst {
-		v += b.s.GoalClass / (max(c.arrived, 1) * c.latency)
+		v += b.cfg.GoalClass / (max(c.arrived, 1) * c.latency)
 	}
 	return v
 }
 
-// share is the share of a class that was lately answered within its aim.
-func (c *classState) share() float64 { return (c.answered + 1) / (c.arrived + 1) }
+// inTimeShare returns the share of recent requests of a class that were answered within the aim.
+func (c *classState) inTimeShare() float64 { return (c.answered + 1) / (c.arrived + 1) }
 
-func (b *Balancer) unit(c *classState) float64 {
-	if b.s.ByWork {
+func (b *Balancer) workUnit(c *classState) float64 {
+	if b.cfg.WorthPerWork {
 		return c.latency
 	}
 	return 1
 }
 
-// pace moves the limit on attempts in flight by the latency seen, as a share of the aim: down when the
-// running mean passes the aimed share, up while it binds. Departure: beyond it requests are held, then
-// refused, since a queue that outlasts the aims serves nobody. The floor is this agent's share of a few
-// attempts per backend, so that a fleet that is slow without a queue stays in use.
-func (b *Balancer) pace(share float64) {
-	// The first few answers set the usual latency: an agent that held a crowded fleet's for usual would see
-	// no crowd until servers that slow down when crowded had done so (icaaa88, ic83025).
-	if b.answers++; b.answers <= 1/smooth {
-		b.delay += (min(share, 2) - b.delay) / b.answers
-		b.base = b.delay
+// adjustLimit adapts the in-flight limit to a latency sample, given as a share of the aim: it cuts the limit
+// when the running mean exceeds the target, and raises it while the limit binds. Requests beyond the limit
+// are held, then refused, since a queue that outlasts the aims serves nobody. The lowest limit is this
+// agent's share of a few attempts per backend, so that a fleet that is slow without a queue stays in use.
+func (b *Balancer) adjustLimit(share float64) {
+	// The first few answers set the usual latency: an agent that took a crowded fleet's latency as usual
+	// would not notice the crowd until servers slowed down (incidents icaaa88, ic83025).
+	if b.answerCount++; b.answerCount <= 1/smoothing {
+		b.meanDelay += (min(share, 2) - b.meanDelay) / b.answerCount
+		b.baseDelay = b.meanDelay
 		return
 	}
-	// The mean spans what is in flight at once: over fewer samples, chance alone would cut a busy agent's
-	// limit. One heavy request says no more than that it was heavy.
-	weight := min(smooth, 1/b.limit())
-	aimed := min(aimedDelay, max(aimedRise*b.base, aimedFloor))
-	most := max(outlier*b.base, 2*aimedFloor)
-	if !b.sparse(1) { // a quiet agent's mean is of too few answers
-		most = max(most, outlierAimed*aimed)
+	// The mean spans the attempts in flight: with fewer samples, chance alone would cut a busy agent's limit.
+	// A single heavy request says nothing about the load, so each sample is bounded.
+	weight := min(smoothing, 1/b.limit())
+	target := min(targetDelay, max(targetRise*b.baseDelay, minTargetDelay))
+	bound := max(outlierMultiple*b.baseDelay, 2*minTargetDelay)
+	if !b.minShareBelow(1) { // a quiet agent's mean has too few samples
+		bound = max(bound, outlierTargetMultiple*target)
 	}
-	b.delay += weight * (min(share, most, 2) - b.delay)
-	low := b.delay - b.base
-	if low > 0 {
-		low /= 100 // the low rises a hundred times slower than it falls
+	b.meanDelay += weight * (min(share, bound, 2) - b.meanDelay)
+	rise := b.meanDelay - b.baseDelay
+	if rise > 0 {
+		rise /= 100 // the low rises 100 times slower than it falls
 	}
-	b.base += weight * smooth * low
+	b.baseDelay += weight * smoothing * rise
 	switch {
-	// Not twice by the same answers: of 300 agents most see ten in as many latencies, and one heavy request
-	// among these cut their limits five times over.
-	case b.delay > aimed && b.now-b.cutAt > time.Duration(b.classes[0].latency) && b.answers >= b.cutNext:
-		cut := limitCut
-		if b.cutAt == 0 {
-			cut = openCut
+	// The same answers must not cut twice: most of 300 agents see ten answers in as many latencies, and one
+	// heavy request among them caused five cuts.
+	case b.meanDelay > target && b.now-b.lastCut > time.Duration(b.classes[0].latency) &&
+		b.answerCount >= b.nextCutAnswer:
+		cut := limitDecrease
+		if b.lastCut == 0 {
+			cut = firstLimitDecrease
 		}
-		b.perBack = max(floorPerBack, b.perBack*cut)
-		b.cutAt, b.cutNext = b.now, b.answers+1/smooth
-	case b.delay < aimed && float64(b.inFlight-b.stuck)+1 >= b.limit()*0.9:
-		grow := limitGrow / b.limit()
-		// Up to the first cut a slow start: an attempt for each answer, less near the aimed delay, doubles
-		// the limit in a round. Guards against parts by head count where traffic is uneven: of 80 agents one
-		// had 22% of the requests and a part of 3, gained 4 a second and refused half, while servers idled.
-		// Up to the floor of all together: two busy agents that passed it crowded eight servers by chance.
-		if b.cutAt == 0 && b.capacity > 0 && b.perBack < floorPerBack*float64(b.s.Balancers) {
-			grow = max(grow, (1-b.delay/aimed)*float64(b.s.Balancers)/b.capacity)
+		b.limitPerBackend = max(minPerBackend, b.limitPerBackend*cut)
+		b.lastCut, b.nextCutAnswer = b.now, b.answerCount+1/smoothing
+	case b.meanDelay < target && float64(b.inFlight-b.stuck)+1 >= b.limit()*0.9:
+		grow := limitIncrease / b.limit()
+		// Slow start up to the first cut: one attempt per answer, fewer near the target, doubles the limit
+		// each round. Otherwise equal shares fail uneven traffic: one of 80 agents, with 22% of the requests
+		// and a share of 3, gained 4 per second and refused half while servers idled. The bound is the lowest
+		// limit of all agents together: two busy agents that exceeded it crowded eight servers by chance.
+		if b.lastCut == 0 && b.capacity > 0 && b.limitPerBackend < minPerBackend*float64(b.cfg.Balancers) {
+			grow = max(grow, (1-b.meanDelay/target)*float64(b.cfg.Balancers)/b.capacity)
 		}
-		b.perBack += grow
+		b.limitPerBackend += grow
 	}
 }
 
-// limit is what may be in flight now; it follows the list as the fleet grows and shrinks, and a cold backend
-// counts by its warmth. Without peers each agent's part goes by head count, at least one attempt. Departure:
-// where each agent's part of even the least limit is well under one attempt, a limit of one would hold up a
-// quiet agent's request behind any slow one, and still let all together crowd the backends; there the
-// throttle acts alone.
+// limit returns how many attempts may be in flight now. It follows the size of the fleet, with cold backends
+// counted by their warmth. Each agent gets an equal share, at least one attempt. An agent whose share of the
+// lowest limit is well under one attempt has no limit: a limit of one would queue its requests behind any
+// slow one, and all agents together could still overload the backends. There only the throttle acts.
 func (b *Balancer) limit() float64 {
-	if b.sparse(sparseBelow) {
+	if b.minShareBelow(unlimitedBelow) {
 		return math.Inf(1)
 	}
-	return max(1, b.part())
+	return max(1, b.limitShare())
 }
 
-// throttled reports whether too few of the requests sent lately were answered within their aim. Incidents
-// i783cc5 and i84e735: a lost zone or a shrunken fleet leaves many agents to few backends, and one attempt
-// each is too much. Departure: acts where an agent's part is under one attempt, and leaves it the share of
-// its traffic that the backends answer in time, whatever keeps them from it.
-func (b *Balancer) throttled() bool { return b.sparse(1) && b.sent >= throttleAt*b.inTime+throttleFree }
+// throttled reports whether too few recent requests were answered within their aim. It acts where an agent's
+// share of the lowest limit is under one attempt, and lets it send about what is answered in time: when a
+// zone is lost or the fleet shrinks, one attempt per agent is too much (incidents i783cc5, i84e735).
+func (b *Balancer) throttled() bool {
+	return b.minShareBelow(1) && b.recentSent >= throttleRatio*b.recentInTime+throttleAllowance
+}
 
-// sparse reports whether an agent's part of the least limit is under so many attempts.
-func (b *Balancer) sparse(part float64) bool {
-	return floorPerBack*float64(b.up) < part*float64(b.s.Balancers)
+// minShareBelow reports whether an agent's share of the lowest limit is below a number of attempts.
+func (b *Balancer) minShareBelow(attempts float64) bool {
+	return minPerBackend*float64(b.upCount) < attempts*float64(b.cfg.Balancers)
 }
 
-func (b *Balancer) part() float64 { return b.perBack * b.capacity / float64(b.s.Balancers) }
+func (b *Balancer) limitShare() float64 {
+	return b.limitPerBackend * b.capacity / float64(b.cfg.Balancers)
+}
--- a/list.go
+++ b/list.go
@@ -1,6 +1,6 @@
 package saltmast
 
-// Which backends there are, by the list and by the operators, and when the list is asked for.
+// The set of backends, from the list and from maintenance, and the subscription to the list.
 
 import (
 	"math"
@@ -9,37 +9,39 @@
 
 func (b *Balancer) onList(e List) {
 	switch {
-	case e.Kind == ListFailed && !b.s.Subscribe:
+	case e.Kind == ListFailed && !b.cfg.Subscribe:
 		return
-	case e.Kind == ListFailed: // asked again after an exponential, fully jittered wait
-		b.askFails++
-		b.askToken = b.alarm(time.Duration(b.rng.Float64() *
-			min(b.askUnit()*math.Exp2(float64(min(b.askFails, 4))), askAtMost*float64(b.s.AskWithin))))
+	case e.Kind == ListFailed: // retried with exponential backoff and full jitter
+		b.subscribeFailures++
+		b.subscribeToken = b.setTimer(time.Duration(b.rng.Float64() *
+			min(b.subscribeSpread()*math.Exp2(float64(min(b.subscribeFailures, 4))),
+				maxSubscribeWait*float64(b.cfg.AskWithin))))
 		return
-	case e.Kind == ListCached && b.s.Subscribe: // spread in time, since all agents may start at once
-		b.askToken = b.alarm(time.Duration(b.rng.Float64() * min(b.askUnit(), float64(b.s.AskWithin)/2)))
+	case e.Kind == ListCached && b.cfg.Subscribe: // jittered, since all agents may start at once
+		b.subscribeToken = b.setTimer(time.Duration(b.rng.Float64() *
+			min(b.subscribeSpread(), float64(b.cfg.AskWithin)/2)))
 	default:
-		b.askFails = 0
+		b.subscribeFailures = 0
 	}
-	part := b.setPart()
+	share := b.workingSetShare()
 	listed := map[string]bool{}
 	for _, n := range e.Backends {
 		listed[n.ID] = true
 		switch t := b.byID[n.ID]; {
 		case t == nil && n.State == Gone:
 		case t == nil:
-			t = &backend{Backend: n, hash: hash(n.ID), shuns: map[*classState]shun{}}
-			t.withdrawn, b.byID[n.ID] = b.withdrawn[n.ID], t
+			t = &backend{Backend: n, hash: hash(n.ID), classEjections: map[*classState]classEjection{}}
+			t.outOfService, b.byID[n.ID] = b.outOfService[n.ID], t
 			b.backends = append(b.backends, t)
 			if n.Started > 0 {
-				b.start(t, n.Started)
+				b.markStarted(t, n.Started)
 			}
-			b.join(t, part)
+			b.joinWorkingSet(t, share)
 		default:
 			if n.Started > t.Started {
-				b.start(t, max(n.Started, t.warmFrom))
-				t.strikes, t.ejected, t.down, t.hearsay = 0, 0, false, false
-				b.join(t, part)
+				b.markStarted(t, max(n.Started, t.rampStart))
+				t.strikes, t.ejectedUntil, t.down, t.ejectedByPeers = 0, 0, false, false
+				b.joinWorkingSet(t, share)
 			}
 			t.Backend = n
 		}
@@ -49,34 +51,33 @@
 			t.State = Gone
 		}
 	}
-	b.forgetGone()
+	b.removeGone()
 }
 
-// onMaintenance takes a backend out of service, whatever the list says until it is put back. Then it counts
-// as started at that time: it was restarted while it was out, which the list tells late. What it was blamed
-// for is over.
+// onMaintenance takes a backend out of service, whatever the list says, or puts it back. It then counts as
+// started at that time, as it was restarted meanwhile, which the list shows late; its failures are cleared.
 func (b *Balancer) onMaintenance(e Maintenance) {
 	t := b.byID[e.Backend]
-	if e.Out {
-		b.withdrawn[e.Backend] = true
+	if e.OutOfService {
+		b.outOfService[e.Backend] = true
 	} else {
-		delete(b.withdrawn, e.Backend)
+		delete(b.outOfService, e.Backend)
 	}
 	if t == nil {
 		return
 	}
-	t.withdrawn, t.back = e.Out, false
-	if !e.Out {
-		b.start(t, max(e.Since, t.warmFrom))
-		t.strikes, t.ejected, t.down, t.fails, t.fullTill, t.joined, t.back = 0, 0, false, 0, 0, true, true
-		clear(t.shuns)
+	t.outOfService, t.reinstated = e.OutOfService, false
+	if !e.OutOfService {
+		b.markStarted(t, max(e.Since, t.rampStart))
+		t.strikes, t.ejectedUntil, t.down, t.failures, t.fullUntil, t.joined, t.reinstated =
+			0, 0, false, 0, 0, true, true
+		clear(t.classEjections)
 	}
 }
 
-// askUnit is the span over which calls of the list are spread at the least. The list is one service for all
-// and does not grow with the fleet: beyond askFleet agents the span grows with their number, so that all
-// together call no more often. Guards against a storm of calls that all fail because all call: in the model
-// with 1,280 agents 97% failed, 4,700 in a second.
-func (b *Balancer) askUnit() float64 {
-	return float64(b.s.AskWithin) / 64 * max(1, float64(b.s.Balancers)/askFleet)
+// subscribeSpread returns the shortest time over which subscription attempts are spread. It grows with the
+// agents beyond subscribeFleetSize to keep their total rate, since the list is one service: otherwise calls
+// fail because of their number (97% with 1,280 agents in a simulation, 4,700 in one second).
+func (b *Balancer) subscribeSpread() float64 {
+	return float64(b.cfg.AskWithin) / 64 * max(1, float64(b.cfg.Balancers)/subscribeFleetSize)
 }
--- a/maintenance_test.go
+++ b/maintenance_test.go
@@ -57,7 +57,7 @@
 			case 0:
 				id := fmt.Sprint("s", rapid.IntRange(0, 3).Draw(t, "id"))
 				out[id] = rapid.Bool().Draw(t, "out")
-				step(Maintenance{Backend: id, Out: out[id], Since: now})
+				step(Maintenance{Backend: id, OutOfService: out[id], Since: now})
 			case 1:
 				kind := ListDelta
 				if rapid.Bool().Draw(t, "full") {
@@ -65,7 +65,7 @@
 				}
 				step(List{Kind: kind, Backends: []Backend{entry(rapid.IntRange(0, 3).Draw(t, "id"))}})
 			case 2, 3:
-				step(Request{ID: fmt.Sprint("r", i), Left: 3 * time.Second})
+				step(Request{ID: fmt.Sprint("r", i), TimeLeft: 3 * time.Second})
 			case 4:
 				if len(open) > 0 {
 					o := open[0]
@@ -114,7 +114,7 @@
 	ask := func() []string {
 		n++
 		id := fmt.Sprint("r", n)
-		to := sendsOf(b.Step(now, []Event{Request{ID: id, Left: 3 * time.Second}}))
+		to := sendsOf(b.Step(now, []Event{Request{ID: id, TimeLeft: 3 * time.Second}}))
 		for _, s := range to {
 			b.Step(now+40*time.Millisecond, []Event{Outcome{Request: id, Backend: s, Latency: 40 * time.Millisecond, Done: true}})
 		}
@@ -124,7 +124,7 @@
 		now += time.Second
 		ask()
 	}
-	b.Step(now, []Event{Maintenance{Backend: "s1", Out: true}})
+	b.Step(now, []Event{Maintenance{Backend: "s1", OutOfService: true}})
 	b.Step(now, []Event{List{Kind: ListFull, Backends: []Backend{{ID: "s0"}, {ID: "s1", Started: now}, {ID: "s2"}, {ID: "s3"}}}})
 	for range 20 {
 		now += time.Second
@@ -151,8 +151,8 @@
 // All out: refused at once, with nothing run.
 func TestAllOut(t *testing.T) {
 	b := serviceOf(t, 1)
-	b.Step(time.Hour, []Event{List{Kind: ListFull, Backends: []Backend{{ID: "s0"}}}, Maintenance{Backend: "s0", Out: true}})
-	actions := b.Step(time.Hour, []Event{Request{ID: "r", Left: 3 * time.Second}})
+	b.Step(time.Hour, []Event{List{Kind: ListFull, Backends: []Backend{{ID: "s0"}}}, Maintenance{Backend: "s0", OutOfService: true}})
+	actions := b.Step(time.Hour, []Event{Request{ID: "r", TimeLeft: 3 * time.Second}})
 	if len(actions) == 0 {
 		t.Fatal("nothing was decided")
 	}
--- a/order.go
+++ b/order.go
@@ -1,55 +1,54 @@
 package saltmast
 
-// The order of a key: its requests run one at a time, as they were taken, and it rests after trouble.
+// Ordering by key: requests of a key run one at a time in order of arrival, with a pause after failures.
 
 import (
 	"slices"
 	"time"
 )
 
-// inTurn is the order rule: whether all that was taken for the key of r before it is over, each attempt of it
-// has its outcome, and the key has rested.
-func (b *Balancer) inTurn(r *request) bool {
-	return r.line == nil || r.line.queue[0] == r && b.now >= r.line.rest
+// isNextForKey reports whether all earlier requests of r's key and their attempts ended, and no pause is on.
+func (b *Balancer) isNextForKey(r *request) bool {
+	return r.keyQueue == nil || r.keyQueue.requests[0] == r && b.now >= r.keyQueue.pausedUntil
 }
 
-// lineUp puts a new request behind all others of its key.
-func (b *Balancer) lineUp(r *request, key string) {
-	if key == "" || !r.c.KeepOrder {
+// enqueueByKey appends a new request to the queue of its key.
+func (b *Balancer) enqueueByKey(r *request, key string) {
+	if key == "" || !r.class.KeepOrder {
 		return
 	}
-	if r.line = b.lines[key]; r.line == nil {
-		r.line = &line{key: key}
-		b.lines[key] = r.line
+	if r.keyQueue = b.keyQueues[key]; r.keyQueue == nil {
+		r.keyQueue = &keyQueue{key: key}
+		b.keyQueues[key] = r.keyQueue
 	}
-	r.line.queue = append(r.line.queue, r)
+	r.keyQueue.requests = append(r.keyQueue.requests, r)
 }
 
-// leaveLine takes out a request that is over. The next one goes in this step, or after the rest.
-func (b *Balancer) leaveLine(r *request) {
-	l := r.line
+// leaveKeyQueue removes an ended request. The next one is sent in this step, or after the pause.
+func (b *Balancer) leaveKeyQueue(r *request) {
+	l := r.keyQueue
 	if l == nil {
 		return
 	}
-	r.line = nil
-	l.queue = slices.Delete(l.queue, slices.Index(l.queue, r), slices.Index(l.queue, r)+1)
+	r.keyQueue = nil
+	l.requests = slices.Delete(l.requests, slices.Index(l.requests, r), slices.Index(l.requests, r)+1)
 	switch {
-	case r.rest > b.now: // the head, since no other was sent; rests end in the order in which they begin
-		l.rest = r.rest
-		b.resting = append(b.resting, l)
-		b.alarm(l.rest - b.now + time.Microsecond) // the agent's timers may be that coarse
-	case len(l.queue) == 0 && l.rest <= b.now:
-		delete(b.lines, l.key)
+	case r.pausedUntil > b.now: // r was the head, as no other was sent; pauses end in order
+		l.pausedUntil = r.pausedUntil
+		b.paused = append(b.paused, l)
+		b.setTimer(l.pausedUntil - b.now + time.Microsecond) // the agent's timers may have this resolution
+	case len(l.requests) == 0 && l.pausedUntil <= b.now:
+		delete(b.keyQueues, l.key)
 	}
 }
 
-// endRests forgets keys that have rested and are not asked for.
-func (b *Balancer) endRests() {
-	for len(b.resting) > 0 && b.resting[0].rest <= b.now {
-		l := b.resting[0]
-		b.resting = b.resting[1:]
-		if len(l.queue) == 0 && l.rest <= b.now && b.lines[l.key] == l {
-			delete(b.lines, l.key)
+// endPauses removes the queues of keys whose pause has ended and that have no requests.
+func (b *Balancer) endPauses() {
+	for len(b.paused) > 0 && b.paused[0].pausedUntil <= b.now {
+		l := b.paused[0]
+		b.paused = b.paused[1:]
+		if len(l.requests) == 0 && l.pausedUntil <= b.now && b.keyQueues[l.key] == l {
+			delete(b.keyQueues, l.key)
 		}
 	}
 }
--- a/order_test.go
+++ b/order_test.go
@@ -68,7 +68,7 @@
 	switch e := e.(type) {
 	case saltmast.Request:
 		if e.Class >= 0 && e.Class < len(a.s.Classes) && a.requests[e.ID] == nil {
-			r := &audited{class: a.s.Classes[e.Class], deadline: a.now + e.Left, cost: 1}
+			r := &audited{class: a.s.Classes[e.Class], deadline: a.now + e.TimeLeft, cost: 1}
 			if w := float64(e.Work); w > 0 {
 				told := a.told[e.Class]
 				told[0], told[1] = told[0]+1, told[1]+w
@@ -87,7 +87,7 @@
 			return
 		}
 		r.sends[e.Attempt].out = false
-		r.sends[e.Attempt].risky = !e.Result.NeverRan() || e.Result == saltmast.Full && a.s.FullNoProof
+		r.sends[e.Attempt].risky = !e.Result.NeverRan() || e.Result == saltmast.Full && a.s.FullMayHaveRun
 		switch e.Result {
 		case saltmast.TimedOut, saltmast.Reset, saltmast.Cancelled:
 			r.rest = a.now + a.s.KeyRest
@@ -156,7 +156,7 @@
 		if act.After < 0 {
 			a.fault("a timer in the past: %v", act.After)
 		}
-	case saltmast.TellPeers:
+	case saltmast.SendToPeers:
 		if !a.s.Peers || len(act.Data) > 256 {
 			a.fault("%d bytes to peers", len(act.Data))
 		}
@@ -305,7 +305,7 @@
 		s.Classes[i].Window = time.Duration(rng.IntN(100)) * ms
 		s.Classes[i].KeepOrder = rng.IntN(2) == 0
 	}
-	s.FullNoProof = rng.IntN(2) == 0
+	s.FullMayHaveRun = rng.IntN(2) == 0
 	s.KeyRest = time.Duration(rng.IntN(3)) * 40 * ms
 	s.MayCancel, s.MayProbe, s.WarmKeys = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
 	s.Tenants = []saltmast.Tenant{{Share: 0.7, Quota: 20}, {Share: 0.3, Quota: 5}}[:rng.IntN(3)]
@@ -349,7 +349,7 @@
 			id := fmt.Sprint("q", next)
 			left := time.Duration(1+rng.IntN(1500)) * ms
 			due[id] = a.now + left
-			events = append(events, saltmast.Request{ID: id, Class: rng.IntN(len(s.Classes)), Left: left,
+			events = append(events, saltmast.Request{ID: id, Class: rng.IntN(len(s.Classes)), TimeLeft: left,
 				Work: time.Duration(rng.IntN(3)*rng.IntN(200)) * ms, Repeat: rng.IntN(5) == 0,
 				Tenant: rng.IntN(3), Key: []string{"", fmt.Sprint("k", rng.IntN(keys))}[min(1, rng.IntN(9))]})
 		}
@@ -477,7 +477,7 @@
 		{"cold", lie{event: list(func(b *saltmast.Backend) { b.Started = 0 })}, "is cold"},
 		{"order", lie{settings: classes(func(c *saltmast.Class) { c.KeepOrder = false })}, "sent out of turn"},
 		{"order, rest", lie{settings: func(s *saltmast.Settings) { s.KeyRest = 0 }}, "while its key rests"},
-		{"full is no proof", lie{settings: func(s *saltmast.Settings) { s.FullNoProof = false }}, "is unsafe and may have run"},
+		{"full is no proof", lie{settings: func(s *saltmast.Settings) { s.FullMayHaveRun = false }}, "is unsafe and may have run"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -536,7 +536,7 @@
 		{"gone from the list", safe, []any{empty, 501 * ms, send("b")}, "drain or be gone"},
 		{"cold", safe, []any{cold, send("a"), ended(0, saltmast.Full), send("a"), ended(1, saltmast.Full),
 			send("a"), ended(2, saltmast.Full), send("a")}, "is cold"},
-		{"message where none is allowed", safe, []any{saltmast.TellPeers{Data: []byte{1}}}, "bytes to peers"},
+		{"message where none is allowed", safe, []any{saltmast.SendToPeers{Data: []byte{1}}}, "bytes to peers"},
 		{"timer in the past", safe, []any{saltmast.SetTimer{After: -1}}, "timer in the past"},
 	}
 	for _, tt := range tests {
@@ -544,7 +544,7 @@
 			a := newAuditor(settings())
 			a.now = time.Hour
 			a.event(saltmast.List{Kind: saltmast.ListFull, Backends: backends(4)})
-			a.event(saltmast.Request{ID: "q", Class: tt.class, Left: 2000 * ms})
+			a.event(saltmast.Request{ID: "q", Class: tt.class, TimeLeft: 2000 * ms})
 			for _, p := range tt.play {
 				switch p := p.(type) {
 				case time.Duration:
--- a/pick.go
+++ b/pick.go
@@ -1,7 +1,7 @@
 package saltmast
 
-// Which backend gets an attempt: idle ones first, within a working set of connections. internal/retry has the
-// draw; its Pick alone would not do, since the choice goes by size, speed, warmth, zone, key and the set too.
+// Choice of the backend for an attempt: idle backends first, within a working set of connections. retry.Pick
+// is not enough, since the choice depends on size, speed, warmth, zone, key and the working set, too.
 
 import (
 	"cmp"
@@ -9,137 +9,134 @@
 	"saltmast/internal/retry"
 )
 
-// pick chooses a backend: one where this balancer has nothing in flight, at random; else the one with the
-// fewest; never the one that just failed unless it is the only one. nil means that none may be used now.
+// pick returns the backend for an attempt: a random one without attempts in flight, or else the one with the
+// fewest; the one that just failed only if it is the only one; nil if none may be used now.
 func (b *Balancer) pick(r *request) *backend {
-	mean, seen := 0.0, 0
+	mean, answered := 0.0, 0
 	for _, t := range b.backends {
-		if t.isUp() && t.seen {
+		if t.isAvailable() && t.hasAnswered {
 			mean += b.load(t)
-			seen++
+			answered++
 		}
 	}
-	mean /= float64(max(seen, 1))
-	most := max(double, backCap*b.perBack/float64(b.s.Balancers))
-	crowded := b.now-b.cutAt <= b.s.RampTime // then crossing is worth its price
-	if b.sparse(1) {
-		crowded = b.sent > crowdAt*b.inTime+throttleFree
+	mean /= float64(max(answered, 1))
+	maxLoad := max(attemptsPerConnection, maxBackendShare*b.limitPerBackend/float64(b.cfg.Balancers))
+	crowded := b.now-b.lastCut <= b.cfg.RampTime // then crossing zones is worth its price
+	if b.minShareBelow(1) {
+		crowded = b.recentSent > crowdedRatio*b.recentInTime+throttleAllowance
 	}
-	var idle, fresh, few, last retry.Least[*backend]
-	links := 0
+	var idle, outside, busy, ejected retry.Least[*backend]
+	setSize := 0
 	for _, t := range b.backends {
 		load := b.load(t)
-		if !t.isUp() || !b.mayRepeat(r, t) || t == r.failed && b.up > 1 || b.now < t.fullTill ||
-			load >= most || !b.coldRoom(t, r) {
+		if !t.isAvailable() || !b.mayAttempt(r, t) || t == r.lastFailed && b.upCount > 1 ||
+			b.now < t.fullUntil || load >= maxLoad || !b.hasColdBudget(t, r) {
 			continue
 		}
-		if !b.healthy(t, r) {
-			last.Offer(t, t.strikes+b.rng.Float64()+load)
+		if !b.isHealthy(t, r) {
+			ejected.Offer(t, t.strikes+b.rng.Float64()+load)
 			continue
 		}
-		if !t.seen {
-			load = mean // a new one gets no rush
+		if !t.hasAnswered {
+			load = mean // an untried backend must not get a rush of requests
 		}
-		if t.back && load < 1 {
+		if t.reinstated && load < 1 {
 			return t
 		}
-		slow := b.slowness(t)
-		linked, set := b.isLinked(t) || t.joined && load < 1, &fresh
-		if linked {
-			links, set = links+1, &idle
+		slowness := b.slowness(t)
+		inSet, group := b.inWorkingSet(t) || t.joined && load < 1, &outside
+		if inSet {
+			setSize, group = setSize+1, &idle
 		}
-		if load < 1 || !linked {
-			// Departure: an even choice among idle backends would load slow ones as much as fast ones; each
-			// counts by the inverse cube of its observed slowness. Acts when speeds differ.
-			steep, u := slow*slow*slow, b.rng.Float64()
-			// Departure: where backends serve a key that they lately met with less work, the draw comes from
-			// the key: all agents choose alike, with no word between them, among those idle. By the square:
-			// agents measure slowness each for themselves, and the steeper the weight, the more keys move
-			// with each new answer, away from what is warm.
-			if b.s.WarmKeys && r.key != 0 {
-				steep, u = slow*slow, keyedDraw(t.hash, r.key)
+		if load < 1 || !inSet {
+			// Idle ones are weighted by the inverse cube of their slowness, or slow ones would get as much.
+			penalty, draw := slowness*slowness*slowness, b.rng.Float64()
+			// Where a backend serves a recent key with less work, rendezvous hashing makes all agents choose
+			// alike. The weight is the inverse square: agents measure slowness separately, and the steeper
+			// the weight, the more keys leave their warm backends with each answer.
+			if b.cfg.WarmKeys && r.key != 0 {
+				penalty, draw = slowness*slowness, rendezvousDraw(t.hash, r.key)
 			}
-			w := t.size() * b.warmth(t) / steep
-			if t.Zone != b.s.Zone && !crowded {
-				w /= 1 + crossWeight*b.s.CrossZonePrice
+			weight := t.size() * b.warmth(t) / penalty
+			if t.Zone != b.cfg.Zone && !crowded {
+				weight /= 1 + crossZoneWeight*b.cfg.CrossZonePrice
 			}
-			set.Offer(t, retry.Race(u, w))
+			group.Offer(t, retry.WeightedScore(draw, weight))
 			continue
 		}
-		// Departure: in-flight counts are weighed by slowness for the same reason.
-		few.Offer(t, (load+1)*slow/b.warmth(t)*(1+0.01*b.rng.Float64()))
+		// In-flight counts are weighted by slowness for the same reason.
+		busy.Offer(t, (load+1)*slowness/b.warmth(t)*(1+0.01*b.rng.Float64()))
 	}
-	// Departure: an even choice among all idle backends would open a connection from every agent to every
-	// backend; a backend takes only so many, and each costs it work. An idle backend with an open connection
-	// comes first, once there are enough of them to choose from; then one of these with little in flight;
-	// only then a further connection.
-	trusted := b.s.WarmKeys && r.c.freshOK >= r.c.knownOK-trustGap
+	// Idle backends of the working set come first, once there are enough of them; then backends of it with
+	// few attempts in flight; only then a new connection. An even choice would connect every agent to every
+	// backend, but a backend accepts a limited number of connections, and each costs it work.
+	trusted := b.cfg.WarmKeys && r.class.outsideSetSuccess >= r.class.inSetSuccess-successGap
 	switch {
-	case fresh.Found && (links < workingSet || trusted && (!idle.Found || fresh.Score < idle.Score)):
-		return fresh.It
+	case outside.Found && (setSize < minWorkingSet || trusted && (!idle.Found || outside.Score < idle.Score)):
+		return outside.Item
 	case idle.Found:
-		return idle.It
-	case fresh.Found && (!few.Found || b.load(few.It) >= double):
-		return fresh.It
-	case few.Found:
-		return few.It
+		return idle.Item
+	case outside.Found && (!busy.Found || b.load(busy.Item) >= attemptsPerConnection):
+		return outside.Item
+	case busy.Found:
+		return busy.Item
 	}
-	return last.It // all are ejected: a first attempt still goes out
+	return ejected.Item // if all are ejected, a first attempt is still sent
 }
 
-// isLinked reports whether t is in the working set: an attempt needs no new connection there.
-func (b *Balancer) isLinked(t *backend) bool {
-	return len(t.out) > 0 || t.linked && (b.s.IdleClose == 0 || b.now-t.usedAt < b.s.IdleClose)
+// inWorkingSet reports whether t is in the working set, so that an attempt needs no new connection.
+func (b *Balancer) inWorkingSet(t *backend) bool {
+	return len(t.attempts) > 0 || t.connected && (b.cfg.IdleClose == 0 || b.now-t.usedAt < b.cfg.IdleClose)
 }
 
-// setPart is the working set's part of the backends that are up: with that chance a newcomer, new or started
-// again, joins the set, as long as the others are idle too. Guards against a fleet that is replaced under
-// agents that have their set: with 36 of 60 new, agents kept to the 24 old ones, took these for the fleet,
-// cut their limits for the queues there and refused a quarter, while the new ones idled. Sets keep their size
-// by it: an even draw among all for one attempt in twenty opened half as many connections again.
-func (b *Balancer) setPart() float64 {
-	links := b.count(func(t *backend) bool { return t.isUp() && b.isLinked(t) })
-	return float64(links) / float64(max(b.up, 1))
+// workingSetShare returns the share of the available backends in the working set: the probability with which
+// a new or restarted backend joins the set, while the others are idle, too. Otherwise agents stay with the
+// old backends: with 36 of 60 new, they cut their limits for the queues at the 24 old ones and refused a
+// quarter of the requests while the new ones idled. It keeps the size of the sets: an even draw for one
+// attempt in twenty opened half as many connections again.
+func (b *Balancer) workingSetShare() float64 {
+	inSet := b.count(func(t *backend) bool { return t.isAvailable() && b.inWorkingSet(t) })
+	return float64(inSet) / float64(max(b.upCount, 1))
 }
 
-// join draws a newcomer into the set or not; see setPart.
-func (b *Balancer) join(t *backend, part float64) {
-	if t.joined, t.drawn = t.back || b.rng.Float64() < part, 0; t.joined && !t.back {
-		t.drawn = part
+// joinWorkingSet decides at random whether a new backend joins the working set; see workingSetShare.
+func (b *Balancer) joinWorkingSet(t *backend, chance float64) {
+	if t.joined, t.joinChance = t.reinstated || b.rng.Float64() < chance, 0; t.joined && !t.reinstated {
+		t.joinChance = chance
 	}
 }
 
-// slowness is how much longer this backend takes than the mean, by its answers or by the wait of its oldest
-// attempt if that is worse (a stall shows before any answer).
+// slowness returns the latency of a backend relative to the expected, from its answers or from the age of its
+// oldest attempt if that is worse, since a stall shows before any answer.
 func (b *Balancer) slowness(t *backend) float64 {
-	s := cmp.Or(t.slow, 1)
-	for _, a := range t.out {
-		if !a.coming && (a.sent > t.heard || t.cold) {
-			return max(s, float64(b.now-a.sent)/a.cost/2)
+	s := cmp.Or(t.latencyRatio, 1)
+	for _, a := range t.attempts {
+		if !a.bodyPending && (a.sentAt > t.lastAnsweredSend || t.cold) {
+			return max(s, float64(b.now-a.sentAt)/a.cost/2)
 		}
 	}
 	return s
 }
 
-// load is what t has to do for this balancer: its attempts out, less those whose answer seems lost, since it
-// is overdue and what was sent after it has been answered. Guards against answers that never come (lost on
-// the way, or swallowed by a backend that hung and is back): each held its place and its age passed for
-// slowness, so that of eight equal backends some had 4 out and others 20. Harm: a backend that works on a few
-// very heavy requests beside light ones counts as idler than it is. Not for cold ones: all is overdue there.
+// load returns the number of attempts that t works on for this balancer. It excludes those whose answer seems
+// lost: they are overdue and a later attempt was answered. Lost answers (dropped by the network or by a
+// backend that hung) would otherwise keep counting, and their age as slowness: of eight equal backends some
+// had 4 attempts and others 20. Cost: a backend with a few very heavy requests counts as less loaded than it
+// is. Cold backends are not corrected: all their attempts are overdue.
 func (b *Balancer) load(t *backend) float64 {
-	n := len(t.out)
-	for _, a := range t.out { // one that is coming gives it nothing to do yet
-		if a.coming || a.sent <= t.heard && !t.cold && b.now-a.sent > a.patience {
+	n := len(t.attempts)
+	for _, a := range t.attempts { // an attempt with a pending body is no work yet
+		if a.bodyPending || a.sentAt <= t.lastAnsweredSend && !t.cold && b.now-a.sentAt > a.silentAfter {
 			n--
 		}
 	}
 	return float64(n)
 }
 
-// expected is the mean latency for a request of this class and told work.
-func (b *Balancer) expected(r *request) float64 {
-	if c := r.c; r.work > 0 && c.work > 0 {
+// expectedLatency returns the mean latency of the request's class, scaled by its stated work.
+func (b *Balancer) expectedLatency(r *request) float64 {
+	if c := r.class; r.work > 0 && c.work > 0 {
 		return c.latency * r.work / c.work
 	}
-	return r.c.latency
+	return r.class.latency
 }
--- a/retune_test.go
+++ b/retune_test.go
@@ -88,13 +88,13 @@
 					from = append(from, rapid.IntRange(-1, len(all[len(all)-1].Classes)-1).Draw(t, "from"))
 				}
 				all = append(all, n)
-				step(Retune{Settings: n, From: from})
+				step(SettingsUpdate{Settings: n, PreviousClass: from})
 			case 1, 2: // some come late, under settings before
-				g := len(all) - 1 - rapid.IntRange(0, min(len(all)-1, keptRules-1)).Draw(t, "back")
+				g := len(all) - 1 - rapid.IntRange(0, min(len(all)-1, keptVersions-1)).Draw(t, "back")
 				class := rapid.IntRange(0, len(all[g].Classes)-1).Draw(t, "class")
 				id := fmt.Sprint("r", i)
 				requests[id] = &seen{class: all[g].Classes[class], max: all[g].MaxAttempts}
-				step(Request{ID: id, Class: class, Generation: uint64(g), Left: 6 * time.Second})
+				step(Request{ID: id, Class: class, Generation: uint64(g), TimeLeft: 6 * time.Second})
 			case 3:
 				if len(open) == 0 {
 					continue
@@ -117,8 +117,8 @@
 				}
 			}
 		}
-		if len(b.rules) > keptRules+len(requests) {
-			t.Fatalf("%d settings are kept", len(b.rules))
+		if len(b.versions) > keptVersions+len(requests) {
+			t.Fatalf("%d settings are kept", len(b.versions))
 		}
 	})
 }
@@ -130,21 +130,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(time.Hour, []Event{List{Kind: ListFull, Backends: []Backend{{ID: "s0"}}}, Request{ID: "q", Left: time.Second}})
+	b.Step(time.Hour, []Event{List{Kind: ListFull, Backends: []Backend{{ID: "s0"}}}, Request{ID: "q", TimeLeft: time.Second}})
 	for i := range 100 {
 		s.Generation = uint64(i + 1)
-		b.Step(time.Hour, []Event{Retune{Settings: s, From: []int{0}}})
+		b.Step(time.Hour, []Event{SettingsUpdate{Settings: s, PreviousClass: []int{0}}})
 	}
-	if len(b.rules) != keptRules+1 || b.rulesOf(0) == nil {
-		t.Errorf("%d settings are kept, with those of the open request", len(b.rules))
+	if len(b.versions) != keptVersions+1 || b.versionOf(0) == nil {
+		t.Errorf("%d settings are kept, with those of the open request", len(b.versions))
 	}
 	b.Step(time.Hour, []Event{Outcome{Request: "q", Backend: "s0", Latency: time.Millisecond}})
 	s.Generation++
-	b.Step(time.Hour, []Event{Retune{Settings: s, From: []int{0}}})
-	if len(b.rules) != keptRules {
-		t.Errorf("%d settings are kept", len(b.rules))
+	b.Step(time.Hour, []Event{SettingsUpdate{Settings: s, PreviousClass: []int{0}}})
+	if len(b.versions) != keptVersions {
+		t.Errorf("%d settings are kept", len(b.versions))
 	}
-	actions := b.Step(time.Hour, []Event{Request{ID: "late", Generation: 1, Left: time.Second}})
+	actions := b.Step(time.Hour, []Event{Request{ID: "late", Generation: 1, TimeLeft: time.Second}})
 	if len(actions) != 1 || actions[0] != (Refuse{Request: "late"}) {
 		t.Errorf("a request under forgotten settings: %v", actions)
 	}
@@ -159,19 +159,19 @@
 		t.Fatal(err)
 	}
 	b.Step(time.Hour, []Event{List{Kind: ListFull, Backends: []Backend{{ID: "s0"}}}})
-	b.byID["s0"].slow = 3
+	b.byID["s0"].latencyRatio = 3
 	b.classes[1].latency = 77
 	n := s
 	n.Generation = 1
 	n.Classes = []Class{{Aim: 2 * time.Second, Deadline: 2 * time.Second, Effect: Unsafe}, c, c}
-	b.Step(time.Hour, []Event{Retune{Settings: n, From: []int{1, 0, -1}}})
-	if b.byID["s0"].slow != 3 || b.classes[0].latency != 77 || b.classes[0].Effect != Unsafe || b.classes[2].latency != float64(c.Aim)/4 {
+	b.Step(time.Hour, []Event{SettingsUpdate{Settings: n, PreviousClass: []int{1, 0, -1}}})
+	if b.byID["s0"].latencyRatio != 3 || b.classes[0].latency != 77 || b.classes[0].Effect != Unsafe || b.classes[2].latency != float64(c.Aim)/4 {
 		t.Errorf("%+v %+v", b.classes[0], b.classes[2])
 	}
 	bad := n
 	bad.Generation, bad.Classes = 2, nil
-	b.Step(time.Hour, []Event{Retune{Settings: bad}})
-	if b.s.Generation != 1 {
+	b.Step(time.Hour, []Event{SettingsUpdate{Settings: bad}})
+	if b.cfg.Generation != 1 {
 		t.Error("settings without a class were taken")
 	}
 }
@@ -190,19 +190,19 @@
 	}
 	now := time.Hour
 	b := newBalancer()
-	if to := sendsOf(b.Step(now, []Event{Request{ID: "big", Left: 2 * time.Second, Coming: true}})); len(to) != 1 {
+	if to := sendsOf(b.Step(now, []Event{Request{ID: "big", TimeLeft: 2 * time.Second, BodyPending: true}})); len(to) != 1 {
 		t.Fatalf("sent to %v", to)
 	}
 	now += time.Minute
 	b.Step(now, nil)
 	s0 := b.byID["s0"]
-	if b.silent(s0) || b.slowness(s0) != 1 || b.load(s0) != 0 || b.inFlight-b.stuck != 0 {
-		t.Errorf("silent %v, slowness %v, load %v, %d count as in flight", b.silent(s0), b.slowness(s0), b.load(s0), b.inFlight-b.stuck)
+	if b.isSilent(s0) || b.slowness(s0) != 1 || b.load(s0) != 0 || b.inFlight-b.stuck != 0 {
+		t.Errorf("silent %v, slowness %v, load %v, %d count as in flight", b.isSilent(s0), b.slowness(s0), b.load(s0), b.inFlight-b.stuck)
 	}
-	if to := sendsOf(b.Step(now, []Event{Request{ID: "small", Left: time.Second}})); len(to) != 1 {
+	if to := sendsOf(b.Step(now, []Event{Request{ID: "small", TimeLeft: time.Second}})); len(to) != 1 {
 		t.Errorf("beside it %v", to)
 	}
-	b.Step(now, []Event{Arrived{Request: "big"}})
+	b.Step(now, []Event{BodySent{Request: "big"}})
 	if r := b.requests["big"]; r.deadline != now+2*time.Second || r.aim != now+time.Second || b.load(s0) != 2 {
 		t.Errorf("deadline %v, aim %v after its last byte; load %v", r.deadline-now, r.aim-now, b.load(s0))
 	}
@@ -216,9 +216,9 @@
 		{ConnectFailed, false, ""}, {Reset, false, ""},
 	} {
 		b := newBalancer()
-		b.Step(now, []Event{Request{ID: "big", Left: 2 * time.Second, Coming: true}})
+		b.Step(now, []Event{Request{ID: "big", TimeLeft: 2 * time.Second, BodyPending: true}})
 		got := ""
-		for _, a := range b.Step(now+time.Second/2, []Event{Outcome{Request: "big", Backend: "s0", Result: tt.result, Spent: tt.spent}}) {
+		for _, a := range b.Step(now+time.Second/2, []Event{Outcome{Request: "big", Backend: "s0", Result: tt.result, BodyConsumed: tt.spent}}) {
 			switch a.(type) {
 			case Refuse:
 				got = "refused"
@@ -229,7 +229,7 @@
 		if got != tt.want {
 			t.Errorf("result %d, spent %v: %q, want %q", tt.result, tt.spent, got, tt.want)
 		}
-		if tokens := b.bucket.Tokens(); tt.spent && tokens != bucketCap {
+		if tokens := b.bucket.Tokens(); tt.spent && tokens != retryBucketCapacity {
 			t.Errorf("result %d: a token was spent for a retry that can't go out", tt.result)
 		}
 	}
--- a/saltmast.go
+++ b/saltmast.go
@@ -1,9 +1,9 @@
 package saltmast
 
-// The decision module: its constants, and what follows from each event. Further choices are in limit.go (how
-// much at once), pick.go (which backend), again.go, order.go (of a key), health.go, cold.go, list.go, and
-// finish.go, which alone starts attempts and ends requests, and checks the rules; what other programs share
-// is in internal/retry. Settings, events and actions are in api.go, the types of the state in state.go.
+// The policy: its constants and event handlers. Further policy is in limit.go (concurrency), pick.go (choice
+// of a backend), again.go (retries), order.go (ordering by key), health.go (ejection), cold.go (slow start of
+// backends), list.go (backend list) and finish.go (start of attempts and end of requests, where the rules are
+// checked); internal/retry is shared with other programs. api.go has the API, state.go the state.
 
 import (
 	"maps"
@@ -15,152 +15,155 @@
 	"saltmast/internal/retry"
 )
 
-// Constants are dimensionless; every scale comes from the settings or from what is observed.
+// Constants are dimensionless; every scale comes from the settings or from observation.
 const (
-	bucketCap     = 100.0 // retry tokens at the most: a quiet balancer funds 20 retries at once, not 100
-	retryCost     = 5.0   // tokens for a retry ...
-	timeoutCost   = 10.0  // ... and for one after a time-out, which may mean a deeper trouble
-	successRefill = 1.0   // tokens that a served attempt brings back
+	retryBucketCapacity = 100.0 // retry tokens; a full bucket pays for 20 retries
+	retryCost           = 5.0   // tokens for a retry
+	timeoutRetryCost    = 10.0  // tokens for a retry after a timeout, a likelier sign of overload
+	successRefill       = 1.0   // tokens returned by a successful attempt
 
-	backoffUnits   = 32 // in the class's aim: units of a second would outlast most aims
-	backoffCeiling = 8  // the longest backoff, in units
+	backoffUnits = 32 // backoff units per aim: fixed units of a second would outlast most aims
+	maxBackoff   = 8  // longest backoff, in units
 
-	silentAfter  = 0.35  // of the aim: no answer from a backend for so long, and it is taken for silent
-	silentDevs   = 5.0   // mean deviations over the mean latency, after which an attempt is tried again
-	silentMeans  = 6.0   // and at least so many mean latencies, which are long when all is crowded
-	smooth       = 0.1   // weight of a new sample in a running mean, about the last 20 samples
-	priorSamples = 2.0   // answers that the mean of all counts for in a backend's slowness at the start
-	slowBound    = 8.0   // one sample says at most that a backend is so many times slower than the mean
-	byChance     = 1e-3  // a run of failures less likely than this is no chance
-	sparePart    = 0.2   // of the backends may be left out for errors at a time
-	mostInARow   = 6     // and the longest that is waited for
-	strikeHeal   = 0.25  // strikes that a served attempt takes back: one error in five keeps them growing
-	shunFor      = 8.0   // aims for which a silent backend is first left out for a class
-	strikeCap    = 5.0   // longest ejection is 2^(cap-1) times the first
-	heavy        = 2.0   // a cold backend gets no request of more than so many times the mean work
-	crossWeight  = 200.0 // an idle backend in another zone counts less by so many times the price of crossing
-	double       = 2     // attempts that one gets before a connection to a further one is opened
-	workingSet   = 2     // backends an agent keeps connections to, if its traffic needs no more: a choice
+	silenceAims           = 0.35  // of the aim; a backend is silent if it has not answered for this long
+	hedgeDeviations       = 5.0   // mean deviations above the mean latency after which an attempt is hedged
+	silenceMeans          = 6.0   // and for this many mean latencies, which rise under load
+	smoothing             = 0.1   // weight of a new sample in a running mean of about the last 20 samples
+	priorSamples          = 2.0   // weight of the initial slowness of 1, in samples
+	maxSlowness           = 8.0   // bound of a single slowness sample, in expected latencies
+	chanceThreshold       = 1e-3  // a run of failures less likely than this is not by chance
+	maxEjectedShare       = 0.2   // largest share of backends ejected for errors at a time
+	maxFailureThreshold   = 6     // longest run of failures required before a strike
+	strikeRecovery        = 0.25  // strikes removed by a success; one error in five keeps them growing
+	classEjectionAims     = 8.0   // first ejection of a silent backend for one class, in aims
+	maxStrikes            = 5.0   // the longest ejection is 2^(maxStrikes-1) times the first
+	coldMaxWork           = 2.0   // largest request for a cold backend, in mean requests
+	crossZoneWeight       = 200.0 // penalty of an idle backend in another zone, times CrossZonePrice
+	attemptsPerConnection = 2     // attempts on a connected backend before connecting to another one
+	minWorkingSet         = 2     // backends that an agent stays connected to if its traffic needs no more
 
-	// Where keys draw the choice, backends outside the working set count alike while they answer in time
-	// about as often; else some trouble is about, and those known to answer come first.
-	trustGap = 0.1
+	// Largest shortfall in the share of answers in time at which backends outside the working set are still
+	// chosen by key like those in it. A larger one is a sign of trouble: backends that answer come first.
+	// Also the shortfall of a class against another at which a backend is ejected for that class.
+	successGap = 0.1
 
-	aimedDelay = 0.35 // mean latency, as a share of the aim, above which less is kept in flight: less
-	// refuses uneven work without need, more lets crowded servers slow down
-	aimedRise    = 3.0  // and above so many times its low: servers may slow down when crowded
-	aimedFloor   = 0.15 // but never below this: so far within the aim a delay harms nobody, and idle cores do
-	outlier      = 4.0  // one answer counts at most as so many times the usual latency, or two floors ...
-	outlierAimed = 3.0  // ... or so many times the aimed mean: cut at little over that, nine in ten had to
-	// be slow before the limit fell, where warm keys make the usual latency short; all servers choked
-	sparseBelow  = 0.6  // part of the least limit, in attempts, below which an agent has no such limit
-	throttleAt   = 1.3  // requests sent for each answered in time: more wastes work on late answers ...
-	crowdAt      = 1.15 // ... and above so many, zones are crossed freely ...
-	throttleFree = 4.0  // ... beyond the first few
-	throttleSpan = 20.0 // aims over which both are counted
-	limitCut     = 0.9  // one cut of the in-flight limit
-	openCut      = 0.5  // the first cut: a limit that doubles in a round passes what it should be by as much
-	limitGrow    = 0.7  // and its growth, in attempts per backend for each round of answers
-	floorPerBack = 4.0  // where it starts, for all agents together per backend, and the least it
-	// falls to: less would leave cores idle, and a start with more would crowd servers at once
+	targetDelay = 0.35 // highest target of the mean latency, as a share of the aim: a lower one would
+	// refuse uneven work needlessly, a higher one would let crowded servers slow down
+	targetRise            = 3.0  // target in multiples of the low: servers may slow down when crowded
+	minTargetDelay        = 0.15 // lowest target, of the aim: such delays are harmless, idle cores are not
+	outlierMultiple       = 4.0  // bound of a sample, in usual latencies; at least two lowest targets
+	outlierTargetMultiple = 3.0  // bound of a sample, in targets: where warm keys make the usual latency
+	// short and the bound was just over the target, only nine slow answers in ten cut the limit
+	unlimitedBelow     = 0.6  // share of the lowest limit, in attempts, below which an agent has no limit
+	throttleRatio      = 1.3  // requests sent per answer in time: more wastes work on late answers
+	crowdedRatio       = 1.15 // the same ratio, above which zones are crossed freely
+	throttleAllowance  = 4.0  // requests exempt from both ratios
+	throttleWindow     = 20.0 // decay time of both counts, in aims
+	limitDecrease      = 0.9  // factor of a cut of the in-flight limit
+	firstLimitDecrease = 0.5  // factor of the first cut: doubling each round overshoots by as much
+	limitIncrease      = 0.7  // growth of the limit, in attempts per backend for each round of answers
+	minPerBackend      = 4.0  // initial and lowest limit per backend, for all agents together: a lower one
+	// would leave cores idle, a higher start would crowd servers at once
 
-	backCap     = 3.0       // no backend holds more than so many mean shares of the limit
-	holdMargin  = 2.0       // a held request leaves when fewer than so many mean latencies remain to its aim
-	sparePlaces = 0.125     // of the requests that may be open, kept free for those to come
-	holdAtMost  = 0.75      // of the aim; a request may always be held for the rest of it
-	askFleet    = 64.0      // agents that may call the list as if they were few
-	askAtMost   = 2.0       // AskWithins over which a call comes again after a failed one: four are allowed
-	comingFor   = time.Hour // a body may take no longer: the agent bounds it far below
-	keptRules   = 8         // settings before the present ones that are kept for requests on their way
-	repeatValue = 0.1       // value of a client's repeat against a first try: most of its aim has passed
+	maxBackendShare    = 3.0       // most attempts on a backend, in mean shares of the limit
+	holdMargin         = 2.0       // a held request is given up with fewer mean latencies left to its aim
+	reservedOpenShare  = 0.125     // share of MaxOpen that is kept free for new requests
+	maxHoldMargin      = 0.75      // bound of that margin, as a share of the aim
+	subscribeFleetSize = 64.0      // agents up to which subscription attempts need no extra spread
+	maxSubscribeWait   = 2.0       // longest wait after a failed subscription, in AskWithin; 4 are allowed
+	maxBodyTime        = time.Hour // longest reception of a body; the agent's own bound is far lower
+	keptVersions       = 8         // settings versions kept for requests still to come, current one included
+	repeatValue        = 0.1       // value of a client's retry against a first try: most of its aim is over
 )
 
-// New returns a balancer with no state. All its random choices come from seed.
+// New returns a balancer without backends or requests. All its random choices derive from seed.
 func New(s Settings, seed uint64) (*Balancer, error) {
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{rng: rand.New(rand.NewPCG(seed, 0)), bucket: retry.NewBucket(bucketCap),
-		allow: math.Inf(1), vary: 1, base: aimedDelay / aimedRise, perBack: floorPerBack,
-		byID: map[string]*backend{}, withdrawn: map[string]bool{},
-		requests: map[string]*request{}, timers: map[int64]*request{}, lines: map[string]*line{}}
-	b.adopt(s, nil)
+	b := &Balancer{rng: rand.New(rand.NewPCG(seed, 0)), bucket: retry.NewBucket(retryBucketCapacity),
+		retryBudget: math.Inf(1), latencyDeviation: 1, baseDelay: targetDelay / targetRise,
+		limitPerBackend: minPerBackend, byID: map[string]*backend{}, outOfService: map[string]bool{},
+		requests: map[string]*request{}, timers: map[int64]*request{}, keyQueues: map[string]*keyQueue{}}
+	b.applySettings(s, nil)
 	return b, nil
 }
 
-// adopt has settings in force for the requests to come; those that are open keep theirs. What was learned of
-// backends stays, and what was learned of a class where a class of the new settings continues it.
-func (b *Balancer) adopt(s Settings, from []int) {
+// applySettings puts settings into effect for new requests; open requests keep theirs. The state of backends
+// is kept, and so is that of each class that a class of the new settings continues.
+func (b *Balancer) applySettings(s Settings, previous []int) {
 	s.MaxAttempts = max(1, s.MaxAttempts)
 	if s.ColdShare == 0 {
 		s.ColdShare = 1
 	}
-	n := &rules{s: &s}
+	version := &settingsVersion{settings: &s}
 	for i, c := range s.Classes {
-		state := &classState{latency: float64(c.Aim) / 4, freshOK: 1, knownOK: 1}
-		if i < len(from) && from[i] >= 0 && from[i] < len(b.classes) {
-			// Its clients and its work are the same, its times and its meaning may not be.
-			if state = b.classes[from[i]]; state.Class != c {
-				other := *state
-				state, other.patience = &other, 0
+		state := &classState{latency: float64(c.Aim) / 4, outsideSetSuccess: 1, inSetSuccess: 1}
+		if i < len(previous) && previous[i] >= 0 && previous[i] < len(b.classes) {
+			// Its clients and its work are the same, but its times and its meaning may differ.
+			if state = b.classes[previous[i]]; state.Class != c {
+				copied := *state
+				state, copied.clientTimeout = &copied, 0
 			}
 		}
 		state.Class = c
-		n.classes = append(n.classes, state)
+		version.classes = append(version.classes, state)
 	}
-	if b.rules = append(b.rules, n); len(b.rules) > keptRules {
-		old, recent := b.rules[:len(b.rules)-keptRules], b.rules[len(b.rules)-keptRules:]
-		idle := func(r *rules) bool { return r.open == 0 }
-		b.rules = append(slices.DeleteFunc(slices.Clone(old), idle), recent...)
+	if b.versions = append(b.versions, version); len(b.versions) > keptVersions {
+		old, recent := b.versions[:len(b.versions)-keptVersions], b.versions[len(b.versions)-keptVersions:]
+		idle := func(r *settingsVersion) bool { return r.openRequests == 0 }
+		b.versions = append(slices.DeleteFunc(slices.Clone(old), idle), recent...)
 	}
-	b.s, b.classes, b.maxOpen = n.s, n.classes, s.MaxOpen
+	b.cfg, b.classes, b.maxOpen = version.settings, version.classes, s.MaxOpen
 	for _, t := range b.backends {
-		maps.DeleteFunc(t.shuns, func(c *classState, _ shun) bool { return !slices.Contains(b.classes, c) })
+		maps.DeleteFunc(t.classEjections, func(c *classState, _ classEjection) bool {
+			return !slices.Contains(b.classes, c)
+		})
 	}
 }
 
-// Step takes what has happened by now, in order, and returns what to do.
+// Step handles the events up to now, in order, and returns the actions to carry out.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
 	b.now, b.actions = max(now, b.now), nil
-	b.endRests()
-	f := math.Exp(-float64(b.now-b.decayAt) / (throttleSpan * float64(b.classes[0].Aim)))
-	b.sent, b.inTime, b.decayAt = b.sent*f, b.inTime*f, b.now
-	b.measure()
+	b.endPauses()
+	decay := math.Exp(-float64(b.now-b.decayedAt) / (throttleWindow * float64(b.classes[0].Aim)))
+	b.recentSent, b.recentInTime, b.decayedAt = b.recentSent*decay, b.recentInTime*decay, b.now
+	b.updateCapacity()
 	for _, e := range events {
 		switch e := e.(type) {
 		case Request:
 			b.onRequest(e)
 		case Outcome:
 			b.onOutcome(e)
-		case Arrived:
-			b.onArrived(e)
+		case BodySent:
+			b.onBodySent(e)
 		case TimerFired:
 			b.onTimer(e.Token)
 		case List:
 			b.onList(e)
-			b.measure()
-		case Retune:
-			if e.Settings.Check() == nil {
-				b.adopt(e.Settings, e.From)
-				b.measure()
+			b.updateCapacity()
+		case SettingsUpdate:
+			if e.Settings.Validate() == nil {
+				b.applySettings(e.Settings, e.PreviousClass)
+				b.updateCapacity()
 			}
-		case Room:
+		case OpenLimit:
 			b.maxOpen = e.MaxOpen
 		case Maintenance:
 			b.onMaintenance(e)
-			b.measure()
-		case Allowance:
-			b.allow = float64(e.Retries)
-			for _, r := range b.requests { // what is on its way there has yet to be spent
-				if r.waiting || r.holding && r.retries > 0 {
-					b.allow--
+			b.updateCapacity()
+		case RetryBudget:
+			b.retryBudget = float64(e.Retries)
+			for _, r := range b.requests { // pending retries count against the budget
+				if r.backingOff || r.held && r.retries > 0 {
+					b.retryBudget--
 				}
 			}
-		case Hearsay:
-			b.onHearsay(e)
+		case PeerHealthReport:
+			b.onPeerHealthReport(e)
 		case StreamStarted:
 			if r := b.requests[e.Request]; r != nil && !r.ended {
-				r.stream = true
+				r.streaming = true
 			}
 		case Abandoned:
 			if r := b.requests[e.Request]; r != nil {
@@ -168,68 +171,68 @@
 			}
 		}
 	}
-	b.releaseHeld()
+	b.sendHeld()
 	return b.actions
 }
 
 func (b *Balancer) onRequest(e Request) {
-	in := b.rulesOf(e.Generation)
-	if in == nil {
+	version := b.versionOf(e.Generation)
+	if version == nil {
 		b.actions = append(b.actions, Refuse{Request: e.ID})
 		return
 	}
-	if e.Class < 0 || e.Class >= len(in.classes) || b.requests[e.ID] != nil {
+	if e.Class < 0 || e.Class >= len(version.classes) || b.requests[e.ID] != nil {
 		return
 	}
-	c := in.classes[e.Class]
-	in.open++
-	r := &request{id: e.ID, rules: in, c: c, aim: b.now + min(c.Aim, e.Left),
-		deadline: b.now + e.Left, repeat: e.Repeat}
-	// A client gives its tries a usual patience, its last one all that is left of its deadline. A try with
-	// any other patience therefore tells how long ago the client began.
-	if c.patience == 0 {
-		c.patience = e.Left
+	c := version.classes[e.Class]
+	version.openRequests++
+	r := &request{id: e.ID, version: version, class: c, aim: b.now + min(c.Aim, e.TimeLeft),
+		deadline: b.now + e.TimeLeft, repeat: e.Repeat}
+	// Clients use a usual timeout for their tries, and the rest of the deadline for the last one. Another
+	// timeout therefore shows how long ago the client started.
+	if c.clientTimeout == 0 {
+		c.clientTimeout = e.TimeLeft
 	}
-	off := e.Left - c.patience
-	if off > 2*b.s.Tick || off < -2*b.s.Tick {
+	excess := e.TimeLeft - c.clientTimeout
+	if excess > 2*b.cfg.Tick || excess < -2*b.cfg.Tick {
 		r.repeat = true
-		r.aim -= max(0, c.Deadline-e.Left)
+		r.aim -= max(0, c.Deadline-e.TimeLeft)
 	}
-	if r.coming, r.left = e.Coming, e.Left; r.coming { // how long its body takes is its client's affair
-		r.deadline = b.now + comingFor
+	if r.bodyPending, r.timeLeft = e.BodyPending, e.TimeLeft; r.bodyPending {
+		r.deadline = b.now + maxBodyTime // the client decides how long its body takes
 	}
 	if !e.Repeat {
-		c.patience += min(max(off, -b.s.Tick/4), b.s.Tick/4) // towards the median
+		c.clientTimeout += min(max(excess, -b.cfg.Tick/4), b.cfg.Tick/4) // tracks the median
 	}
 	if r.work = float64(e.Work); r.work > 0 {
-		c.work = blend(c.work, r.work)
+		c.work = movingAverage(c.work, r.work)
 	}
-	for _, c := range b.classes { // decay by arrivals: the last few hundred requests count
-		c.arrived *= 1 - smooth/20
-		c.answered *= 1 - smooth/20
+	for _, c := range b.classes { // decays with each arrival: the last few hundred requests count
+		c.arrived *= 1 - smoothing/20
+		c.answered *= 1 - smoothing/20
 	}
 	c.arrived++
 	b.requests[e.ID] = r
-	b.taken++
+	b.unanswered++
 	if e.Key != "" {
 		r.key = hash(e.Key)
 	}
-	b.lineUp(r, e.Key)
+	b.enqueueByKey(r, e.Key)
 	b.hold(r)
 }
 
-// onArrived begins the times of a request whose body has now gone out whole.
-func (b *Balancer) onArrived(e Arrived) {
+// onBodySent starts the times of a request whose body has been sent completely.
+func (b *Balancer) onBodySent(e BodySent) {
 	r := b.requests[e.Request]
-	if r == nil || !r.coming {
+	if r == nil || !r.bodyPending {
 		return
 	}
-	r.coming, r.aim, r.deadline = false, b.now+min(r.c.Aim, r.left), b.now+r.left
+	r.bodyPending, r.aim, r.deadline = false, b.now+min(r.class.Aim, r.timeLeft), b.now+r.timeLeft
 	for _, a := range r.attempts {
-		if a.open && a.coming { // its backend begins now: it is the latest there
-			a.coming, a.sent = false, b.now
-			a.b.drop(a)
-			a.b.out = append(a.b.out, a)
+		if a.open && a.bodyPending { // its backend starts now: the attempt is its newest
+			a.bodyPending, a.sentAt = false, b.now
+			a.backend.removeAttempt(a)
+			a.backend.attempts = append(a.backend.attempts, a)
 		}
 	}
 }
@@ -243,45 +246,45 @@
 	a.open = false
 	r.open--
 	b.inFlight--
-	a.b.drop(a)
-	r.spent = r.spent || e.Spent
+	a.backend.removeAttempt(a)
+	r.bodyConsumed = r.bodyConsumed || e.BodyConsumed
 	if e.Result == TimedOut || e.Result == Reset || e.Result == Cancelled {
-		r.rest = b.now + b.s.KeyRest
+		r.pausedUntil = b.now + b.cfg.KeyRest
 	}
 	if r.neverRan(e.Result) {
-		if r.risky--; r.risky == 0 {
-			r.anchor = nil
+		if r.mayHaveRun--; r.mayHaveRun == 0 {
+			r.firstMayHaveRun = nil
 		}
 	}
-	b.observe(r, a, e)
+	b.recordOutcome(r, a, e)
 	if e.Result == OK && !r.ended {
 		b.bucket.Refill(successRefill)
 		if b.now <= r.aim {
-			r.c.answered++
-			b.inTime++
+			r.class.answered++
+			b.recentInTime++
 		}
 		for i, o := range r.attempts {
-			if o.open && b.s.MayCancel {
+			if o.open && b.cfg.MayCancel {
 				b.actions = append(b.actions, Cancel{Request: r.id, Attempt: i})
 			}
 		}
 	}
-	if a.b.State == Gone && len(a.b.out) == 0 {
-		b.forgetGone()
+	if a.backend.State == Gone && len(a.backend.attempts) == 0 {
+		b.removeGone()
 	}
 	if e.Done || e.Result == OK || r.ended {
 		b.close(r)
 		return
 	}
-	r.failed = a.b
-	if r.open == 0 && !r.waiting && !r.holding {
+	r.lastFailed = a.backend
+	if r.open == 0 && !r.backingOff && !r.held {
 		b.retry(r, e.Result)
 	}
 }
 
 func (b *Balancer) onTimer(token int64) {
-	if token == b.askToken && token != 0 {
-		b.askToken = 0
+	if token == b.subscribeToken && token != 0 {
+		b.subscribeToken = 0
 		b.actions = append(b.actions, Subscribe{})
 		return
 	}
@@ -290,12 +293,12 @@
 	if r == nil || r.ended || token != r.timer {
 		return
 	}
-	r.timer = 0 // a held request that may stay longer than it seemed sets another one: lost otherwise
+	r.timer = 0 // lets a request that is held for longer than expected set another timer
 	switch {
-	case r.waiting:
-		r.waiting = false
+	case r.backingOff:
+		r.backingOff = false
 		b.hold(r)
-	case r.open > 0 && !r.holding && !r.stream:
-		b.onSilence(r)
+	case r.open > 0 && !r.held && !r.streaming:
+		b.hedge(r)
 	}
 }
--- a/saltmast_test.go
+++ b/saltmast_test.go
@@ -109,7 +109,7 @@
 }
 
 func (r *rig) request(id string, class int) []saltmast.Action {
-	return r.step(saltmast.Request{ID: id, Class: class, Left: 2000 * ms})
+	return r.step(saltmast.Request{ID: id, Class: class, TimeLeft: 2000 * ms})
 }
 
 // outcome ends the latest attempt of a request.
@@ -747,7 +747,7 @@
 	list := backends(3)
 	r := newRig(t, settings(), 9, list)
 	send := func(id string, work time.Duration) {
-		r.step(saltmast.Request{ID: id, Class: safe, Left: 2000 * ms, Work: work})
+		r.step(saltmast.Request{ID: id, Class: safe, TimeLeft: 2000 * ms, Work: work})
 		r.now += 20 * ms
 		r.outcome(id, saltmast.OK, 20*ms)
 	}
@@ -862,7 +862,7 @@
 	if want := 4 * 2 / 2; out != want {
 		t.Errorf("%d in flight, want this agent's share of 4 per backend: %d", out, want)
 	}
-	repeat := r.step(saltmast.Request{ID: "again", Class: safe, Left: 2000 * ms, Repeat: true})
+	repeat := r.step(saltmast.Request{ID: "again", Class: safe, TimeLeft: 2000 * ms, Repeat: true})
 	if final("again", repeat) != "refuse" {
 		t.Errorf("a client's repeat: %v, want a refusal at once", repeat)
 	}
@@ -1057,10 +1057,10 @@
 		r.waves(8, 8, safe, share(0.04))
 	}
 	r.serve(60, safe, share(0.11)) // a crowd within what is aimed for: one at a time, so nothing grows
-	before := r.b.Limit()
+	before := r.b.InFlightLimit()
 	r.serve(2, safe, share(0.9))
 	r.serve(9, safe, share(0.11))
-	if got := r.b.Limit() / before; got > 0.91 || got < 0.89 {
+	if got := r.b.InFlightLimit() / before; got > 0.91 || got < 0.89 {
 		t.Errorf("two heavy requests left %.2f of the limit, want one cut to 0.9", got)
 	}
 }
@@ -1385,7 +1385,7 @@
 func TestPatienceTellsLateTries(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
 	submit := func(id string, left time.Duration) []saltmast.Action {
-		return r.step(saltmast.Request{ID: id, Class: safe, Left: left})
+		return r.step(saltmast.Request{ID: id, Class: safe, TimeLeft: left})
 	}
 	for i := range 20 { // the usual patience, give or take
 		submit(fmt.Sprint("f", i), 900*ms+time.Duration(i%3)*ms)
@@ -1484,9 +1484,9 @@
 		saltmast.StreamStarted{Request: "never"},
 		saltmast.ProbeResult{Backend: "zz"},
 		saltmast.PeerMessage{From: 44, Data: []byte{1}},
-		saltmast.Request{ID: "bad", Class: 17, Left: time.Second},
-		saltmast.Request{ID: "bad", Class: -1, Left: time.Second},
-		saltmast.Request{ID: "open", Class: safe, Left: time.Second},
+		saltmast.Request{ID: "bad", Class: 17, TimeLeft: time.Second},
+		saltmast.Request{ID: "bad", Class: -1, TimeLeft: time.Second},
+		saltmast.Request{ID: "open", Class: safe, TimeLeft: time.Second},
 	}
 	for _, e := range stray {
 		if acts := r.step(e); len(acts) != 0 {
@@ -1697,7 +1697,7 @@
 }
 
 func (r *rig) keyed(id string, class int, key string) []saltmast.Action {
-	return r.step(saltmast.Request{ID: id, Class: class, Left: 2000 * ms, Key: key})
+	return r.step(saltmast.Request{ID: id, Class: class, TimeLeft: 2000 * ms, Key: key})
 }
 
 // Requests of one key run one at a time, over all classes that keep order; others are not held up.
@@ -1768,7 +1768,7 @@
 func TestFullIsNoProof(t *testing.T) {
 	for _, proof := range []bool{true, false} {
 		s := settings()
-		s.FullNoProof = !proof
+		s.FullMayHaveRun = !proof
 		r := newRig(t, s, 1, backends(4))
 		r.request("q", unsafe)
 		acts := r.outcome("q", saltmast.Full, ms)
--- a/settings.go
+++ b/settings.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Check names the first setting that makes no sense. It decides nothing.
-func (s *Settings) Check() error {
+// Validate returns an error that names the first invalid setting. It does not change the settings.
+func (s *Settings) Validate() error {
 	bad := func(field string, v any) error {
 		return fmt.Errorf("saltmast: settings: %s: %v makes no sense", field, v)
 	}
--- a/trouble_test.go
+++ b/trouble_test.go
@@ -99,7 +99,7 @@
 		}
 		r.step(saltmast.List{Kind: saltmast.ListDelta, Backends: []saltmast.Backend{{ID: "never seen", State: saltmast.Gone}}})
 	}
-	if n := r.b.Known(); n != 1 {
+	if n := r.b.KnownBackends(); n != 1 {
 		t.Errorf("%d backends are kept, want 1", n)
 	}
 }
--- a/wave_test.go
+++ b/wave_test.go
@@ -74,7 +74,7 @@
 				}
 				for at := 1 / rate * float64(i%7+1) / 8; at < length.Seconds(); at += 1 / rate {
 					arrivals++
-					push(start+time.Duration(at*1e9), i, saltmast.Request{ID: fmt.Sprint("q", arrivals), Class: safe, Left: 2 * time.Second})
+					push(start+time.Duration(at*1e9), i, saltmast.Request{ID: fmt.Sprint("q", arrivals), Class: safe, TimeLeft: 2 * time.Second})
 				}
 			}
 			calls, connects, probes := make([]int, agents), 0, 0
