--- a/bench_test.go
+++ b/bench_test.go
@@ -9,8 +9,8 @@
 	"saltmast"
 )
 
-// BenchmarkStep plays a request, its outcome and now and then an error and a
-// retry. State must not grow with the requests played: see the heap metric.
+// BenchmarkStep runs one request to its end, with an error and a retry in one
+// of 50. The heap-growth-B metric shows whether the state grows.
 func BenchmarkStep(b *testing.B) {
 	lb, err := saltmast.New(settings(), 1)
 	if err != nil {
@@ -31,7 +31,7 @@
 	runtime.KeepAlive(lb)
 }
 
-// playOne plays request i to its end.
+// playOne runs request i to its end.
 func playOne(lb *saltmast.Balancer, now *time.Duration, i int) {
 	id := fmt.Sprint("q", i)
 	events := []saltmast.Event{saltmast.Request{ID: id, Class: safe, TimeLeft: time.Second, Key: id}}
@@ -56,7 +56,7 @@
 	}
 }
 
-// What is kept must not grow with the requests played. Counted, not measured: the heap differs
+// The state must not grow with the number of requests. It is counted, since the heap size differs
 // from run to run.
 func TestStateIsBounded(t *testing.T) {
 	s := settings()
--- a/example_test.go
+++ b/example_test.go
@@ -7,8 +7,8 @@
 	"saltmast"
 )
 
-// One balancer through a first attempt, a failure, a retry and an answer. The
-// agent owns the clock, the timers and the connections.
+// A request with a failed first attempt, a retry and an answer. The agent owns
+// the clock, the timers and the connections.
 func Example() {
 	b, err := saltmast.New(saltmast.Settings{
 		Balancers:   1,
@@ -27,10 +27,10 @@
 	step := func(events ...saltmast.Event) {
 		for _, action := range b.Step(now, events) {
 			switch a := action.(type) {
-			case saltmast.Send: // start the attempt; pass its Outcome on later
+			case saltmast.Send: // start the attempt; report its Outcome later
 				fmt.Println("send", a.Request)
 				backend = a.Backend
-			case saltmast.SetTimer: // pass TimerFired on when it is due
+			case saltmast.SetTimer: // report TimerFired when it expires
 				fmt.Println("set a timer")
 				timer = a.Token
 			case saltmast.Refuse:
--- a/trouble_test.go
+++ b/failures_test.go
@@ -8,10 +8,10 @@
 	"saltmast"
 )
 
-// Guards against spoilt answers that come from all backends alike: with a strike for each, most of the
-// fleet was left out, and the limit fell with it until hardly anything went out.
+// Errors from all backends alike must eject none: with a strike for each error, most of the fleet was ejected
+// and the limit fell until hardly any request was sent.
 func TestErrorsFromAllBackendsAlike(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(4))
+	r := newHarness(t, settings(), 1, backends(4))
 	r.serve(200, unsafe, 10*ms)
 	for i := range 200 {
 		id := fmt.Sprint("q", i)
@@ -26,20 +26,20 @@
 			r.outcome(id, saltmast.OK, 10*ms)
 		}
 	}
-	for i := range 16 { // as many as the limit lets out when all four count
+	for i := range 16 { // the limit with all four backends
 		id := fmt.Sprint("all", i)
 		if r.request(id, unsafe); len(r.sent[id]) != 1 {
-			t.Errorf("%d at once, want 16: backends are left out", i)
+			t.Errorf("%d sent at once, want 16: some backends are ejected", i)
 			break
 		}
 	}
 }
 
-// Guards against one broken connection that passes for a restart: the backend was taken for cold, and got
-// next to nothing until it was warm again.
+// A single broken connection is no restart: the backend was taken for cold and got hardly any requests until it
+// was warm again.
 func TestOneResetIsNoRestart(t *testing.T) {
 	got := func(fails int) int {
-		r := newRig(t, settings(), 1, backends(2))
+		r := newHarness(t, settings(), 1, backends(2))
 		r.waves(400, 2, unsafe, 10*ms)
 		for hit := 0; hit < fails; {
 			id := fmt.Sprint("q", len(r.sent))
@@ -56,21 +56,21 @@
 		return r.waves(400, 4, unsafe, 10*ms)["a"]
 	}
 	if one, more := got(1), got(3); one < 150 || more > one/2 {
-		t.Errorf("a got %d of 400 after one reset, %d after three in a row; want about half, and far less", one, more)
+		t.Errorf("backend a got %d of 400 after one reset, %d after three in a row; want about half, and far less", one, more)
 	}
 }
 
-// Guards against a fleet that is all cold: with no warm backend to go by there was no rate for the others,
-// and nothing went out until the ramp was over.
+// A fleet without warm backends still gets requests: the rate for cold backends was derived from warm ones
+// only, so nothing was sent until the ramp was over.
 func TestAllColdStillServes(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(4))
+	r := newHarness(t, settings(), 1, backends(4))
 	r.serve(100, unsafe, 10*ms)
 	list := backends(4)
 	for i := range list {
 		list[i].Started = r.now
 	}
 	r.step(saltmast.List{Kind: saltmast.ListFull, Backends: list})
-	r.advance(3 * time.Second) // what was served before counts no longer
+	r.advance(3 * time.Second) // earlier work no longer counts
 	sent := 0
 	for i := range 50 {
 		id := fmt.Sprint("q", i)
@@ -82,13 +82,13 @@
 		}
 	}
 	if sent < 25 {
-		t.Errorf("%d of 50 sent to a fleet that is all cold", sent)
+		t.Errorf("%d of 50 sent to a cold fleet", sent)
 	}
 }
 
-// Guards against what only grows: backends that are gone are forgotten, when their last attempt is in.
-func TestGoneBackendsAreForgotten(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(1))
+// Backends that are gone are removed after their last outcome: the state must not grow with each replacement.
+func TestGoneBackendsAreRemoved(t *testing.T) {
+	r := newHarness(t, settings(), 1, backends(1))
 	for i := range 100 {
 		id := fmt.Sprint("q", i)
 		r.request(id, unsafe)
@@ -100,14 +100,14 @@
 		r.step(saltmast.List{Kind: saltmast.ListDelta, Backends: []saltmast.Backend{{ID: "never seen", State: saltmast.Gone}}})
 	}
 	if n := r.b.KnownBackends(); n != 1 {
-		t.Errorf("%d backends are kept, want 1", n)
+		t.Errorf("%d backends kept, want 1", n)
 	}
 }
 
-// Guards against leaving out half of a fleet that errs: of eight backends, four of which answer every
-// request with an error, one is left out at a time, and the others go on being used.
-func TestFewAreLeftOutForErrors(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(8))
+// Few backends are ejected for errors at a time: of eight backends, four of which always answer with an error,
+// one is ejected at a time and the others stay in use.
+func TestFewAreEjectedForErrors(t *testing.T) {
+	r := newHarness(t, settings(), 1, backends(8))
 	r.waves(400, 8, unsafe, 10*ms)
 	for i := range 300 {
 		id := fmt.Sprint("q", i)
--- a/finish.go
+++ b/finish.go
@@ -44,7 +44,7 @@
 	b.close(r)
 }
 
-// retryAfter returns the fully jittered wait that a refused client is advised, or 0 if clients are not told.
+// retryAfter returns the fully jittered wait that a refused client is advised, or 0 if clients get none.
 // It draws from the ceiling of the retry backoff, since refusals come from overload of the fleet and not of
 // one backend. The jitter keeps clients that were refused together from returning together.
 func (b *Balancer) retryAfter(r *request) time.Duration {
--- a/internal/retry/pick_test.go
+++ b/internal/retry/pick_test.go
@@ -15,20 +15,20 @@
 	for _, c := range []struct {
 		name string
 		of   []Candidate
-		want []int // each of which must come up
+		want []int // each of which must be chosen
 	}{
 		{"none", nil, []int{-1}},
 		{"idle ones at random", []Candidate{n(0), n(1), n(0), n(0)}, []int{0, 2, 3}},
-		{"the fewest, ties at random", []Candidate{n(3), n(2), n(2)}, []int{1, 2}},
+		{"fewest in flight, ties at random", []Candidate{n(3), n(2), n(2)}, []int{1, 2}},
 		{"not the one that just failed", []Candidate{with(n(0), true, 0), n(4)}, []int{1}},
-		{"unless it is the only one", []Candidate{with(n(1), true, 0)}, []int{0}},
-		{"unless all did", []Candidate{with(n(1), true, 0), with(n(2), true, 0)}, []int{0}},
+		{"the one that just failed if it is the only one", []Candidate{with(n(1), true, 0)}, []int{0}},
+		{"all just failed", []Candidate{with(n(1), true, 0), with(n(2), true, 0)}, []int{0}},
 		{"a new one is not rushed", []Candidate{n(1), fresh, n(3)}, []int{0}},
-		{"a new one beside crowded ones", []Candidate{n(2), fresh, n(2)}, []int{0, 1, 2}},
+		{"a new one beside busy ones", []Candidate{n(2), fresh, n(2)}, []int{0, 1, 2}},
 		{"a new one among idle ones", []Candidate{n(0), fresh, n(1)}, []int{0, 1}},
 		{"all new", []Candidate{fresh, fresh}, []int{0, 1}},
 		{"bias among idle ones", []Candidate{n(0), with(n(0), false, -1), n(0)}, []int{1}},
-		{"no bias against idleness", []Candidate{with(n(0), false, 9), n(1)}, []int{0}},
+		{"bias does not outweigh idleness", []Candidate{with(n(0), false, 9), n(1)}, []int{0}},
 	} {
 		rng, got := rand.New(rand.NewPCG(1, 1)), map[int]bool{}
 		for range 200 {
@@ -48,9 +48,9 @@
 	}
 }
 
-// What is chosen is a candidate, one to skip only if all are; and no other that may be chosen has less in flight,
-// unless both are idle.
-func TestPickTakesNoBusierOne(t *testing.T) {
+// Pick chooses a skipped candidate only if all are, and no other allowed candidate has fewer attempts in flight or, with
+// as many, a lower bias.
+func TestPickPrefersFewerInFlight(t *testing.T) {
 	candidate := rapid.Custom(func(t *rapid.T) Candidate {
 		return Candidate{InFlight: float64(rapid.IntRange(0, 4).Draw(t, "in flight")), Used: true,
 			Skip: rapid.Bool().Draw(t, "skip"), Bias: float64(rapid.IntRange(-1, 1).Draw(t, "bias"))}
@@ -62,13 +62,13 @@
 		for i, o := range c {
 			less := o.InFlight < got.InFlight || o.InFlight == got.InFlight && o.Bias < got.Bias
 			if got.Skip && !o.Skip || got.Skip == o.Skip && less {
-				t.Fatalf("chose %+v although there is %d", got, i)
+				t.Fatalf("chose %+v instead of candidate %d", got, i)
 			}
 		}
 	})
 }
 
-// Race chooses by weight: three times the weight, three times as often.
+// Race selects by weight: three times the weight, three times as often.
 func TestRace(t *testing.T) {
 	rng, heavy := rand.New(rand.NewPCG(1, 1)), 0
 	for range 4000 {
@@ -79,6 +79,6 @@
 		}
 	}
 	if heavy < 2900 || heavy > 3100 {
-		t.Errorf("%d of 4000, want about 3000", heavy)
+		t.Errorf("the heavier item was chosen %d times of 4000, want about 3000", heavy)
 	}
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Of a bucket of 500: a retry costs 5, one after a time-out 10, a success brings 1 back.
+// With a bucket of 500, a retry costs 5, one after a timeout 10, and a success returns 1.
 func TestBucket(t *testing.T) {
 	b := NewBucket(500)
 	for i, step := range []struct {
@@ -26,32 +26,32 @@
 	}
 }
 
-// Whatever comes, what was paid never exceeds what was there and what came, and the stock stays within its bounds.
+// For any sequence, the tokens spent never exceed the initial and refilled ones, and the level stays within its bounds.
 func TestBucketNeverOverspends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole := rapid.IntRange(0, 1000)
-		room := float64(whole.Draw(t, "capacity"))
-		b, paid, came := NewBucket(room), 0.0, 0.0
+		capacity := float64(whole.Draw(t, "capacity"))
+		b, spent, refilled := NewBucket(capacity), 0.0, 0.0
 		for range rapid.IntRange(0, 50).Draw(t, "steps") {
 			n, before := float64(whole.Draw(t, "n")), b.Tokens()
 			if rapid.Bool().Draw(t, "spend") {
 				if ok := b.Spend(n); ok != (before >= n) || !ok && b.Tokens() != before {
 					t.Fatalf("spend %v of %v: %v, %v left", n, before, ok, b.Tokens())
 				} else if ok {
-					paid += n
+					spent += n
 				}
 			} else {
 				b.Refill(n)
-				came += n
+				refilled += n
 			}
-			if b.Tokens() < 0 || b.Tokens() > room || paid+b.Tokens() > room+came {
-				t.Fatalf("paid %v, %v left, of %v and %v that came", paid, b.Tokens(), room, came)
+			if b.Tokens() < 0 || b.Tokens() > capacity || spent+b.Tokens() > capacity+refilled {
+				t.Fatalf("spent %v, %v left, of %v at the start and %v refilled", spent, b.Tokens(), capacity, refilled)
 			}
 		}
 	})
 }
 
-func TestWait(t *testing.T) {
+func TestBackoff(t *testing.T) {
 	const s = time.Second
 	for _, c := range []struct {
 		draw          float64
@@ -63,28 +63,28 @@
 		{0.5, 0, s, 20 * s, s / 2},
 		{0.5, 1, s, 20 * s, s},
 		{0.5, 4, s, 20 * s, 8 * s},
-		{0.5, 5, s, 20 * s, 10 * s}, // 32 s is past the ceiling
+		{0.5, 5, s, 20 * s, 10 * s}, // 32 s exceeds the ceiling
 		{0.5, 0, s, s / 2, s / 4},
-		{0.5, 64, s, 20 * s, 10 * s}, // no overflow ...
+		{0.5, 64, s, 20 * s, 10 * s}, // no overflow
 		{0.5, math.MaxInt, s, 20 * s, 10 * s},
 		{0.5, math.MaxInt, 0, 20 * s, 0},
-		{0.5, math.MaxInt, math.MaxInt64, math.MaxInt64, 1 << 62}, // ... here neither
+		{0.5, math.MaxInt, math.MaxInt64, math.MaxInt64, 1 << 62}, // no overflow
 	} {
 		if got := Backoff(c.draw, c.retries, c.unit, c.ceiling); got != c.want {
-			t.Errorf("Wait(%v, %d, %v, %v) = %v, want %v", c.draw, c.retries, c.unit, c.ceiling, got, c.want)
+			t.Errorf("Backoff(%v, %d, %v, %v) = %v, want %v", c.draw, c.retries, c.unit, c.ceiling, got, c.want)
 		}
 	}
 }
 
 // A wait lies between 0 and the ceiling, and one more retry never shortens it.
-func TestWaitIsBounded(t *testing.T) {
+func TestBackoffIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := rapid.Int64Range(0, math.MaxInt64)
 		unit, ceiling := time.Duration(span.Draw(t, "unit")), time.Duration(span.Draw(t, "ceiling"))
 		draw, n := rapid.Float64Range(0, 1-1e-15).Draw(t, "draw"), rapid.IntRange(0, 2000).Draw(t, "retries")
 		got, next := Backoff(draw, n, unit, ceiling), Backoff(draw, n+1, unit, ceiling)
 		if got < 0 || got > ceiling || next < got {
-			t.Fatalf("%v, then %v", got, next)
+			t.Fatalf("backoff of %v, then %v", got, next)
 		}
 	})
 }
--- a/maintenance_test.go
+++ b/maintenance_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// However calls, changes of the list, requests and outcomes follow one another, nothing goes to a backend that is out, and
-// one that is back is used again.
-func TestNothingGoesToWhatIsOut(t *testing.T) {
+// A backend under maintenance gets no attempts and probes, in any order of maintenance events, list changes, requests and
+// outcomes.
+func TestNoAttemptsUnderMaintenance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Settings{Balancers: 4, MaxAttempts: 3, SecondCopies: true, MayCancel: true, ColdShare: 0.3, RampTime: 8 * time.Second,
 			FallMultiple: 2.5, FallWindow: time.Second, ConnectTimeout: 250 * time.Millisecond,
@@ -20,12 +20,12 @@
 			t.Fatal(err)
 		}
 		now := time.Hour
-		out := map[string]bool{}
-		type try struct {
+		outOfService := map[string]bool{}
+		type openAttempt struct {
 			id, backend string
 			no          int
 		}
-		var open []try
+		var open []openAttempt
 		sends := map[string]int{}
 		timers := map[int64]time.Duration{}
 		entry := func(i int) Backend {
@@ -36,16 +36,16 @@
 			for _, a := range b.Step(now, events) {
 				switch a := a.(type) {
 				case Send:
-					if out[a.Backend] {
-						t.Fatalf("a send to %s, which is out", a.Backend)
+					if outOfService[a.Backend] {
+						t.Fatalf("send to %s, which is out of service", a.Backend)
 					}
-					open = append(open, try{a.Request, a.Backend, sends[a.Request]})
+					open = append(open, openAttempt{a.Request, a.Backend, sends[a.Request]})
 					sends[a.Request]++
 				case SetTimer:
 					timers[a.Token] = now + a.After
 				case Probe:
-					if out[a.Backend] {
-						t.Fatalf("a probe of %s, which is out", a.Backend)
+					if outOfService[a.Backend] {
+						t.Fatalf("probe of %s, which is out of service", a.Backend)
 					}
 				}
 			}
@@ -56,8 +56,8 @@
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				id := fmt.Sprint("s", rapid.IntRange(0, 3).Draw(t, "id"))
-				out[id] = rapid.Bool().Draw(t, "out")
-				step(Maintenance{Backend: id, OutOfService: out[id], Since: now})
+				outOfService[id] = rapid.Bool().Draw(t, "out")
+				step(Maintenance{Backend: id, OutOfService: outOfService[id], Since: now})
 			case 1:
 				kind := ListDelta
 				if rapid.Bool().Draw(t, "full") {
@@ -85,7 +85,7 @@
 	})
 }
 
-func serviceOf(t *testing.T, balancers int) *Balancer {
+func newTestBalancer(t *testing.T, balancers int) *Balancer {
 	t.Helper()
 	b, err := New(Settings{Balancers: balancers, MaxAttempts: 3, ColdShare: 0.31, RampTime: 8800 * time.Millisecond, FallMultiple: 2.5,
 		FallWindow: time.Second, Classes: []Class{{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: Unsafe}}}, 1)
@@ -95,7 +95,7 @@
 	return b
 }
 
-func sendsOf(actions []Action) (to []string) {
+func sentBackends(actions []Action) (to []string) {
 	for _, a := range actions {
 		if s, ok := a.(Send); ok {
 			to = append(to, s.Backend)
@@ -104,17 +104,16 @@
 	return to
 }
 
-// Guards against a backend that staff put back and that stands idle for longer than 5 s, at an agent with a request a
-// second, and against one that is used at once as if it were warm.
-func TestPutBackIsUsedSoonAndCold(t *testing.T) {
-	b := serviceOf(t, 4)
+// A backend that operators put back must be used within 5 s by an agent with one request per second, and must count as cold.
+func TestReinstatedBackendIsUsedSoonAndCold(t *testing.T) {
+	b := newTestBalancer(t, 4)
 	now := time.Hour
 	b.Step(now, []Event{List{Kind: ListFull, Backends: []Backend{{ID: "s0"}, {ID: "s1"}, {ID: "s2"}, {ID: "s3"}}}})
 	n := 0
-	ask := func() []string {
+	sendRequest := func() []string {
 		n++
 		id := fmt.Sprint("r", n)
-		to := sendsOf(b.Step(now, []Event{Request{ID: id, TimeLeft: 3 * time.Second}}))
+		to := sentBackends(b.Step(now, []Event{Request{ID: id, TimeLeft: 3 * time.Second}}))
 		for _, s := range to {
 			b.Step(now+40*time.Millisecond, []Event{Outcome{Request: id, Backend: s, Latency: 40 * time.Millisecond, Done: true}})
 		}
@@ -122,41 +121,41 @@
 	}
 	for range 20 {
 		now += time.Second
-		ask()
+		sendRequest()
 	}
 	b.Step(now, []Event{Maintenance{Backend: "s1", OutOfService: true}})
 	b.Step(now, []Event{List{Kind: ListFull, Backends: []Backend{{ID: "s0"}, {ID: "s1", Started: now}, {ID: "s2"}, {ID: "s3"}}}})
 	for range 20 {
 		now += time.Second
-		if to := ask(); len(to) != 1 || to[0] == "s1" {
+		if to := sendRequest(); len(to) != 1 || to[0] == "s1" {
 			t.Fatalf("sent to %v", to)
 		}
 	}
 	now += time.Second
 	b.Step(now, []Event{Maintenance{Backend: "s1", Since: now}})
 	if w := b.warmth(b.byID["s1"]); w != 0.31 {
-		t.Errorf("put back with a warmth of %v", w)
+		t.Errorf("warmth of %v after it was put back, want 0.31", w)
 	}
 	for i := range 5 {
 		now += time.Second
-		if to := ask(); len(to) == 1 && to[0] == "s1" {
+		if to := sendRequest(); len(to) == 1 && to[0] == "s1" {
 			return
 		}
 		if i == 4 {
-			t.Error("unused for 5 s")
+			t.Error("backend is unused for 5 s")
 		}
 	}
 }
 
-// All out: refused at once, with nothing run.
-func TestAllOut(t *testing.T) {
-	b := serviceOf(t, 1)
+// Without any backend in service a request is refused at once.
+func TestAllBackendsUnderMaintenance(t *testing.T) {
+	b := newTestBalancer(t, 1)
 	b.Step(time.Hour, []Event{List{Kind: ListFull, Backends: []Backend{{ID: "s0"}}}, Maintenance{Backend: "s0", OutOfService: true}})
 	actions := b.Step(time.Hour, []Event{Request{ID: "r", TimeLeft: 3 * time.Second}})
 	if len(actions) == 0 {
-		t.Fatal("nothing was decided")
+		t.Fatal("no action")
 	}
 	if _, ok := actions[0].(Refuse); !ok {
-		t.Errorf("%T", actions[0])
+		t.Errorf("action %T, want Refuse", actions[0])
 	}
 }
--- a/order.go
+++ b/order.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// isNextForKey reports whether all earlier requests of r's key and their attempts ended, and no pause is on.
+// isNextForKey reports whether r's key is not paused and all its earlier requests and attempts have ended.
 func (b *Balancer) isNextForKey(r *request) bool {
 	return r.keyQueue == nil || r.keyQueue.requests[0] == r && b.now >= r.keyQueue.pausedUntil
 }
@@ -26,29 +26,29 @@
 
 // leaveKeyQueue removes an ended request. The next one is sent in this step, or after the pause.
 func (b *Balancer) leaveKeyQueue(r *request) {
-	l := r.keyQueue
-	if l == nil {
+	q := r.keyQueue
+	if q == nil {
 		return
 	}
 	r.keyQueue = nil
-	l.requests = slices.Delete(l.requests, slices.Index(l.requests, r), slices.Index(l.requests, r)+1)
+	q.requests = slices.Delete(q.requests, slices.Index(q.requests, r), slices.Index(q.requests, r)+1)
 	switch {
 	case r.pausedUntil > b.now: // r was the head, as no other was sent; pauses end in order
-		l.pausedUntil = r.pausedUntil
-		b.paused = append(b.paused, l)
-		b.setTimer(l.pausedUntil - b.now + time.Microsecond) // the agent's timers may have this resolution
-	case len(l.requests) == 0 && l.pausedUntil <= b.now:
-		delete(b.keyQueues, l.key)
+		q.pausedUntil = r.pausedUntil
+		b.paused = append(b.paused, q)
+		b.setTimer(q.pausedUntil - b.now + time.Microsecond) // the agent's timers may have this resolution
+	case len(q.requests) == 0 && q.pausedUntil <= b.now:
+		delete(b.keyQueues, q.key)
 	}
 }
 
 // endPauses removes the queues of keys whose pause has ended and that have no requests.
 func (b *Balancer) endPauses() {
 	for len(b.paused) > 0 && b.paused[0].pausedUntil <= b.now {
-		l := b.paused[0]
+		q := b.paused[0]
 		b.paused = b.paused[1:]
-		if len(l.requests) == 0 && l.pausedUntil <= b.now && b.keyQueues[l.key] == l {
-			delete(b.keyQueues, l.key)
+		if len(q.requests) == 0 && q.pausedUntil <= b.now && b.keyQueues[q.key] == q {
+			delete(b.keyQueues, q.key)
 		}
 	}
 }
--- a/order_test.go
+++ b/order_test.go
@@ -12,42 +12,42 @@
 	"saltmast"
 )
 
-// auditor checks all rules from events and actions alone. It models no
-// backend: it only remembers what the balancer was told and what it did.
+// auditor checks the rules of the balancer from its events and actions alone,
+// without a model of the backends.
 type auditor struct {
-	s        saltmast.Settings
-	now      time.Duration
-	requests map[string]*audited
-	backends map[string]*auditedBackend
-	keys     map[string][]*audited // ordered requests by key, in the order taken
-	told     map[int][2]float64    // by class: requests that told their work, and the sum of it
-	faults   []string
+	s          saltmast.Settings
+	now        time.Duration
+	requests   map[string]*auditedRequest
+	backends   map[string]*auditedBackend
+	keys       map[string][]*auditedRequest // ordered requests by key, in order of arrival
+	statedWork map[int][2]float64           // by class: number of requests that state their work, and its sum
+	faults     []string
 }
 
-type audited struct {
-	class    saltmast.Class
-	deadline time.Duration
-	cost     float64 // its told work over the mean told for its class; 1 where none is told
-	sends    []auditedSend
-	ended    bool
-	left     time.Duration // when the client was told to have left; answers of that step do no harm
-	stream   bool
-	key      string        // where order is kept
-	rest     time.Duration // its key rests until then
+type auditedRequest struct {
+	class        saltmast.Class
+	deadline     time.Duration
+	relativeWork float64 // its stated work divided by the class mean; 1 if none is stated
+	sends        []auditedSend
+	ended        bool
+	abandonedAt  time.Duration // when the client left; answers in that step are allowed
+	stream       bool
+	key          string        // set if order is kept
+	pauseAfter   time.Duration // end of the pause of its key
 }
 
 type auditedSend struct {
-	backend string
-	at      time.Duration
-	out     bool
-	risky   bool // may have run
+	backend    string
+	at         time.Duration
+	inFlight   bool
+	mayHaveRun bool // may have run
 }
 
 type auditedBackend struct {
 	saltmast.Backend
-	offAt   time.Duration // when it was told to drain or to be gone
-	started time.Duration // when it was told to have started; 0: warm
-	sends   []costedSend
+	unavailableSince time.Duration // when it was listed as draining or gone
+	started          time.Duration // listed start; 0: warm
+	sends            []costedSend
 }
 
 type costedSend struct {
@@ -56,8 +56,8 @@
 }
 
 func newAuditor(s saltmast.Settings) *auditor {
-	return &auditor{s: s, requests: map[string]*audited{}, backends: map[string]*auditedBackend{},
-		keys: map[string][]*audited{}, told: map[int][2]float64{}}
+	return &auditor{s: s, requests: map[string]*auditedRequest{}, backends: map[string]*auditedBackend{},
+		keys: map[string][]*auditedRequest{}, statedWork: map[int][2]float64{}}
 }
 
 func (a *auditor) fault(format string, args ...any) {
@@ -68,12 +68,12 @@
 	switch e := e.(type) {
 	case saltmast.Request:
 		if e.Class >= 0 && e.Class < len(a.s.Classes) && a.requests[e.ID] == nil {
-			r := &audited{class: a.s.Classes[e.Class], deadline: a.now + e.TimeLeft, cost: 1}
+			r := &auditedRequest{class: a.s.Classes[e.Class], deadline: a.now + e.TimeLeft, relativeWork: 1}
 			if w := float64(e.Work); w > 0 {
-				told := a.told[e.Class]
-				told[0], told[1] = told[0]+1, told[1]+w
-				a.told[e.Class] = told
-				r.cost = w / (told[1] / told[0])
+				stated := a.statedWork[e.Class]
+				stated[0], stated[1] = stated[0]+1, stated[1]+w
+				a.statedWork[e.Class] = stated
+				r.relativeWork = w / (stated[1] / stated[0])
 			}
 			a.requests[e.ID] = r
 			if r.class.KeepOrder && e.Key != "" {
@@ -83,14 +83,14 @@
 		}
 	case saltmast.Outcome:
 		r := a.requests[e.Request]
-		if r == nil || e.Attempt < 0 || e.Attempt >= len(r.sends) || !r.sends[e.Attempt].out {
+		if r == nil || e.Attempt < 0 || e.Attempt >= len(r.sends) || !r.sends[e.Attempt].inFlight {
 			return
 		}
-		r.sends[e.Attempt].out = false
-		r.sends[e.Attempt].risky = !e.Result.NeverRan() || e.Result == saltmast.Full && a.s.FullMayHaveRun
+		r.sends[e.Attempt].inFlight = false
+		r.sends[e.Attempt].mayHaveRun = !e.Result.NeverRan() || e.Result == saltmast.Full && a.s.FullMayHaveRun
 		switch e.Result {
 		case saltmast.TimedOut, saltmast.Reset, saltmast.Cancelled:
-			r.rest = a.now + a.s.KeyRest
+			r.pauseAfter = a.now + a.s.KeyRest
 		}
 		r.ended = r.ended || e.Done
 	case saltmast.StreamStarted:
@@ -99,7 +99,7 @@
 		}
 	case saltmast.Abandoned:
 		if r := a.requests[e.Request]; r != nil && !r.ended {
-			r.ended, r.left = true, a.now
+			r.ended, r.abandonedAt = true, a.now
 		}
 	case saltmast.List:
 		if e.Kind == saltmast.ListFailed {
@@ -117,16 +117,16 @@
 				b.started, b.sends = n.Started, nil
 			}
 			if n.State == saltmast.Up {
-				b.offAt = 0
-			} else if b.Backend.State == saltmast.Up || b.offAt == 0 {
-				b.offAt = a.now
+				b.unavailableSince = 0
+			} else if b.Backend.State == saltmast.Up || b.unavailableSince == 0 {
+				b.unavailableSince = a.now
 			}
 			b.Backend = n
 		}
 		if e.Kind != saltmast.ListDelta {
 			for id, b := range a.backends {
-				if !listed[id] && b.offAt == 0 {
-					b.offAt = a.now
+				if !listed[id] && b.unavailableSince == 0 {
+					b.unavailableSince = a.now
 					b.State = saltmast.Gone
 				}
 			}
@@ -146,8 +146,8 @@
 		for _, s := range r.sends {
 			free := r.class.Effect == saltmast.Safe ||
 				r.class.Effect == saltmast.Keyed && r.class.Group == saltmast.GroupAll
-			if (s.risky || s.out) && !free {
-				a.fault("%s refused though an attempt may have run", act.Request)
+			if (s.mayHaveRun || s.inFlight) && !free {
+				a.fault("%s refused although an attempt may have run", act.Request)
 			}
 		}
 	case saltmast.Fail:
@@ -163,35 +163,35 @@
 	}
 }
 
-func (a *auditor) final(id string) *audited {
+func (a *auditor) final(id string) *auditedRequest {
 	r := a.requests[id]
 	switch {
 	case r == nil:
 		a.fault("answer for the unknown request %s", id)
 		return nil
-	case r.ended && r.left != a.now:
+	case r.ended && r.abandonedAt != a.now:
 		a.fault("%s answered twice", id)
 	case a.now > r.deadline+a.s.AnswerGrace && !r.stream:
 		a.fault("%s answered late", id)
 	}
-	r.ended, r.left = true, 0
+	r.ended, r.abandonedAt = true, 0
 	return r
 }
 
 func (a *auditor) send(act saltmast.Send) {
 	r, b := a.requests[act.Request], a.backends[act.Backend]
 	if r == nil || b == nil {
-		a.fault("send of %q to %q, one of which was never told", act.Request, act.Backend)
+		a.fault("send of %q to %q, one of which is unknown", act.Request, act.Backend)
 		return
 	}
-	if r.ended && r.left != a.now {
+	if r.ended && r.abandonedAt != a.now {
 		a.fault("%s sent after its end", act.Request)
 	}
 	if len(r.sends) >= max(1, a.s.MaxAttempts) {
 		a.fault("%s sent past the attempt limit", act.Request)
 	}
-	if b.offAt > 0 && a.now > b.offAt+a.s.DrainGrace {
-		a.fault("%s sent to %s, told %v ago to drain or be gone", act.Request, act.Backend, a.now-b.offAt)
+	if b.unavailableSince > 0 && a.now > b.unavailableSince+a.s.DrainGrace {
+		a.fault("%s sent to %s, listed as draining or gone %v ago", act.Request, act.Backend, a.now-b.unavailableSince)
 	}
 	for _, e := range a.keys[r.key] {
 		if e == r {
@@ -199,21 +199,21 @@
 		}
 		out := !e.ended
 		for _, s := range e.sends {
-			out = out || s.out
+			out = out || s.inFlight
 		}
 		if out {
 			a.fault("%s sent out of turn", act.Request)
-		} else if a.now < e.rest {
-			a.fault("%s sent while its key rests", act.Request)
+		} else if a.now < e.pauseAfter {
+			a.fault("%s sent while its key is paused", act.Request)
 		}
 	}
 	var anchor *auditedSend
 	for i := range r.sends {
 		s := &r.sends[i]
-		if s.out && !a.s.SecondCopies {
-			a.fault("%s has two attempts out", act.Request)
+		if s.inFlight && !a.s.SecondCopies {
+			a.fault("%s has two attempts in flight", act.Request)
 		}
-		if anchor == nil && (s.out || s.risky) {
+		if anchor == nil && (s.inFlight || s.mayHaveRun) {
 			anchor = s
 		}
 	}
@@ -229,16 +229,16 @@
 			a.fault("%s sent again outside its group", act.Request)
 		}
 	}
-	r.sends = append(r.sends, auditedSend{backend: act.Backend, at: a.now, out: true})
-	b.sends = append(b.sends, costedSend{a.now, r.cost})
+	r.sends = append(r.sends, auditedSend{backend: act.Backend, at: a.now, inFlight: true})
+	b.sends = append(b.sends, costedSend{a.now, r.relativeWork})
 	a.cold(b)
 }
 
-// cold checks this agent's part of a cold backend's load. What a backend can do
-// is not told; the work that the busiest warm one was sent in three times the span
-// bounds what a balancer may hold to be its own measure, and the stated multiple of
-// the cold share of that bounds the cold one. The slack is one mean request, and one
-// of twice the mean that a balancer may send on the last of its budget.
+// cold checks the load that this agent puts on a cold backend. The capacity of a
+// backend is unknown: the work sent to the busiest warm one in three times the span
+// bounds the balancer's own estimate, and FallMultiple times the cold share of that
+// bounds the cold one. The slack is one mean request, and one of twice the mean that
+// a balancer may send with the last of its budget.
 func (a *auditor) cold(b *auditedBackend) {
 	if b.started == 0 || a.now-b.started >= a.s.RampTime || a.s.RampTime == 0 {
 		return
@@ -256,20 +256,20 @@
 	for _, o := range a.backends {
 		if o != b && (o.started == 0 || a.now-o.started >= a.s.RampTime) {
 			most = max(most, count(o, 3*span))
-			warm = warm || o.offAt == 0
+			warm = warm || o.unavailableSince == 0
 		}
 	}
 	if !warm {
-		return // there is no measure: a balancer goes by its part of the least limit
+		return // no reference: a balancer goes by its share of the lowest limit
 	}
 	warmth := a.s.ColdShare + (1-a.s.ColdShare)*max(0, float64(a.now-b.started)/float64(a.s.RampTime))
 	if got := count(b, span); got > a.s.FallMultiple*warmth*most+3 {
-		a.fault("%s is cold (%v) and got the work of %.1f mean sends in %v, the busiest warm one %.1f in three times that",
+		a.fault("%s is cold (%v) and was sent the work of %.1f mean requests in %v, the busiest warm one %.1f in three times that",
 			b.ID, a.now-b.started, got, span, most)
 	}
 }
 
-// overdue checks that nothing accepted is without its answer past its time.
+// overdue checks that each request gets its answer in time.
 func (a *auditor) overdue() {
 	for id, r := range a.requests {
 		if !r.ended && !r.stream && a.now > r.deadline+a.s.AnswerGrace {
@@ -279,14 +279,14 @@
 	}
 }
 
-// lie keeps a fact from the balancer under audit, which then breaks the rule that rests on it.
-type lie struct {
+// concealment hides a fact from the balancer under audit, which then breaks the rule that depends on it.
+type concealment struct {
 	settings func(*saltmast.Settings)
 	event    func(saltmast.Event) saltmast.Event
 }
 
-// hostile feeds a balancer a legal but unkind order of events and audits it.
-func hostile(t *testing.T, seed uint64, steps int, lies ...lie) *auditor {
+// runRandomEvents feeds a balancer random valid and stray events in random order and audits its actions.
+func runRandomEvents(t *testing.T, seed uint64, steps int, concealments ...concealment) *auditor {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := settings()
@@ -310,14 +310,14 @@
 	s.MayCancel, s.MayProbe, s.WarmKeys = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
 	s.Tenants = []saltmast.Tenant{{Share: 0.7, Quota: 20}, {Share: 0.3, Quota: 5}}[:rng.IntN(3)]
 	keys := 1 + rng.IntN(40)
-	told := s
-	told.Classes = slices.Clone(s.Classes)
-	for _, l := range lies {
+	given := s
+	given.Classes = slices.Clone(s.Classes)
+	for _, l := range concealments {
 		if l.settings != nil {
-			l.settings(&told)
+			l.settings(&given)
 		}
 	}
-	b, err := saltmast.New(told, seed)
+	b, err := saltmast.New(given, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -328,7 +328,7 @@
 		token int64
 	}
 	var timers []timer
-	var open []saltmast.Outcome // attempts that are out
+	var open []saltmast.Outcome // attempts in flight
 	due := map[string]time.Duration{}
 	pool := backends(8)
 	next := 0
@@ -353,7 +353,7 @@
 				Work: time.Duration(rng.IntN(3)*rng.IntN(200)) * ms, Repeat: rng.IntN(5) == 0,
 				Tenant: rng.IntN(3), Key: []string{"", fmt.Sprint("k", rng.IntN(keys))}[min(1, rng.IntN(9))]})
 		}
-		// Every attempt ends by its request's time; some early, with any result.
+		// Every attempt ends by its request's deadline; some end earlier, with any result.
 		rest := open[:0]
 		for _, o := range open {
 			switch {
@@ -369,7 +369,7 @@
 			o.Done = o.Result == saltmast.OK || a.requests[o.Request].ended
 			events = append(events, o)
 			if rng.IntN(10) == 0 {
-				events = append(events, o) // told twice
+				events = append(events, o) // duplicate
 			}
 		}
 		open = rest
@@ -382,7 +382,7 @@
 			}
 			events = append(events, saltmast.List{Kind: saltmast.ListDelta, Backends: []saltmast.Backend{*n}})
 		case 1:
-			var full []saltmast.Backend // up to none at all
+			var full []saltmast.Backend // possibly empty
 			for _, n := range pool[:rng.IntN(len(pool)+1)] {
 				n.State = saltmast.Up
 				full = append(full, n)
@@ -406,7 +406,7 @@
 		for _, e := range events {
 			a.event(e)
 		}
-		for _, l := range lies {
+		for _, l := range concealments {
 			for i := range events {
 				if l.event != nil {
 					events[i] = l.event(events[i])
@@ -430,16 +430,16 @@
 
 func TestRulesUnderAnyOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 150; seed++ {
-		a := hostile(t, seed, 600)
+		a := runRandomEvents(t, seed, 600)
 		if len(a.faults) > 0 {
 			t.Fatalf("seed %d: %s", seed, strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
 		}
 	}
 }
 
-// A balancer that does not know of a rule breaks it under the same play, and the auditor says so.
-func TestAuditorSeesEachRuleOff(t *testing.T) {
-	list := func(edit func(*saltmast.Backend)) func(saltmast.Event) saltmast.Event {
+// A balancer that lacks a fact breaks the rule that depends on it under the same events, and the auditor reports it.
+func TestAuditorDetectsEachBrokenRule(t *testing.T) {
+	withList := func(edit func(*saltmast.Backend)) func(saltmast.Event) saltmast.Event {
 		return func(e saltmast.Event) saltmast.Event {
 			l, ok := e.(saltmast.List)
 			if !ok {
@@ -452,7 +452,7 @@
 			return l
 		}
 	}
-	classes := func(edit func(*saltmast.Class)) func(*saltmast.Settings) {
+	withClasses := func(edit func(*saltmast.Class)) func(*saltmast.Settings) {
 		return func(s *saltmast.Settings) {
 			for i := range s.Classes {
 				edit(&s.Classes[i])
@@ -460,29 +460,29 @@
 		}
 	}
 	tests := []struct {
-		name string
-		lie  lie
-		want string
+		name   string
+		hidden concealment
+		want   string
 	}{
-		{"no request lost", lie{event: func(e saltmast.Event) saltmast.Event {
+		{"no request lost", concealment{event: func(e saltmast.Event) saltmast.Event {
 			if _, ok := e.(saltmast.TimerFired); ok {
 				return saltmast.TimerFired{Token: -1}
 			}
 			return e
 		}}, "got no answer in time"},
-		{"no effect twice, unsafe", lie{settings: classes(func(c *saltmast.Class) { c.Effect = saltmast.Safe })}, "is unsafe"},
-		{"no effect twice, group", lie{settings: classes(func(c *saltmast.Class) { c.Group = saltmast.GroupAll })}, "outside its group"},
-		{"no effect twice, window", lie{settings: classes(func(c *saltmast.Class) { c.Window = time.Hour })}, "after its window"},
-		{"drains kept", lie{event: list(func(b *saltmast.Backend) { b.State = saltmast.Up })}, "drain or be gone"},
-		{"cold", lie{event: list(func(b *saltmast.Backend) { b.Started = 0 })}, "is cold"},
-		{"order", lie{settings: classes(func(c *saltmast.Class) { c.KeepOrder = false })}, "sent out of turn"},
-		{"order, rest", lie{settings: func(s *saltmast.Settings) { s.KeyRest = 0 }}, "while its key rests"},
-		{"full is no proof", lie{settings: func(s *saltmast.Settings) { s.FullMayHaveRun = false }}, "is unsafe and may have run"},
+		{"no effect twice, unsafe", concealment{settings: withClasses(func(c *saltmast.Class) { c.Effect = saltmast.Safe })}, "is unsafe"},
+		{"no effect twice, group", concealment{settings: withClasses(func(c *saltmast.Class) { c.Group = saltmast.GroupAll })}, "outside its group"},
+		{"no effect twice, window", concealment{settings: withClasses(func(c *saltmast.Class) { c.Window = time.Hour })}, "after its window"},
+		{"no sends to draining backends", concealment{event: withList(func(b *saltmast.Backend) { b.State = saltmast.Up })}, "draining or gone"},
+		{"cold", concealment{event: withList(func(b *saltmast.Backend) { b.Started = 0 })}, "is cold"},
+		{"order", concealment{settings: withClasses(func(c *saltmast.Class) { c.KeepOrder = false })}, "sent out of turn"},
+		{"order, pause", concealment{settings: func(s *saltmast.Settings) { s.KeyRest = 0 }}, "while its key is paused"},
+		{"full may have run", concealment{settings: func(s *saltmast.Settings) { s.FullMayHaveRun = false }}, "is unsafe and may have run"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 60; seed++ {
-				if strings.Contains(strings.Join(hostile(t, seed, 600, tt.lie).faults, "\n"), tt.want) {
+				if strings.Contains(strings.Join(runRandomEvents(t, seed, 600, tt.hidden).faults, "\n"), tt.want) {
 					return
 				}
 			}
@@ -494,13 +494,13 @@
 func FuzzRulesUnderAnyOrder(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		if a := hostile(t, seed, 400); len(a.faults) > 0 {
+		if a := runRandomEvents(t, seed, 400); len(a.faults) > 0 {
 			t.Fatal(strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
 		}
 	})
 }
 
-// Each check of the auditor must be able to fail: these recorded actions are bad.
+// Each check of the auditor must be able to fail: these recorded actions break the rules.
 func TestAuditorRejects(t *testing.T) {
 	send := func(b string) saltmast.Action { return saltmast.Send{Request: "q", Backend: b} }
 	ended := func(n int, res saltmast.Result) saltmast.Event {
@@ -513,7 +513,7 @@
 	tests := []struct {
 		name  string
 		class int
-		play  []any // events, actions, and durations that pass
+		play  []any // events, actions, and durations to wait
 		want  string
 	}{
 		{"no answer", safe, []any{2021 * ms}, "got no answer in time"},
@@ -521,19 +521,19 @@
 		{"answer after being served", safe, []any{send("a"), ended(0, saltmast.OK), refuse}, "answered twice"},
 		{"late answer", safe, []any{2020*ms + 1, fail}, "answered late"},
 		{"send after the answer", safe, []any{fail, send("a")}, "sent after its end"},
-		{"unknown backend", safe, []any{send("zz")}, "never told"},
+		{"unknown backend", safe, []any{send("zz")}, "is unknown"},
 		{"past the limit", safe, []any{send("a"), ended(0, saltmast.Errored), send("b"), ended(1, saltmast.Errored),
 			send("a"), ended(2, saltmast.Errored), send("b"), ended(3, saltmast.Errored), send("a")}, "past the attempt limit"},
-		{"second copy", safe, []any{send("a"), send("b")}, "two attempts out"},
+		{"second copy", safe, []any{send("a"), send("b")}, "two attempts in flight"},
 		{"unsafe repeated", unsafe, []any{send("a"), ended(0, saltmast.TimedOut), send("b")}, "is unsafe"},
-		{"unsafe refused", unsafe, []any{send("a"), ended(0, saltmast.Reset), refuse}, "refused though"},
-		{"unsafe refused while out", unsafe, []any{send("a"), refuse}, "refused though"},
-		{"zone refused", keyedZone, []any{send("a"), ended(0, saltmast.Errored), refuse}, "refused though"},
+		{"unsafe refused", unsafe, []any{send("a"), ended(0, saltmast.Reset), refuse}, "refused although"},
+		{"unsafe refused while in flight", unsafe, []any{send("a"), refuse}, "refused although"},
+		{"zone refused", keyedZone, []any{send("a"), ended(0, saltmast.Errored), refuse}, "refused although"},
 		{"outside the zone", keyedZone, []any{send("a"), ended(0, saltmast.Errored), send("c")}, "outside its group"},
 		{"outside the cell", keyedCell, []any{send("a"), ended(0, saltmast.Errored), send("d")}, "outside its group"},
 		{"after the window", keyedAll, []any{send("a"), 301 * ms, ended(0, saltmast.Errored), send("b")}, "after its window"},
-		{"drained", safe, []any{off, 501 * ms, send("a")}, "drain or be gone"},
-		{"gone from the list", safe, []any{empty, 501 * ms, send("b")}, "drain or be gone"},
+		{"drained", safe, []any{off, 501 * ms, send("a")}, "draining or gone"},
+		{"gone from the list", safe, []any{empty, 501 * ms, send("b")}, "draining or gone"},
 		{"cold", safe, []any{cold, send("a"), ended(0, saltmast.Full), send("a"), ended(1, saltmast.Full),
 			send("a"), ended(2, saltmast.Full), send("a")}, "is cold"},
 		{"message where none is allowed", safe, []any{saltmast.SendToPeers{Data: []byte{1}}}, "bytes to peers"},
--- a/saltmast.go
+++ b/saltmast.go
@@ -53,7 +53,7 @@
 	minTargetDelay        = 0.15 // lowest target, of the aim: such delays are harmless, idle cores are not
 	outlierMultiple       = 4.0  // bound of a sample, in usual latencies; at least two lowest targets
 	outlierTargetMultiple = 3.0  // bound of a sample, in targets: where warm keys make the usual latency
-	// short and the bound was just over the target, only nine slow answers in ten cut the limit
+	// short, a bound just over it cut the limit only at nine slow answers in ten, and servers choked
 	unlimitedBelow     = 0.6  // share of the lowest limit, in attempts, below which an agent has no limit
 	throttleRatio      = 1.3  // requests sent per answer in time: more wastes work on late answers
 	crowdedRatio       = 1.15 // the same ratio, above which zones are crossed freely
--- a/saltmast_test.go
+++ b/saltmast_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// backends makes n backends named a, b, c ...; two per zone and cell.
+// backends returns n backends with the IDs a, b, c, ..., two per zone and cell.
 func backends(n int) []saltmast.Backend {
 	var list []saltmast.Backend
 	for i := range n {
@@ -48,8 +48,8 @@
 	return list
 }
 
-// rig drives one balancer and keeps what it does.
-type rig struct {
+// harness drives one balancer and records its actions.
+type harness struct {
 	t       *testing.T
 	b       *saltmast.Balancer
 	now     time.Duration
@@ -59,18 +59,18 @@
 	actions []saltmast.Action // of the last step
 }
 
-func newRig(t *testing.T, s saltmast.Settings, seed uint64, list []saltmast.Backend) *rig {
+func newHarness(t *testing.T, s saltmast.Settings, seed uint64, list []saltmast.Backend) *harness {
 	t.Helper()
 	b, err := saltmast.New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, b: b, now: time.Hour, sent: map[string][]string{}}
+	r := &harness{t: t, b: b, now: time.Hour, sent: map[string][]string{}}
 	r.step(saltmast.List{Kind: saltmast.ListCached, Backends: list})
 	return r
 }
 
-func (r *rig) step(events ...saltmast.Event) []saltmast.Action {
+func (r *harness) step(events ...saltmast.Event) []saltmast.Action {
 	r.actions = r.b.Step(r.now, events)
 	for _, a := range r.actions {
 		switch a := a.(type) {
@@ -84,8 +84,8 @@
 	return r.actions
 }
 
-// advance moves the clock and fires the timers on the way; it returns all actions.
-func (r *rig) advance(d time.Duration) []saltmast.Action {
+// advance moves the clock, fires the timers that expire, and returns all actions.
+func (r *harness) advance(d time.Duration) []saltmast.Action {
 	var all []saltmast.Action
 	end := r.now + d
 	for {
@@ -108,12 +108,12 @@
 	return all
 }
 
-func (r *rig) request(id string, class int) []saltmast.Action {
+func (r *harness) request(id string, class int) []saltmast.Action {
 	return r.step(saltmast.Request{ID: id, Class: class, TimeLeft: 2000 * ms})
 }
 
 // outcome ends the latest attempt of a request.
-func (r *rig) outcome(id string, res saltmast.Result, latency time.Duration) []saltmast.Action {
+func (r *harness) outcome(id string, res saltmast.Result, latency time.Duration) []saltmast.Action {
 	r.t.Helper()
 	n := len(r.sent[id]) - 1
 	if n < 0 {
@@ -123,8 +123,8 @@
 		Latency: latency, Done: res == saltmast.OK})
 }
 
-// serve sends n requests one after the other and answers each at once.
-func (r *rig) serve(n int, class int, latency time.Duration) map[string]int {
+// serve sends n requests one after the other, answers each after the latency, and counts them by backend.
+func (r *harness) serve(n int, class int, latency time.Duration) map[string]int {
 	r.t.Helper()
 	counts := map[string]int{}
 	for range n {
@@ -138,8 +138,8 @@
 }
 
 // waves sends n requests, width at a time, and answers each wave after the latency. Waves as
-// wide as the list open a connection to every backend.
-func (r *rig) waves(n, width int, class int, latency time.Duration) map[string]int {
+// wide as the list connect to every backend.
+func (r *harness) waves(n, width int, class int, latency time.Duration) map[string]int {
 	r.t.Helper()
 	counts := map[string]int{}
 	for range n / width {
@@ -159,7 +159,7 @@
 	return counts
 }
 
-// final names the final answer for a request among the actions, or "".
+// final returns the name of the final answer to a request among the actions, or "".
 func final(id string, actions []saltmast.Action) string {
 	found := ""
 	for _, a := range actions {
@@ -214,7 +214,7 @@
 	}
 }
 
-// What an outcome lets each kind of class do: retry on another backend, or end.
+// Each kind of class reacts to each result with a retry on another backend or a final answer.
 func TestOutcomes(t *testing.T) {
 	const retry = "retry"
 	tests := []struct {
@@ -244,7 +244,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(fmt.Sprintf("class %d result %d", tt.class, tt.result), func(t *testing.T) {
-			r := newRig(t, settings(), 7, backends(6))
+			r := newHarness(t, settings(), 7, backends(6))
 			r.request("q", tt.class)
 			r.now += 10 * ms
 			acts := r.outcome("q", tt.result, 10*ms)
@@ -263,12 +263,12 @@
 	}
 }
 
-// A keyed request that may have run goes only to its group and within its window.
+// A keyed request that may have run is repeated only in its group and within its window.
 func TestKeyedGroup(t *testing.T) {
 	zone := map[string]int{"a": 0, "b": 0, "c": 1, "d": 1, "e": 2, "f": 2}
 	for seed := uint64(0); seed < 40; seed++ {
 		for _, class := range []int{keyedZone, keyedCell} {
-			r := newRig(t, settings(), seed, backends(6))
+			r := newHarness(t, settings(), seed, backends(6))
 			r.request("q", class)
 			r.now += 5 * ms
 			r.outcome("q", saltmast.Errored, 5*ms)
@@ -279,7 +279,7 @@
 		}
 	}
 	t.Run("window", func(t *testing.T) {
-		r := newRig(t, settings(), 1, backends(6))
+		r := newHarness(t, settings(), 1, backends(6))
 		r.request("q", keyedAll)
 		r.now += 300 * ms
 		acts := r.outcome("q", saltmast.Errored, 300*ms)
@@ -288,13 +288,13 @@
 		}
 	})
 	t.Run("never ran", func(t *testing.T) {
-		r := newRig(t, settings(), 1, backends(6))
+		r := newHarness(t, settings(), 1, backends(6))
 		r.request("q", keyedZone)
 		r.now += 400 * ms
 		r.outcome("q", saltmast.ConnectFailed, 400*ms)
 		r.advance(200 * ms)
 		if len(r.sent["q"]) != 2 {
-			t.Errorf("attempts %v: one that never ran should not bind the request", r.sent["q"])
+			t.Errorf("attempts %v: one that never ran should not restrict the request", r.sent["q"])
 		}
 	})
 }
@@ -302,7 +302,7 @@
 func TestAttemptLimit(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 3
-	r := newRig(t, s, 3, backends(6))
+	r := newHarness(t, s, 3, backends(6))
 	r.request("q", safe)
 	var all []saltmast.Action
 	for range 6 {
@@ -318,19 +318,18 @@
 	}
 }
 
-// The bucket holds 100: 20 retries at 5, or 10 after time-outs. First attempts
-// go out when it is empty; served requests bring one token each, up to the cap.
+// The bucket of 100 tokens pays for 20 retries, or 10 after timeouts. First attempts
+// are sent even if it is empty; each success returns one token, up to the capacity.
 func TestRetryBucket(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 2
-	// spend fails n requests and returns how many were retried. The retry is
-	// served, unless it must not refill the bucket.
-	spend := func(r *rig, n int, res saltmast.Result) (retried int) {
+	// spend fails n requests and their retries, and returns the number of retries.
+	spend := func(r *harness, n int, res saltmast.Result) (retried int) {
 		for range n {
 			id := fmt.Sprintf("spend-%d", len(r.sent))
 			r.request(id, safe)
 			if len(r.sent[id]) != 1 {
-				t.Fatalf("first attempt of %s did not go out", id)
+				t.Fatalf("first attempt of %s was not sent", id)
 			}
 			r.now += ms
 			r.outcome(id, res, ms)
@@ -340,14 +339,14 @@
 				r.now += ms
 				r.outcome(id, saltmast.Errored, ms)
 			}
-			r.advance(30 * time.Second) // lets ejections pass
+			r.advance(30 * time.Second) // ejections end meanwhile
 		}
 		return retried
 	}
 	tests := []struct {
 		name  string
 		res   saltmast.Result
-		serve int // between emptying and trying again
+		serve int // successes between emptying the bucket and trying again
 		first int
 		then  int
 	}{
@@ -359,21 +358,21 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newRig(t, s, 5, backends(6))
+			r := newHarness(t, s, 5, backends(6))
 			if got := spend(r, 30, tt.res); got != tt.first {
-				t.Errorf("a full bucket funded %d retries, want %d", got, tt.first)
+				t.Errorf("a full bucket paid for %d retries, want %d", got, tt.first)
 			}
 			r.serve(tt.serve, safe, 20*ms)
 			r.advance(30 * time.Second)
 			if got := spend(r, 30, tt.res); got != tt.then {
-				t.Errorf("then funded %d retries, want %d", got, tt.then)
+				t.Errorf("then paid for %d retries, want %d", got, tt.then)
 			}
 		})
 	}
 }
 
-// Waits are full jitter: between 0 and a unit (a share of the aim) that doubles
-// with each retry up to a ceiling.
+// Retries wait with full jitter, between 0 and a unit (a share of the aim) that
+// doubles with each retry up to a ceiling.
 func TestBackoff(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 7
@@ -381,7 +380,7 @@
 	longest := make([]time.Duration, 6)
 	shortest := []time.Duration{time.Hour, time.Hour, time.Hour, time.Hour, time.Hour, time.Hour}
 	for seed := uint64(0); seed < 300; seed++ {
-		r := newRig(t, s, seed, backends(8))
+		r := newHarness(t, s, seed, backends(8))
 		r.request("q", safe)
 		for n := range 6 {
 			r.outcome("q", saltmast.Full, 0)
@@ -407,9 +406,9 @@
 	}
 }
 
-// A retry whose wait would outlast the time left is not made.
+// A retry that would start after the deadline is not made.
 func TestBackoffWithinTimeLeft(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(4))
+	r := newHarness(t, settings(), 1, backends(4))
 	r.request("q", safe)
 	r.now += 2000 * ms
 	if acts := r.outcome("q", saltmast.TimedOut, 2000*ms); final("q", acts) != "fail" {
@@ -417,9 +416,9 @@
 	}
 }
 
-func TestPicking(t *testing.T) {
+func TestPick(t *testing.T) {
 	t.Run("idle ones at random", func(t *testing.T) {
-		r := newRig(t, settings(), 2, backends(4))
+		r := newHarness(t, settings(), 2, backends(4))
 		r.waves(16, 8, safe, 50*ms)
 		counts := r.serve(400, safe, 50*ms)
 		for _, id := range []string{"a", "b", "c", "d"} {
@@ -429,7 +428,7 @@
 		}
 	})
 	t.Run("idle before busy", func(t *testing.T) {
-		r := newRig(t, settings(), 2, backends(4))
+		r := newHarness(t, settings(), 2, backends(4))
 		r.waves(80, 8, safe, 50*ms)
 		used := map[string]bool{}
 		for i := range 4 {
@@ -442,7 +441,7 @@
 		}
 	})
 	t.Run("fewest in flight", func(t *testing.T) {
-		r := newRig(t, settings(), 2, backends(4))
+		r := newHarness(t, settings(), 2, backends(4))
 		r.waves(80, 8, safe, 50*ms)
 		counts := map[string]int{}
 		for i := range 12 {
@@ -456,8 +455,8 @@
 			}
 		}
 	})
-	t.Run("a new one counts at the mean", func(t *testing.T) {
-		r := newRig(t, settings(), 2, backends(4))
+	t.Run("untried backends count at the mean", func(t *testing.T) {
+		r := newHarness(t, settings(), 2, backends(4))
 		r.serve(80, safe, 50*ms)
 		for i := range 8 {
 			r.request(fmt.Sprint("q", i), safe)
@@ -475,18 +474,18 @@
 			t.Errorf("the new backend got %d of 4, want no rush", rush)
 		}
 	})
-	t.Run("own zone where crossing is priced", func(t *testing.T) {
+	t.Run("own zone if crossing has a price", func(t *testing.T) {
 		s := settings()
 		s.CrossZonePrice = 0.02
-		r := newRig(t, s, 2, backends(4))
+		r := newHarness(t, s, 2, backends(4))
 		r.waves(16, 8, safe, 50*ms)
 		counts := r.serve(400, safe, 50*ms)
 		if own := counts["a"] + counts["b"]; own < 260 || own == 400 {
 			t.Errorf("own zone got %d of 400, want most but not all", own)
 		}
 	})
-	t.Run("slow ones less", func(t *testing.T) {
-		r := newRig(t, settings(), 2, backends(4))
+	t.Run("slow ones get less", func(t *testing.T) {
+		r := newHarness(t, settings(), 2, backends(4))
 		late := 0
 		for i := range 600 {
 			id := fmt.Sprint("q", i)
@@ -507,12 +506,12 @@
 	})
 }
 
-// Incident i48ae3c: many agents that each connect to every backend fill their connection
-// tables. An agent with little traffic stays with a few; one with more takes what it needs.
+// Incident i48ae3c: many agents that each connect to every backend fill the backends' connection
+// tables. An agent with little traffic uses few backends; one with more traffic uses more.
 func TestWorkingSet(t *testing.T) {
 	s := settings()
 	s.IdleClose = time.Minute
-	r := newRig(t, s, 2, backends(20))
+	r := newHarness(t, s, 2, backends(20))
 	counts := r.serve(300, safe, 20*ms)
 	if len(counts) != 2 {
 		t.Errorf("one request at a time used %d backends, want 2", len(counts))
@@ -529,16 +528,16 @@
 	for i := range 12 {
 		r.outcome(fmt.Sprint("q", i), saltmast.OK, 20*ms)
 	}
-	r.now += 2 * time.Minute // all connections have closed; the next few open new ones
+	r.now += 2 * time.Minute // all connections are closed; the next requests open new ones
 	later := r.serve(300, safe, 20*ms)
 	if len(later) != 2 {
 		t.Errorf("after its connections closed it used %d backends, want 2", len(later))
 	}
 }
 
-// A backend that fails fast is always idle; it must not draw the traffic.
+// A backend that fails fast is always idle, but must not attract the traffic.
 func TestFastFailureIsEjected(t *testing.T) {
-	r := newRig(t, settings(), 4, backends(6))
+	r := newHarness(t, settings(), 4, backends(6))
 	bad := 0
 	for i := range 300 {
 		id := fmt.Sprint("q", i)
@@ -554,18 +553,18 @@
 	if bad > 6 {
 		t.Errorf("the failing backend got %d of 300", bad)
 	}
-	// Once it works again it comes back, first with requests that may be repeated.
+	// Once it works again it gets traffic, first requests that may be repeated.
 	r.advance(20 * time.Second)
 	if counts := r.waves(408, 12, safe, 30*ms); counts["a"] < 20 {
-		t.Errorf("after healing it got %d of 400", counts["a"])
+		t.Errorf("after recovery it got %d of 400", counts["a"])
 	}
 }
 
-// With no repeatable class at all an ejected backend must still come back.
+// Without any repeatable class an ejected backend must still get traffic again.
 func TestEjectionEndsWithoutRepeatableClass(t *testing.T) {
 	s := settings()
 	s.Classes = s.Classes[unsafe : unsafe+1]
-	r := newRig(t, s, 4, backends(3))
+	r := newHarness(t, s, 4, backends(3))
 	for i := 0; ; i++ {
 		id := fmt.Sprint("q", i)
 		r.request(id, 0)
@@ -582,11 +581,11 @@
 	}
 }
 
-// When every backend is ejected, first attempts go out all the same.
+// When every backend is ejected, first attempts are still sent.
 func TestAllEjected(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
-	r := newRig(t, s, 4, backends(2))
+	r := newHarness(t, s, 4, backends(2))
 	for i := range 10 {
 		id := fmt.Sprint("q", i)
 		r.request(id, safe)
@@ -598,9 +597,9 @@
 	}
 }
 
-// A stalled backend shows in the wait of its oldest attempt, before any answer.
+// A stalled backend is detected by the age of its oldest attempt, before any answer.
 func TestStallIsAvoided(t *testing.T) {
-	r := newRig(t, settings(), 4, backends(3))
+	r := newHarness(t, settings(), 4, backends(3))
 	r.serve(60, safe, 20*ms)
 	for i := range 3 { // one on each
 		r.request(fmt.Sprint("hang", i), safe)
@@ -624,7 +623,7 @@
 
 func TestDrainAndGone(t *testing.T) {
 	for _, state := range []saltmast.BackendState{saltmast.Draining, saltmast.Gone} {
-		r := newRig(t, settings(), 1, backends(3))
+		r := newHarness(t, settings(), 1, backends(3))
 		r.step(saltmast.List{Kind: saltmast.ListDelta,
 			Backends: []saltmast.Backend{{ID: "a", State: state}}})
 		if n := r.serve(100, safe, 20*ms)["a"]; n > 0 {
@@ -632,15 +631,15 @@
 		}
 	}
 	t.Run("missing from a full list", func(t *testing.T) {
-		r := newRig(t, settings(), 1, backends(3))
+		r := newHarness(t, settings(), 1, backends(3))
 		r.step(saltmast.List{Kind: saltmast.ListFull, Backends: backends(3)[1:]})
 		if n := r.serve(100, safe, 20*ms)["a"]; n > 0 {
 			t.Errorf("%d requests went there", n)
 		}
 	})
-	t.Run("while waiting out a backoff", func(t *testing.T) {
+	t.Run("during a backoff", func(t *testing.T) {
 		for seed := uint64(0); seed < 20; seed++ {
-			r := newRig(t, settings(), seed, backends(2))
+			r := newHarness(t, settings(), seed, backends(2))
 			r.request("q", safe)
 			other := map[string]string{"a": "b", "b": "a"}[r.sent["q"][0]]
 			r.now += ms
@@ -656,7 +655,7 @@
 		}
 	})
 	t.Run("back with the same id", func(t *testing.T) {
-		r := newRig(t, settings(), 1, backends(2))
+		r := newHarness(t, settings(), 1, backends(2))
 		r.serve(50, safe, 20*ms)
 		r.step(saltmast.List{Kind: saltmast.ListDelta,
 			Backends: []saltmast.Backend{{ID: "a", State: saltmast.Gone}}})
@@ -670,11 +669,11 @@
 	})
 }
 
-// A cold backend gets no more than its warmth times what a warm one serves.
+// A cold backend gets at most its warmth times what a warm one serves.
 func TestColdShare(t *testing.T) {
 	list := backends(5)
-	list[0].Started = time.Hour // the rig's clock starts here
-	r := newRig(t, settings(), 9, list)
+	list[0].Started = time.Hour // start of the harness's clock
+	r := newHarness(t, settings(), 9, list)
 	counts := r.waves(1000, 10, safe, 20*ms) // the first 4 s of 10: warmth 0.2 to 0.52
 	if warm := (1000 - counts["a"]) / 4; float64(counts["a"]) > 0.52*float64(warm)+2 {
 		t.Errorf("the cold backend got %d against %d for a warm one", counts["a"], warm)
@@ -688,14 +687,14 @@
 	}
 }
 
-// Incidents i37feae and i28e3f7: under overload a cold backend gets more than its sure share of
-// what a warm one serves, and stays well below the stated multiple of it.
+// Incidents i37feae and i28e3f7: under overload a cold backend gets more than its guaranteed share
+// of what a warm one serves, but stays well below FallMultiple times that.
 func TestColdShareUnderOverload(t *testing.T) {
 	list := backends(5)
-	r := newRig(t, settings(), 9, list)
+	r := newHarness(t, settings(), 9, list)
 	var out []string
 	counts := map[string]float64{}
-	sends := func(actions []saltmast.Action) { // whatever set them free: none may be lost, or its backend seems to hang
+	sends := func(actions []saltmast.Action) { // of any step: a lost attempt would make its backend seem to hang
 		for _, a := range actions {
 			if a, ok := a.(saltmast.Send); ok {
 				out = append(out, a.Request)
@@ -706,7 +705,7 @@
 		counts[r.sent[id][0]]++
 		sends(r.outcome(id, saltmast.OK, latency))
 	}
-	drive := func(n int) { // each 5 ms: all answers of the cold one, one of the others, two requests
+	drive := func(n int) { // every 5 ms: all answers of the cold one, one of the others, two requests
 		for range n {
 			sends(r.advance(5 * ms))
 			was := out
@@ -732,9 +731,9 @@
 	drive(400)
 	list[0].Started = r.now
 	r.step(saltmast.List{Kind: saltmast.ListDelta, Backends: list[:1]})
-	drive(1) // what it still has of before is answered, and does not count
+	drive(1) // earlier attempts are answered and do not count
 	clear(counts)
-	drive(400) // two seconds: warmth 0.2 to 0.36, 0.28 in the mean
+	drive(400) // two seconds: warmth 0.2 to 0.36, mean 0.28
 	warm := (counts["b"] + counts["c"] + counts["d"] + counts["e"]) / 4
 	share := counts["a"] / warm
 	if share <= 0.28 || share > 0.28*2.5 {
@@ -742,10 +741,10 @@
 	}
 }
 
-// A heavy request alone could push a cold backend over.
+// A cold backend gets no heavy request, since a single one could overload it.
 func TestColdGetsNoHeavyRequest(t *testing.T) {
 	list := backends(3)
-	r := newRig(t, settings(), 9, list)
+	r := newHarness(t, settings(), 9, list)
 	send := func(id string, work time.Duration) {
 		r.step(saltmast.Request{ID: id, Class: safe, TimeLeft: 2000 * ms, Work: work})
 		r.now += 20 * ms
@@ -757,7 +756,7 @@
 	r.step(saltmast.List{Kind: saltmast.ListDelta,
 		Backends: []saltmast.Backend{{ID: "cold", Started: r.now}}})
 	for i := range 6 {
-		r.request(fmt.Sprint("busy", i), safe) // the warm ones are not idle
+		r.request(fmt.Sprint("busy", i), safe) // keeps the warm ones busy
 	}
 	got := 0
 	for i := range 100 {
@@ -772,13 +771,13 @@
 		}
 	}
 	if got == 0 {
-		t.Error("the cold backend got no light request either")
+		t.Error("the cold backend got no light requests")
 	}
 }
 
-// A backend that comes back before the list tells counts as cold.
-func TestRevivalIsCold(t *testing.T) {
-	r := newRig(t, settings(), 3, backends(3))
+// A backend that recovers before the list shows its restart counts as cold.
+func TestRecoveredBackendIsCold(t *testing.T) {
+	r := newHarness(t, settings(), 3, backends(3))
 	r.serve(60, safe, 20*ms)
 	for i := 0; ; i++ {
 		id := fmt.Sprint("d", i)
@@ -793,14 +792,14 @@
 	r.advance(2 * time.Second)
 	seen := r.waves(300, 6, safe, 20*ms)["a"]
 	if seen == 0 || seen > 52 {
-		t.Errorf("after its return it got %d of 300, want a cold backend's share", seen)
+		t.Errorf("after its recovery it got %d of 300, want a cold backend's share", seen)
 	}
 }
 
-// A list that is empty at the start: requests wait, and are refused in time.
+// With an empty list requests wait, and are refused in time.
 func TestNoBackend(t *testing.T) {
 	for _, class := range []int{safe, unsafe, keyedZone} {
-		r := newRig(t, settings(), 1, nil)
+		r := newHarness(t, settings(), 1, nil)
 		acts := r.request("q", class)
 		acts = append(acts, r.advance(399*ms)...)
 		if final("q", acts) != "refuse" {
@@ -808,7 +807,7 @@
 		}
 	}
 	t.Run("list comes in time", func(t *testing.T) {
-		r := newRig(t, settings(), 1, nil)
+		r := newHarness(t, settings(), 1, nil)
 		r.request("q", safe)
 		r.now += 50 * ms
 		r.step(saltmast.List{Kind: saltmast.ListFull, Backends: backends(2)})
@@ -818,34 +817,34 @@
 	})
 }
 
-// Incident i621733: the mean latency falls while a request is held, so that its timer
-// comes before its time; it needs a further one, or nothing wakes a quiet agent in time.
+// Incident i621733: if the mean latency falls while a request is held, its timer expires too
+// early. Without another timer nothing wakes a quiet agent in time.
 func TestHeldRequestIsNotLost(t *testing.T) {
 	s := settings()
-	s.Balancers = 5 // room for one
-	r := newRig(t, s, 1, backends(1))
+	s.Balancers = 5 // a limit of one
+	r := newHarness(t, s, 1, backends(1))
 	r.request("out", safe)
 	r.request("old", safe)
 	r.request("new", safe)
 	if len(r.sent["old"]) > 0 || len(r.sent["new"]) > 0 {
-		t.Fatal("they were not held")
+		t.Fatal("the requests were not held")
 	}
 	r.now += 5 * ms
-	r.outcome("out", saltmast.OK, 5*ms) // lowers the mean; its room goes to the newest
+	r.outcome("out", saltmast.OK, 5*ms) // lowers the mean; the newest is sent next
 	if len(r.sent["new"]) != 1 {
-		t.Fatal("the newest did not follow")
+		t.Fatal("the newest request was not sent next")
 	}
 	if got := final("old", r.advance(400*ms)); got != "refuse" {
 		t.Errorf("the held request got %q within its aim, want one refusal", got)
 	}
 }
 
-// Latency above the aimed delay cuts what is kept in flight; what does not fit
-// waits and is refused, and a client's repeat is refused first.
+// Latency above the target cuts the in-flight limit; requests beyond it wait and
+// are then refused, and a client's retry is refused at once.
 func TestInFlightLimit(t *testing.T) {
 	s := settings()
 	s.Balancers = 2
-	r := newRig(t, s, 1, backends(2))
+	r := newHarness(t, s, 1, backends(2))
 	for i := range 200 { // slow answers
 		id := fmt.Sprint("s", i)
 		r.request(id, safe)
@@ -864,7 +863,7 @@
 	}
 	repeat := r.step(saltmast.Request{ID: "again", Class: safe, TimeLeft: 2000 * ms, Repeat: true})
 	if final("again", repeat) != "refuse" {
-		t.Errorf("a client's repeat: %v, want a refusal at once", repeat)
+		t.Errorf("a client's retry: %v, want a refusal at once", repeat)
 	}
 	all = append(all, r.advance(400*ms)...)
 	for i := range 20 {
@@ -875,12 +874,12 @@
 	}
 }
 
-// Incident i6c6372: with many agents each one's share must shrink, also on idle backends.
-func TestLimitIsSharedOut(t *testing.T) {
+// Incident i6c6372: the limit of each agent shrinks with the number of agents, even on idle backends.
+func TestLimitIsShared(t *testing.T) {
 	inFlight := func(balancers int) (n int) {
 		s := settings()
 		s.Balancers = balancers
-		r := newRig(t, s, 1, backends(10))
+		r := newHarness(t, s, 1, backends(10))
 		for i := range 100 {
 			id := fmt.Sprint("q", i)
 			r.request(id, safe)
@@ -893,9 +892,9 @@
 	}
 }
 
-// Incident ia38185: the limit follows the list down.
+// Incident ia38185: the limit shrinks with the list.
 func TestLimitFollowsTheList(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(10))
+	r := newHarness(t, settings(), 1, backends(10))
 	r.step(saltmast.List{Kind: saltmast.ListFull, Backends: backends(2)})
 	n := 0
 	for i := range 100 {
@@ -908,10 +907,10 @@
 	}
 }
 
-// Incidents idacc77 and i574e74: what dead backends carried must not land on the
-// living while the list still names the dead.
-func TestLimitLeavesOutTheDead(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(10))
+// Incidents idacc77 and i574e74: the load of dead backends must not move to the living
+// ones while the list still has the dead.
+func TestLimitExcludesDeadBackends(t *testing.T) {
+	r := newHarness(t, settings(), 1, backends(10))
 	r.waves(80, 20, safe, 5*ms)
 	dead := map[string]bool{}
 	for i := 0; len(dead) < 6 && i < 500; i++ {
@@ -932,14 +931,14 @@
 		r.request(id, safe)
 		n += len(r.sent[id])
 	}
-	if n > 28 { // six for each of four, and a few for what the outcomes taught
+	if n > 28 { // six for each of four, and a few for growth during the outcomes
 		t.Errorf("%d in flight on four living backends", n)
 	}
 }
 
-// A fleet that is replaced under its agents: those that drew a cold newcomer into their set bring it the parts of those
-// that did not, so that all together use about what it can do, and none is sent more than the rule allows.
-func TestColdNewcomersGetTheWholeFleetsPart(t *testing.T) {
+// When most of a fleet is replaced, the agents that draw a cold new backend into their working set also use the shares of
+// those that don't, so that together they use its capacity without exceeding FallMultiple.
+func TestColdNewBackendsGetTheFleetsShare(t *testing.T) {
 	const agents, old, gone = 60, 60, 36
 	s := settings()
 	s.Balancers = agents
@@ -947,10 +946,10 @@
 	for i := range old {
 		list = append(list, saltmast.Backend{ID: fmt.Sprint("b", i)})
 	}
-	var rigs []*rig
+	var rigs []*harness
 	for i := range agents {
-		r := newRig(t, s, uint64(i), list)
-		r.waves(600, 3, safe, 20*ms) // what warm ones take is known
+		r := newHarness(t, s, uint64(i), list)
+		r.waves(600, 3, safe, 20*ms) // measures what warm backends serve
 		r.advance(time.Hour + 10*time.Second - r.now)
 		rigs = append(rigs, r)
 	}
@@ -958,7 +957,7 @@
 		change = append(change, saltmast.Backend{ID: fmt.Sprint("new", i), Started: rigs[0].now},
 			saltmast.Backend{ID: fmt.Sprint("b", i), State: saltmast.Draining})
 	}
-	const seconds, each = 4, 30 // of each agent in a second, three at a time
+	const seconds, each = 4, 30 // requests per agent and second, three at a time
 	counts := [seconds]map[string]int{}
 	for sec := range counts {
 		counts[sec] = map[string]int{}
@@ -984,27 +983,27 @@
 				warm += float64(n) / (old - gone)
 			}
 		}
-		// Not in the first second, in which agents find out what warm ones serve now. A quarter of a fair part is well above
-		// the twentieth that each alone would bring.
+		// The first second is exempt: agents still measure what warm backends serve. A quarter of a fair share is well above
+		// the twentieth that single shares would give.
 		if share := cold / warm / warmth; sec > 0 && (share < 0.25 || share > s.FallMultiple) {
-			t.Errorf("second %d: a cold backend, at %.2f of its capacity, gets %.2f of that against a warm one's work", sec, warmth, share)
+			t.Errorf("second %d: a cold backend, at %.2f of its capacity, gets %.2f of that relative to a warm one", sec, warmth, share)
 		}
 		if share := most / warm / warmth; share > s.FallMultiple {
-			t.Errorf("second %d: one of them gets %.2f times what it can do", sec, share)
+			t.Errorf("second %d: one of them gets %.2f times its capacity", sec, share)
 		}
 	}
 }
 
-// One of eight backends turns three attempts in ten away and the others answer at once: that is no queue, and the limit
-// stays. Where all turn six in ten away it falls.
+// Three attempts in ten rejected as Full while the others are answered at once are no sign of a queue: the limit stays. With
+// six in ten rejected it falls.
 func TestFullCutsLessThanAQueue(t *testing.T) {
 	for _, tt := range []struct {
-		full int // of ten attempts
+		full int // rejected attempts of ten
 		cut  bool
 	}{{3, false}, {6, true}} {
 		s := settings()
 		s.RetryAfter = false
-		r := newRig(t, s, 5, backends(8))
+		r := newHarness(t, s, 5, backends(8))
 		r.waves(1600, 80, safe, 20*ms)
 		n := 0
 		for range 40 {
@@ -1024,7 +1023,7 @@
 					r.outcome(id, saltmast.OK, 20*ms)
 				}
 			}
-			r.advance(400 * ms) // what was turned away has gone elsewhere, or been given up
+			r.advance(400 * ms) // rejected requests are retried elsewhere or given up
 			for id, to := range r.sent {
 				if len(to) > 1 && strings.HasPrefix(id, fmt.Sprint("full", tt.full, "-", n-1, "-")) {
 					r.outcome(id, saltmast.OK, 20*ms)
@@ -1038,25 +1037,25 @@
 				sent++
 			}
 		}
-		if cut := sent < 40; cut != tt.cut { // its floor is 32
-			t.Errorf("%d of ten turned away: %d sent at once, cut %v, want %v", tt.full, sent, cut, tt.cut)
+		if cut := sent < 40; cut != tt.cut { // the lowest limit is 32
+			t.Errorf("%d of ten rejected: %d sent at once, cut %v, want %v", tt.full, sent, cut, tt.cut)
 		}
 	}
 }
 
-// A quiet agent's mean latency is of answers that come one by one: what cut its limit once does not cut it again.
+// A quiet agent gets its answers one by one: the same heavy requests must not cut its limit twice.
 func TestQuietAgentIsCutOnceForOneHeavyRequest(t *testing.T) {
 	s := settings()
 	s.Balancers = 4
-	r := newRig(t, s, 3, backends(8))
+	r := newHarness(t, s, 3, backends(8))
 	aim := s.Classes[safe].Aim
 	share := func(f float64) time.Duration { return time.Duration(f * float64(aim)) }
 	r.waves(400, 8, safe, share(0.04))
-	r.waves(40, 8, safe, share(0.5)) // its slow start is over
+	r.waves(40, 8, safe, share(0.5)) // ends the slow start
 	for range 30 {
 		r.waves(8, 8, safe, share(0.04))
 	}
-	r.serve(60, safe, share(0.11)) // a crowd within what is aimed for: one at a time, so nothing grows
+	r.serve(60, safe, share(0.11)) // load within the target; one at a time, so the limit does not grow
 	before := r.b.InFlightLimit()
 	r.serve(2, safe, share(0.9))
 	r.serve(9, safe, share(0.11))
@@ -1065,12 +1064,12 @@
 	}
 }
 
-// Incident ieb2a7b: attempts that hang at a backend which answers nothing must not
-// use up the room of the others once it is ejected.
-func TestHangingAttemptsUseNoRoom(t *testing.T) {
+// Incident ieb2a7b: attempts that hang at an unresponsive backend must not use up the
+// limit of the other backends once it is ejected.
+func TestHangingAttemptsDoNotUseTheLimit(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
-	r := newRig(t, s, 1, backends(3))
+	r := newHarness(t, s, 1, backends(3))
 	r.serve(60, safe, 20*ms)
 	r.now += ms
 	var hung []string
@@ -1086,7 +1085,7 @@
 		}
 	}
 	if len(hung) < 3 {
-		t.Fatalf("only %v hang", hung)
+		t.Fatalf("only %v are unanswered", hung)
 	}
 	r.now += 20 * ms
 	for i := range 18 {
@@ -1102,21 +1101,21 @@
 		r.request(id, safe)
 		for _, b := range r.sent[id] {
 			if n++; b == bad {
-				t.Errorf("%s went to the backend that answers nothing", id)
+				t.Errorf("%s went to the unresponsive backend", id)
 			}
 		}
 	}
 	if n < 8 {
-		t.Errorf("%d in flight on the two that answer, want all of their room of 8", n)
+		t.Errorf("%d in flight on the two that answer, want their limit of 8", n)
 	}
 }
 
-// A time-out says at least how slow a backend is: one that answers only its light
-// requests must not keep the good name that these give it.
-func TestTimeOutsTeachSlowness(t *testing.T) {
+// A timeout gives a lower bound of a backend's latency: a backend that answers only its
+// light requests must not count as fast because of these.
+func TestTimeoutsRaiseSlowness(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
-	r := newRig(t, s, 3, backends(3))
+	r := newHarness(t, s, 3, backends(3))
 	r.serve(60, safe, 20*ms)
 	got := 0
 	for round := range 60 {
@@ -1148,10 +1147,10 @@
 	}
 }
 
-// Incident i37feae: a fleet that grows fivefold is cold; what it cannot take yet must
-// not land on the warm ones, nor all on one.
-func TestGrowthDoesNotLoadWarmOnes(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(4))
+// Incident i37feae: when a fleet grows fivefold, requests that the cold backends can't serve
+// yet must not overload the warm ones, or a single one of them.
+func TestGrowthDoesNotOverloadWarmBackends(t *testing.T) {
+	r := newHarness(t, settings(), 1, backends(4))
 	r.serve(100, safe, 50*ms)
 	grown := backends(20)
 	for i := 4; i < 20; i++ {
@@ -1178,12 +1177,12 @@
 	}
 }
 
-// Incident ieeee80: chance must not cut the limit of a busy agent whose answers are
-// well within the aim in the mean but vary a lot.
+// Incident ieeee80: chance must not cut the limit of a busy agent whose latency varies a lot
+// but has a mean well within the aim.
 func TestBusyAgentIsNotCutByChance(t *testing.T) {
 	s := settings()
 	s.Balancers = 2
-	r := newRig(t, s, 1, backends(30))
+	r := newHarness(t, s, 1, backends(30))
 	seq := []time.Duration{30, 40, 300, 20, 60, 380, 50, 90, 30, 100} // ms; mean 110 of an aim of 400
 	refused, queue := 0, []string{}
 	for i := range 4000 {
@@ -1195,7 +1194,7 @@
 		r.now += ms
 		if len(queue) > 75 {
 			if len(r.sent[queue[0]]) > 0 {
-				// answers in runs, so that twenty in a row can all be slow
+				// The answers come in runs, so that 20 consecutive ones can be slow.
 				r.outcome(queue[0], saltmast.OK, seq[(i/25)%10]*ms)
 			}
 			queue = queue[1:]
@@ -1206,12 +1205,12 @@
 	}
 }
 
-// Incident i3ae5f1: backends that slow down when crowded make over three times the usual latency
-// long before it nears the aim; the limit must come down then, but not where it was always so.
+// Incident i3ae5f1: backends that slow down under load reach three times their usual latency long
+// before the aim. The limit must fall then, but not if the latency was always as high.
 func TestLimitFallsWithRisingLatency(t *testing.T) {
 	inFlight := func(usual time.Duration) (n int) {
-		r := newRig(t, settings(), 1, backends(2))
-		r.waves(400, 8, safe, usual)  // bound by the limit, which may grow
+		r := newHarness(t, settings(), 1, backends(2))
+		r.waves(400, 8, safe, usual)  // the limit binds and may grow
 		r.waves(400, 8, safe, 130*ms) // about a third of the aim
 		for i := range 40 {
 			id := fmt.Sprint("q", i)
@@ -1221,15 +1220,15 @@
 		return n
 	}
 	if crowded, slow := inFlight(35*ms), inFlight(130*ms); crowded != 4*2 || slow <= 4*2 {
-		t.Errorf("%d in flight after a rise, want the floor of 8; %d where it was so from the start, want more", crowded, slow)
+		t.Errorf("%d in flight after a rise, want the lowest limit of 8; %d where the latency was always as high, want more", crowded, slow)
 	}
 }
 
-// Where keys make the usual latency short, most answers are slow in a crowd and some still quick. Seen on an
-// overloaded day: one slow answer counted as little more than the aimed mean, the limit grew, and all servers choked.
+// Where warm keys make the usual latency short, most answers are slow under overload and some are still fast. Each slow
+// answer counted as little more than the target, so that the limit grew and all servers were overloaded.
 func TestLimitFallsAmongQuickAnswers(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(2))
-	for i := range 60 { // a tenth of the aim, as many at once as there is room for: the limit grows
+	r := newHarness(t, settings(), 1, backends(2))
+	for i := range 60 { // a tenth of the aim, with the limit binding: it grows
 		r.waves(8+i/4, 8+i/4, safe, 40*ms)
 	}
 	for range 400 {
@@ -1243,20 +1242,20 @@
 		n += len(r.sent[id])
 	}
 	if n != 4*2 {
-		t.Errorf("%d in flight while every other answer is slow, want the floor of 8", n)
+		t.Errorf("%d in flight while every other answer is slow, want the lowest limit of 8", n)
 	}
 }
 
-// Days at size: parts go by head count, traffic does not. A busy agent of a large quiet fleet reaches what it needs
-// within a few rounds of answers, and no more once answers come late.
-func TestBusyAgentIsSoonAtItsNeeds(t *testing.T) {
+// The limit is shared equally among agents, but traffic is uneven: a busy agent among many quiet ones must reach the limit
+// that it needs within a few rounds of answers, and stop growing fast once answers are late.
+func TestBusyAgentReachesItsLimitSoon(t *testing.T) {
 	s := settings()
 	s.Balancers = 80
 	var list []saltmast.Backend
 	for i := range 60 {
 		list = append(list, saltmast.Backend{ID: fmt.Sprint("b", i)})
 	}
-	r := newRig(t, s, 1, list)
+	r := newHarness(t, s, 1, list)
 	var out []string // in flight, oldest first
 	sends := func(actions []saltmast.Action) {
 		for _, a := range actions {
@@ -1271,7 +1270,7 @@
 			r.now += 2 * ms
 			sends(r.outcome(out[0], saltmast.OK, latency))
 			out = out[1:]
-			for range 2 { // more than it can send
+			for range 2 { // more than it may send
 				asked++
 				sends(r.request(fmt.Sprint("q", asked), safe))
 			}
@@ -1281,26 +1280,26 @@
 		asked++
 		sends(r.request(fmt.Sprint("q", asked), safe))
 	}
-	if len(out) != 3 { // 4 for each backend, over 80 agents
-		t.Fatalf("%d in flight at the start, want the part by head count: 3", len(out))
+	if len(out) != 3 { // 4 per backend, shared by 80 agents
+		t.Fatalf("%d in flight at the start, want an equal share: 3", len(out))
 	}
-	// Ten answers tell the usual latency. Of the next thirty, a twentieth of the aim late where three
-	// twentieths are aimed for, each brings two thirds of an attempt.
+	// Ten answers set the usual latency. With a latency of a twentieth of the aim and a target of three
+	// twentieths, each of the next thirty raises the limit by two thirds of an attempt.
 	answers(40, 20*ms)
 	if len(out) < 20 {
 		t.Errorf("%d in flight after 40 quick answers, want 23", len(out))
 	}
 	answers(60, 390*ms) // the first cut ends the slow start
 	cut := len(out)
-	answers(60, 20*ms) // these bring the delay down again; then the limit grows by its part of limitGrow
+	answers(60, 20*ms) // these lower the delay again; then the limit grows by its share of limitIncrease
 	if len(out) > cut+5 {
-		t.Errorf("from %d to %d in flight by 60 quick answers after a cut, want growth by the part alone", cut, len(out))
+		t.Errorf("from %d to %d in flight by 60 quick answers after a cut, want growth by limitIncrease alone", cut, len(out))
 	}
 }
 
-// Days at size: six in ten backends are replaced. The newcomers get their part of what comes, though each agent sends little
-// and would do with those it knows; and working sets, which are connections, stay about as large as they were.
-func TestNewcomersJoinWorkingSets(t *testing.T) {
+// When six in ten backends are replaced, the new ones get their share of the requests, even from quiet agents whose working
+// set would suffice; and working sets, which cost connections, keep about their size.
+func TestNewBackendsJoinWorkingSets(t *testing.T) {
 	const agents, each, old, gone = 40, 60, 60, 36
 	name := func(i int) string { return fmt.Sprint("b", i) }
 	var list []saltmast.Backend
@@ -1309,9 +1308,9 @@
 	}
 	s := settings()
 	s.Balancers = agents
-	var rigs []*rig
+	var rigs []*harness
 	for i := range agents {
-		r := newRig(t, s, uint64(i), list)
+		r := newHarness(t, s, uint64(i), list)
 		r.waves(each, 3, safe, 20*ms)
 		rigs = append(rigs, r)
 	}
@@ -1327,7 +1326,7 @@
 		}
 		before += len(used)
 		r.step(saltmast.List{Kind: saltmast.ListDelta, Backends: change})
-		r.advance(s.RampTime) // warm: what cold ones may get is another matter
+		r.advance(s.RampTime) // until they are warm; cold ones are tested elsewhere
 		var leave []saltmast.Backend
 		for i := range gone {
 			leave = append(leave, saltmast.Backend{ID: name(i), State: saltmast.Draining})
@@ -1344,19 +1343,19 @@
 		links += len(used)
 	}
 	if part := float64(fresh) / float64(after); part < 0.45 || part > 0.75 {
-		t.Errorf("newcomers, six in ten, get %.2f of what comes, want about 0.6", part)
+		t.Errorf("new backends, six in ten, get %.2f of the requests, want about 0.6", part)
 	}
 	if links > before*3/2 {
 		t.Errorf("working sets grew from %d to %d backends, %d agents together", before, links, agents)
 	}
 }
 
-// Incident ieb2a7b: many agents that grow their limits at once must not overshoot together.
+// Incident ieb2a7b: many agents that raise their limits at once must not overshoot together.
 func TestLimitGrowsPerBackend(t *testing.T) {
 	total := func(balancers int) int {
 		s := settings()
 		s.Balancers = balancers
-		r := newRig(t, s, 1, backends(20))
+		r := newHarness(t, s, 1, backends(20))
 		var out []string // in flight, oldest first
 		sends := func(actions []saltmast.Action) {
 			for _, a := range actions {
@@ -1365,7 +1364,7 @@
 				}
 			}
 		}
-		for i := range 200 { // what exceeds the limit is held
+		for i := range 200 { // requests beyond the limit are held
 			sends(r.request(fmt.Sprint("q", i), safe))
 		}
 		for i := range 4 * len(out) { // four rounds of fast answers
@@ -1380,28 +1379,28 @@
 	}
 }
 
-// A try whose patience is cut short by the client's deadline is a late one: it
-// does not wait for room, where a first try does.
-func TestPatienceTellsLateTries(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(1))
-	submit := func(id string, left time.Duration) []saltmast.Action {
+// A try with a shorter timeout than usual is a client's last one before its deadline: it
+// does not wait for capacity as a first try does.
+func TestShortTimeoutMarksLateTry(t *testing.T) {
+	r := newHarness(t, settings(), 1, backends(1))
+	sendRequest := func(id string, left time.Duration) []saltmast.Action {
 		return r.step(saltmast.Request{ID: id, Class: safe, TimeLeft: left})
 	}
-	for i := range 20 { // the usual patience, give or take
-		submit(fmt.Sprint("f", i), 900*ms+time.Duration(i%3)*ms)
+	for i := range 20 { // about the usual timeout
+		sendRequest(fmt.Sprint("f", i), 900*ms+time.Duration(i%3)*ms)
 	}
-	if got := final("first", submit("first", 899*ms)); got != "" {
-		t.Errorf("a first try without room got %q at once, want it to wait", got)
+	if got := final("first", sendRequest("first", 899*ms)); got != "" {
+		t.Errorf("a first try without capacity got %q at once, want it to wait", got)
 	}
-	if got := final("late", submit("late", 700*ms)); got != "refuse" {
-		t.Errorf("a late try without room got %q, want a refusal at once", got)
+	if got := final("late", sendRequest("late", 700*ms)); got != "refuse" {
+		t.Errorf("a late try without capacity got %q, want a refusal at once", got)
 	}
 }
 
 func TestSubscribe(t *testing.T) {
 	s := settings()
 	s.Subscribe = true
-	asks := func(acts []saltmast.Action) (n int) {
+	countSubscribes := func(acts []saltmast.Action) (n int) {
 		for _, a := range acts {
 			if _, ok := a.(saltmast.Subscribe); ok {
 				n++
@@ -1411,34 +1410,33 @@
 	}
 	delays := map[time.Duration]bool{}
 	for seed := uint64(0); seed < 10; seed++ {
-		r := newRig(t, s, seed, backends(2))
+		r := newHarness(t, s, seed, backends(2))
 		delays[r.due[0]-r.now] = true
-		if n := asks(r.advance(s.AskWithin / 10)); n != 1 {
-			t.Fatalf("asked %d times at the start, want once", n)
+		if n := countSubscribes(r.advance(s.AskWithin / 10)); n != 1 {
+			t.Fatalf("subscribed %d times at the start, want once", n)
 		}
-		for range 8 { // every failure is followed by one more try, in time
+		for range 8 { // each failure is followed by one retry in time
 			r.step(saltmast.List{Kind: saltmast.ListFailed})
-			if n := asks(r.advance(s.AskWithin / 2)); n != 1 {
-				t.Fatalf("asked %d times after a failure, want once", n)
+			if n := countSubscribes(r.advance(s.AskWithin / 2)); n != 1 {
+				t.Fatalf("subscribed %d times after a failure, want once", n)
 			}
 		}
 		r.step(saltmast.List{Kind: saltmast.ListFull, Backends: backends(2)})
-		if n := asks(r.advance(time.Minute)); n != 0 {
-			t.Errorf("asked %d times while subscribed", n)
+		if n := countSubscribes(r.advance(time.Minute)); n != 0 {
+			t.Errorf("subscribed %d times while subscribed already", n)
 		}
 	}
 	if len(delays) < 9 {
-		t.Errorf("10 agents ask after only %d different waits", len(delays))
+		t.Errorf("10 agents subscribe after only %d different waits", len(delays))
 	}
-	r := newRig(t, settings(), 1, backends(2))
-	if n := asks(append(r.step(saltmast.List{Kind: saltmast.ListFailed}), r.advance(time.Minute)...)); n != 0 {
-		t.Error("asked although the list comes unasked")
+	r := newHarness(t, settings(), 1, backends(2))
+	if n := countSubscribes(append(r.step(saltmast.List{Kind: saltmast.ListFailed}), r.advance(time.Minute)...)); n != 0 {
+		t.Error("subscribed although the list is pushed")
 	}
 }
 
-// Events about things unknown, late or repeated do nothing.
-// The list is one service and does not grow with the fleet: sixteen times the agents, told so, call it little more often while
-// it fails, and none waits longer than it may (AskWithin for the first call, four times that after a failed one).
+// The list service does not grow with the fleet: sixteen times as many agents call it little more often in all while it fails,
+// and none waits too long (AskWithin for the first call, four times that after a failed one).
 func TestListCallsDoNotGrowWithTheFleet(t *testing.T) {
 	const sample = 40
 	total := func(balancers int) float64 {
@@ -1446,7 +1444,7 @@
 		s.Balancers, s.Subscribe = balancers, true
 		calls := 0
 		for seed := range sample {
-			r := newRig(t, s, uint64(seed), backends(4))
+			r := newHarness(t, s, uint64(seed), backends(4))
 			end := r.now + 4*s.AskWithin
 			for first := true; ; first = false {
 				n := len(r.due) - 1
@@ -1464,12 +1462,13 @@
 		return float64(calls) / sample * float64(balancers)
 	}
 	if few, many := total(64), total(1024); many > 4*few {
-		t.Errorf("64 agents make %.0f calls of a list that fails, 1,024 make %.0f", few, many)
+		t.Errorf("64 agents make %.0f calls of a failing list, 1,024 make %.0f", few, many)
 	}
 }
 
+// Unknown, late and duplicate events have no effect.
 func TestStrayEvents(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(2))
+	r := newHarness(t, settings(), 1, backends(2))
 	r.request("done", safe)
 	r.now += 10 * ms
 	r.outcome("done", saltmast.OK, 10*ms)
@@ -1498,13 +1497,13 @@
 		t.Errorf("the open request: %v, want its one failure", acts)
 	}
 	if acts := r.outcome("open", saltmast.Errored, 10*ms); len(acts) != 0 {
-		t.Errorf("a repeated outcome: %v, want no action", acts)
+		t.Errorf("a duplicate outcome: %v, want no action", acts)
 	}
 }
 
-// An abandoned request gets nothing more, though its attempt is still counted.
+// An abandoned request causes no further actions, although its attempt still counts.
 func TestAbandoned(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(2))
+	r := newHarness(t, settings(), 1, backends(2))
 	r.request("q", safe)
 	r.step(saltmast.Abandoned{Request: "q"})
 	r.now += 10 * ms
@@ -1515,9 +1514,9 @@
 	}
 }
 
-// Once an answer has begun to stream the request is the client's.
+// Once an answer has started to stream, the request gets no further attempt or answer.
 func TestStream(t *testing.T) {
-	r := newRig(t, settings(), 1, backends(2))
+	r := newHarness(t, settings(), 1, backends(2))
 	r.request("q", safe)
 	r.step(saltmast.StreamStarted{Request: "q"})
 	r.now += 10 * ms
@@ -1531,7 +1530,7 @@
 // The same seed and events give the same actions.
 func TestDeterminism(t *testing.T) {
 	play := func(seed uint64) (log []string) {
-		r := newRig(t, settings(), seed, backends(6))
+		r := newHarness(t, settings(), seed, backends(6))
 		for i := range 400 {
 			id := fmt.Sprint("q", i)
 			log = append(log, fmt.Sprint(r.request(id, i%5)))
@@ -1551,11 +1550,11 @@
 	}
 }
 
-// Incidents icaaa88 and ic83025: the first answers set the usual latency, so that a rise shows
-// though seven times the usual is far below the aim; and heavy requests now and then are no rise.
+// Incidents icaaa88 and ic83025: the first answers set the usual latency, so that a rise to seven
+// times that is detected although it is far below the aim; a few heavy requests are no rise.
 func TestUsualLatencyFromFirstAnswers(t *testing.T) {
 	inFlight := func(then ...time.Duration) (n int) {
-		r := newRig(t, settings(), 1, backends(2))
+		r := newHarness(t, settings(), 1, backends(2))
 		r.waves(80, 8, safe, 10*ms)
 		for _, latency := range then {
 			r.serve(1, safe, latency)
@@ -1584,12 +1583,12 @@
 	}
 }
 
-// Rough-2 of bengal-auth: an attempt at a backend that answers nothing must not hold the only
-// room of a quiet agent until its client leaves.
-func TestSilentBackendTakesNoRoom(t *testing.T) {
+// Simulation rough-2 of bengal-auth: an attempt at an unresponsive backend must not use up a quiet
+// agent's limit of one until its client leaves.
+func TestSilentBackendDoesNotUseTheLimit(t *testing.T) {
 	s := settings()
-	s.Balancers = 5 // room for one
-	r := newRig(t, s, 1, backends(6))
+	s.Balancers = 5 // a limit of one
+	r := newHarness(t, s, 1, backends(6))
 	r.serve(60, unsafe, 10*ms)
 	r.request("hung", unsafe)
 	r.advance(150 * ms) // 0.35 of the aim, more than six mean latencies
@@ -1599,14 +1598,14 @@
 	}
 }
 
-// Incident i621733: agents that see little of each backend load small ones like large ones,
-// unless the size that the list tells weighs the choice.
+// Incident i621733: agents with few requests per backend load small ones like large ones,
+// unless the choice is weighted by the listed size.
 func TestListedSizeWeighsTheChoice(t *testing.T) {
 	list := backends(4)
 	for i, size := range []float64{3, 1, 3, 1} {
 		list[i].Weight = size
 	}
-	r := newRig(t, settings(), 3, list)
+	r := newHarness(t, settings(), 3, list)
 	r.waves(16, 8, safe, 50*ms)
 	counts := r.serve(400, safe, 50*ms)
 	large, small := counts["a"]+counts["c"], counts["b"]+counts["d"]
@@ -1615,13 +1614,13 @@
 	}
 }
 
-// Incidents i783cc5 and i84e735: with many agents and few backends left, one attempt of each
-// agent is too much; in a crowd a small agent goes on with about as much as is answered in time.
-func TestSmallAgentIsThrottledInACrowd(t *testing.T) {
+// Incidents i783cc5 and i84e735: with many agents and few backends left, one attempt per agent
+// is too much. Under overload a small agent sends about what is answered in time.
+func TestSmallAgentIsThrottledUnderOverload(t *testing.T) {
 	sent := func(latency time.Duration) (n int) {
 		s := settings()
-		s.Balancers = 40 // by head count: a fifth of an attempt
-		r := newRig(t, s, 1, backends(2))
+		s.Balancers = 40 // a share of a fifth of an attempt
+		r := newHarness(t, s, 1, backends(2))
 		for i := range 60 {
 			id := fmt.Sprint("q", i)
 			r.request(id, safe)
@@ -1638,16 +1637,16 @@
 		}
 		return n
 	}
-	calm, crowd := sent(80*ms), sent(600*ms)
-	if calm < 30 || crowd > 14 || crowd == 0 {
-		t.Errorf("of 30 requests %d went out when calm, %d in a crowd, want all and under half", calm, crowd)
+	calm, overloaded := sent(80*ms), sent(600*ms)
+	if calm < 30 || overloaded > 14 || overloaded == 0 {
+		t.Errorf("of 30 requests %d went out when calm, %d under overload, want all and under half", calm, overloaded)
 	}
 }
 
-// Incident iec25a3: a backend that turns work away leaves the working set, so that an agent
-// comes to use others, such as those that have joined since.
+// Incident iec25a3: a backend that rejects requests leaves the working set, so that the agent
+// uses others, such as new ones.
 func TestFullBackendLeavesTheWorkingSet(t *testing.T) {
-	r := newRig(t, settings(), 5, backends(20))
+	r := newHarness(t, settings(), 5, backends(20))
 	first := r.serve(40, safe, 20*ms)
 	for i := range 30 {
 		id := fmt.Sprint("q", i)
@@ -1666,15 +1665,15 @@
 		}
 	}
 	if stayed > 8 {
-		t.Errorf("%d of 40 still go to the two that turned work away", stayed)
+		t.Errorf("%d of 40 still go to the two that rejected requests", stayed)
 	}
 }
 
-// A backend that answered nothing leaves the working set; one that answered with an error has a
-// good connection still and comes back to it after its ejection (rough-2 of kyushu-scores).
+// A backend that did not answer leaves the working set; one that answered with an error still has a
+// working connection and returns after its ejection (simulation rough-2 of kyushu-scores).
 func TestWhatLeavesTheWorkingSet(t *testing.T) {
 	for res, stays := range map[saltmast.Result]bool{saltmast.Errored: true, saltmast.TimedOut: false, saltmast.Full: false} {
-		r := newRig(t, settings(), 5, backends(20))
+		r := newHarness(t, settings(), 5, backends(20))
 		r.serve(40, safe, 20*ms)
 		r.request("q", unsafe)
 		bad := r.sent["q"][0]
@@ -1688,20 +1687,20 @@
 	}
 }
 
-// ordered is a rig whose unsafe class keeps order, with a rest of 200 ms.
-func ordered(t *testing.T) *rig {
+// ordered returns a harness whose unsafe and safe classes keep order, with a pause of 200 ms.
+func ordered(t *testing.T) *harness {
 	s := settings()
 	s.Classes[unsafe].KeepOrder, s.Classes[safe].KeepOrder = true, true
 	s.KeyRest = 200 * ms
-	return newRig(t, s, 1, backends(4))
+	return newHarness(t, s, 1, backends(4))
 }
 
-func (r *rig) keyed(id string, class int, key string) []saltmast.Action {
+func (r *harness) keyed(id string, class int, key string) []saltmast.Action {
 	return r.step(saltmast.Request{ID: id, Class: class, TimeLeft: 2000 * ms, Key: key})
 }
 
-// Requests of one key run one at a time, over all classes that keep order; others are not held up.
-func TestOrderOfAKey(t *testing.T) {
+// Requests of one key run one at a time, over all classes that keep order; others are not delayed.
+func TestOrderByKey(t *testing.T) {
 	r := ordered(t)
 	r.keyed("one", unsafe, "k")
 	r.keyed("two", safe, "k")
@@ -1716,13 +1715,13 @@
 	r.now += 10 * ms
 	r.outcome("one", saltmast.OK, 10*ms)
 	if len(r.sent["two"]) != 1 {
-		t.Error("two did not follow one at once")
+		t.Error("two was not sent at once after one")
 	}
 }
 
-// After a time-out the key rests: what waits goes when the rest ends, not sooner. The request whose
-// turn it is is not held up by its own time-out.
-func TestKeyRests(t *testing.T) {
+// After a timeout the key is paused, and the next request is sent when the pause ends. The pause does
+// not delay retries of the request that caused it.
+func TestKeyPause(t *testing.T) {
 	r := ordered(t)
 	r.serve(50, unsafe, 5*ms)
 	r.keyed("one", unsafe, "k")
@@ -1733,23 +1732,23 @@
 	}
 	r.advance(199 * ms)
 	if len(r.sent["two"]) != 0 {
-		t.Error("two was sent while the key rested")
+		t.Error("two was sent while the key was paused")
 	}
 	r.advance(2 * ms)
 	if len(r.sent["two"]) != 1 {
-		t.Error("two was not sent after the rest")
+		t.Error("two was not sent after the pause")
 	}
 	r.keyed("head", safe, "m")
 	r.now += 50 * ms
 	r.outcome("head", saltmast.Reset, 50*ms)
 	r.advance(150 * ms)
 	if len(r.sent["head"]) < 2 {
-		t.Error("a reset held up the retry of the same request")
+		t.Error("a reset delayed the retry of the same request")
 	}
 }
 
-// A head that was abandoned still holds its key while its attempt is out.
-func TestKeyWaitsForTheOutcome(t *testing.T) {
+// An abandoned request still blocks its key while its attempt is in flight.
+func TestKeyWaitsForOutcome(t *testing.T) {
 	r := ordered(t)
 	r.keyed("one", unsafe, "k")
 	r.keyed("two", unsafe, "k")
@@ -1764,12 +1763,12 @@
 	}
 }
 
-// Where 'full' proves nothing, an unsafe request that met it gets no second attempt and no refusal.
-func TestFullIsNoProof(t *testing.T) {
+// If Full does not prove that an attempt never ran, an unsafe request that gets it is neither retried nor refused.
+func TestFullMayHaveRun(t *testing.T) {
 	for _, proof := range []bool{true, false} {
 		s := settings()
 		s.FullMayHaveRun = !proof
-		r := newRig(t, s, 1, backends(4))
+		r := newHarness(t, s, 1, backends(4))
 		r.request("q", unsafe)
 		acts := r.outcome("q", saltmast.Full, ms)
 		acts = append(acts, r.advance(400*ms)...)
@@ -1782,11 +1781,11 @@
 	}
 }
 
-// Where an agent's part of the least limit is far under one attempt, one slow attempt holds up nothing.
+// An agent whose share of the lowest limit is far under one attempt has no limit: a slow attempt delays no others.
 func TestSparseAgentHasNoLimit(t *testing.T) {
 	s := settings()
 	s.Balancers = 400
-	r := newRig(t, s, 1, backends(4))
+	r := newHarness(t, s, 1, backends(4))
 	for i := range 4 {
 		if r.request(fmt.Sprint("q", i), safe); len(r.sent[fmt.Sprint("q", i)]) != 1 {
 			t.Errorf("request %d waited for another", i)
@@ -1794,14 +1793,13 @@
 	}
 }
 
-// Where keys warm backends, all agents send a key to the same one; and a backend that is not known
-// counts as little once such have failed while known ones answer.
+// With warm keys all agents send a key to the same backend.
 func TestWarmKeysAgree(t *testing.T) {
 	s := settings()
 	s.WarmKeys = true
 	choice := map[string]string{}
 	for seed := uint64(1); seed <= 5; seed++ {
-		r := newRig(t, s, seed, backends(8))
+		r := newHarness(t, s, seed, backends(8))
 		used := map[string]bool{}
 		for i := range 40 {
 			key := fmt.Sprint("k", i)
@@ -1812,7 +1810,7 @@
 				choice[key] = b
 			}
 			if b != choice[key] {
-				t.Errorf("seed %d: %s went to %s, at another agent to %s", seed, key, b, choice[key])
+				t.Errorf("seed %d: %s went to %s, on another agent to %s", seed, key, b, choice[key])
 			}
 			used[b] = true
 			r.outcome(id, saltmast.OK, 20*ms)
@@ -1823,13 +1821,13 @@
 	}
 }
 
-// Agents measure speeds each for themselves; what differs little between them must move few keys. 96 keys at two
-// agents, one of which finds half of the backends a fifth slower.
+// Agents measure slowness separately, and small differences must move few keys: of 96 keys at two agents, one of which
+// finds half of the backends a fifth slower.
 func TestWarmKeysStayWhereSpeedsDifferLittle(t *testing.T) {
 	s := settings()
 	s.WarmKeys = true
 	run := func(slower time.Duration) map[string]string {
-		r := newRig(t, s, 1, backends(8))
+		r := newHarness(t, s, 1, backends(8))
 		choice := map[string]string{}
 		for round := range 6 {
 			for i := range 96 {
@@ -1853,20 +1851,21 @@
 		}
 	}
 	if moved > 8 {
-		t.Errorf("%d of 96 keys went elsewhere", moved)
+		t.Errorf("%d of 96 keys moved", moved)
 	}
 }
 
-func TestKnownFirstInTrouble(t *testing.T) {
+// A backend outside the working set gets less traffic once such backends have failed while those in the set answer.
+func TestWorkingSetFirstAfterFailures(t *testing.T) {
 	s := settings()
 	s.WarmKeys, s.MaxAttempts = true, 1
-	r := newRig(t, s, 1, backends(12))
+	r := newHarness(t, s, 1, backends(12))
 	late := 0
 	for i := range 200 {
 		id := fmt.Sprint("q", i)
 		r.keyed(id, unsafe, fmt.Sprint("k", i))
 		r.now += 100 * ms
-		if b := r.sent[id][0]; b > "d" { // two in three fail by silence
+		if b := r.sent[id][0]; b > "d" { // two in three do not answer
 			r.outcome(id, saltmast.TimedOut, 100*ms)
 			if i >= 100 {
 				late++
@@ -1880,18 +1879,18 @@
 	}
 }
 
-// Where no limit binds, an attempt that is silent for longer than nearly all answers is followed by
-// another elsewhere, at a time-out's price, while it stays out; the loser is withdrawn.
-func TestSilenceIsTriedAgain(t *testing.T) {
+// Without an in-flight limit, an attempt that is unanswered for longer than nearly all answers take is
+// hedged with a second one on another backend; the slower one is cancelled.
+func TestHedging(t *testing.T) {
 	s := settings()
 	s.Balancers, s.SecondCopies, s.MayCancel = 400, true, true
 	for _, class := range []int{safe, keyedAll, unsafe} {
-		r := newRig(t, s, 1, backends(6))
+		r := newHarness(t, s, 1, backends(6))
 		r.serve(60, class, 20*ms)
 		r.request("q", class)
 		r.advance(15 * ms)
 		if len(r.sent["q"]) != 1 {
-			t.Fatalf("class %d: tried again after 15 ms", class)
+			t.Fatalf("class %d: hedged within 15 ms", class)
 		}
 		r.advance(150 * ms)
 		if class == unsafe {
@@ -1905,17 +1904,17 @@
 		}
 		want := saltmast.Cancel{Request: "q", Attempt: 0}
 		if acts := r.outcome("q", saltmast.OK, 20*ms); !slices.Contains(acts, saltmast.Action(want)) {
-			t.Errorf("class %d: the first attempt was not withdrawn: %v", class, acts)
+			t.Errorf("class %d: the first attempt was not cancelled: %v", class, acts)
 		}
 	}
 }
 
-// Crossing zones weighs by its price, and is free of that while too little is answered in time.
-func TestCrossingByItsPrice(t *testing.T) {
-	far := func(price float64, latency time.Duration) (n int) {
+// Crossing zones is weighted by its price, but not while too few requests are answered in time.
+func TestZoneCrossingPrice(t *testing.T) {
+	otherZone := func(price float64, latency time.Duration) (n int) {
 		s := settings()
 		s.Balancers, s.CrossZonePrice, s.WarmKeys = 40, price, true
-		r := newRig(t, s, 1, backends(4)) // two in the agent's zone, two in another
+		r := newHarness(t, s, 1, backends(4)) // two in the agent's zone, two in another
 		for i := range 400 {
 			id := fmt.Sprint("q", i)
 			r.keyed(id, safe, id)
@@ -1929,21 +1928,21 @@
 		}
 		return n
 	}
-	free, dear := far(0, 20*ms), far(0.1, 20*ms)
-	if free < 100 || dear > free/4 {
-		t.Errorf("%d of 400 crossed where it is free, %d where it is dear", free, dear)
+	free, expensive := otherZone(0, 20*ms), otherZone(0.1, 20*ms)
+	if free < 100 || expensive > free/4 {
+		t.Errorf("%d of 400 crossed zones at no price, %d at a high price", free, expensive)
 	}
-	if late := far(0.1, 600*ms); late < 5 {
-		t.Errorf("%d crossed while all came late", late)
+	if late := otherZone(0.1, 600*ms); late < 5 {
+		t.Errorf("%d crossed zones while all answers were late", late)
 	}
 }
 
-// A backend that leaves one class unanswered gets no more of it for a while, and keeps the others:
-// what these answer meanwhile shows that the backend as a whole is well.
-func TestSilentForOneClass(t *testing.T) {
+// A backend that does not answer one class is ejected for that class only: its answers to the others
+// show that it works otherwise.
+func TestEjectionForOneClass(t *testing.T) {
 	s := settings()
 	s.Balancers, s.MaxAttempts = 400, 1
-	r := newRig(t, s, 1, backends(2))
+	r := newHarness(t, s, 1, backends(2))
 	lost, kept := 0, 0
 	for i := range 200 {
 		u := fmt.Sprint("u", i)
@@ -1970,14 +1969,14 @@
 	}
 }
 
-// A newcomer does not get a request from every quiet agent at once: each first earns a random part of
-// its cost.
-func TestNewcomerIsNotRushed(t *testing.T) {
+// A new backend does not get a request from every quiet agent at once: the budget of each starts a
+// random part of a request below zero.
+func TestNewBackendIsNotRushed(t *testing.T) {
 	sent := 0
 	for seed := uint64(1); seed <= 100; seed++ {
 		s := settings()
 		s.Balancers = 100
-		r := newRig(t, s, seed, backends(2))
+		r := newHarness(t, s, seed, backends(2))
 		r.serve(20, safe, 20*ms)
 		r.step(saltmast.List{Kind: saltmast.ListDelta, Backends: []saltmast.Backend{{ID: "z", Started: r.now}}})
 		r.now += 20 * ms
@@ -1992,17 +1991,17 @@
 		}
 	}
 	if sent > 50 {
-		t.Errorf("%d of 100 agents sent to the newcomer within 20 ms", sent)
+		t.Errorf("%d of 100 agents sent to the new backend within 20 ms", sent)
 	}
 }
 
-// Refused clients are told to come back at spread times, within what they heed, and only where they
-// are shown it: those refused together must not return together.
-func TestRefusalsSpreadTheReturn(t *testing.T) {
-	advice := func(shown bool, most time.Duration) (waits []time.Duration) {
+// Refused clients get a jittered Retry-After within the longest wait that they honor, if they receive
+// it at all: those refused together must not return together.
+func TestRefusalsSpreadRetries(t *testing.T) {
+	retryAfters := func(shown bool, longest time.Duration) (waits []time.Duration) {
 		s := settings()
-		s.RetryAfter, s.MaxRetryAfter = shown, most
-		r := newRig(t, s, 3, backends(4))
+		s.RetryAfter, s.MaxRetryAfter = shown, longest
+		r := newHarness(t, s, 3, backends(4))
 		for i := range 50 {
 			id := fmt.Sprint(i)
 			r.request(id, safe)
@@ -2018,13 +2017,13 @@
 		}
 		return waits
 	}
-	for _, most := range []time.Duration{60 * ms, time.Minute} {
-		waits, end := advice(true, most), min(most, 100*ms) // 100 ms: the longest backoff of our own
+	for _, longest := range []time.Duration{60 * ms, time.Minute} {
+		waits, end := retryAfters(true, longest), min(longest, 100*ms) // 100 ms: the longest retry backoff
 		if low, high := slices.Min(waits), slices.Max(waits); low < 0 || low > end/4 || high > end || high < end*3/4 {
 			t.Errorf("waits from %v to %v, want them spread from 0 to %v", low, high, end)
 		}
 	}
-	if waits := advice(false, time.Minute); slices.Max(waits) != 0 {
-		t.Errorf("advice of %v to clients that are not shown it", slices.Max(waits))
+	if waits := retryAfters(false, time.Minute); slices.Max(waits) != 0 {
+		t.Errorf("Retry-After of %v to clients that don't receive it", slices.Max(waits))
 	}
 }
--- a/retune_test.go
+++ b/settings_update_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Open requests keep the rules that they came under, over any reloads: how many attempts, whether again and where, as an
-// observer beside the module counts.
-func TestOpenRequestsKeepTheirRules(t *testing.T) {
+// Open requests keep the settings of their arrival over any reloads: the number of attempts, and whether and where they are
+// repeated. The test counts attempts independently of the module.
+func TestOpenRequestsKeepTheirSettings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := func(generation uint64) Settings {
 			s := Settings{Generation: generation, Balancers: 1, MaxAttempts: rapid.IntRange(1, 4).Draw(t, "attempts"), ConnectTimeout: time.Second}
@@ -25,49 +25,49 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		type seen struct {
-			class  Class
-			max    int
-			sent   []string
-			risky  int
-			anchor string
-			at     time.Duration
-			over   bool
+		type observedRequest struct {
+			class        Class
+			max          int
+			sent         []string
+			mayHaveRun   int
+			firstBackend string
+			firstSentAt  time.Duration
+			ended        bool
 		}
 		cell := map[string]int{"s0": 0, "s1": 0, "s2": 1, "s3": 1}
 		now := time.Hour
-		requests := map[string]*seen{}
-		type try struct {
+		requests := map[string]*observedRequest{}
+		type openAttempt struct {
 			id, to string
 			no     int
 		}
-		var open []try
+		var open []openAttempt
 		timers := map[int64]time.Duration{}
 		step := func(events ...Event) {
 			for _, a := range b.Step(now, events) {
 				switch a := a.(type) {
 				case Send:
 					r := requests[a.Request]
-					if r.over || len(r.sent) >= r.max {
-						t.Fatalf("attempt %d of %s, which came when %d were allowed (over: %v)", len(r.sent)+1, a.Request, r.max, r.over)
+					if r.ended || len(r.sent) >= r.max {
+						t.Fatalf("attempt %d of %s, which arrived when %d were allowed (ended: %v)", len(r.sent)+1, a.Request, r.max, r.ended)
 					}
-					if r.risky > 0 && (r.class.Effect == Unsafe || r.class.Effect == Keyed && (cell[r.anchor] != cell[a.Backend] || now-r.at >= r.class.Window)) {
-						t.Fatalf("a repeat of %s at %s that its class does not allow: %+v", a.Request, a.Backend, r)
+					if r.mayHaveRun > 0 && (r.class.Effect == Unsafe || r.class.Effect == Keyed && (cell[r.firstBackend] != cell[a.Backend] || now-r.firstSentAt >= r.class.Window)) {
+						t.Fatalf("repeat of %s at %s that its class does not allow: %+v", a.Request, a.Backend, r)
 					}
-					if r.risky == 0 {
-						r.anchor, r.at = a.Backend, now
+					if r.mayHaveRun == 0 {
+						r.firstBackend, r.firstSentAt = a.Backend, now
 					}
-					r.risky++
-					open = append(open, try{a.Request, a.Backend, len(r.sent)})
+					r.mayHaveRun++
+					open = append(open, openAttempt{a.Request, a.Backend, len(r.sent)})
 					r.sent = append(r.sent, a.Backend)
 				case Refuse:
 					r := requests[a.Request]
-					if r.risky > 0 {
-						t.Fatalf("%s is refused and may have run", a.Request)
+					if r.mayHaveRun > 0 {
+						t.Fatalf("%s was refused but may have run", a.Request)
 					}
-					r.over = true
+					r.ended = true
 				case Fail:
-					requests[a.Request].over = true
+					requests[a.Request].ended = true
 				case SetTimer:
 					timers[a.Token] = now + a.After
 				}
@@ -89,11 +89,11 @@
 				}
 				all = append(all, n)
 				step(SettingsUpdate{Settings: n, PreviousClass: from})
-			case 1, 2: // some come late, under settings before
+			case 1, 2: // some arrive late, under earlier settings
 				g := len(all) - 1 - rapid.IntRange(0, min(len(all)-1, keptVersions-1)).Draw(t, "back")
 				class := rapid.IntRange(0, len(all[g].Classes)-1).Draw(t, "class")
 				id := fmt.Sprint("r", i)
-				requests[id] = &seen{class: all[g].Classes[class], max: all[g].MaxAttempts}
+				requests[id] = &observedRequest{class: all[g].Classes[class], max: all[g].MaxAttempts}
 				step(Request{ID: id, Class: class, Generation: uint64(g), TimeLeft: 6 * time.Second})
 			case 3:
 				if len(open) == 0 {
@@ -104,10 +104,10 @@
 				res := Result(rapid.IntRange(0, int(NotSent)).Draw(t, "result"))
 				r := requests[o.id]
 				if res.NeverRan() {
-					r.risky--
+					r.mayHaveRun--
 				}
-				r.over = r.over || res == OK
-				step(Outcome{Request: o.id, Attempt: o.no, Backend: o.to, Latency: 50 * time.Millisecond, Result: res, Done: r.over})
+				r.ended = r.ended || res == OK
+				step(Outcome{Request: o.id, Attempt: o.no, Backend: o.to, Latency: 50 * time.Millisecond, Result: res, Done: r.ended})
 			case 4:
 				for token, at := range timers {
 					if at <= now {
@@ -118,13 +118,14 @@
 			}
 		}
 		if len(b.versions) > keptVersions+len(requests) {
-			t.Fatalf("%d settings are kept", len(b.versions))
+			t.Fatalf("%d settings versions kept", len(b.versions))
 		}
 	})
 }
 
-// Settings are forgotten once no request has them, but for a few for those on their way; a later one is refused at once.
-func TestSettingsAreForgotten(t *testing.T) {
+// Old settings are removed once no request uses them, except for the last few, which requests may still arrive under. A
+// request under removed settings is refused at once.
+func TestOldSettingsAreRemoved(t *testing.T) {
 	s := Settings{Balancers: 1, Classes: []Class{{Aim: time.Second, Deadline: time.Second}}}
 	b, err := New(s, 1)
 	if err != nil {
@@ -136,22 +137,22 @@
 		b.Step(time.Hour, []Event{SettingsUpdate{Settings: s, PreviousClass: []int{0}}})
 	}
 	if len(b.versions) != keptVersions+1 || b.versionOf(0) == nil {
-		t.Errorf("%d settings are kept, with those of the open request", len(b.versions))
+		t.Errorf("%d settings versions kept, including that of the open request", len(b.versions))
 	}
 	b.Step(time.Hour, []Event{Outcome{Request: "q", Backend: "s0", Latency: time.Millisecond}})
 	s.Generation++
 	b.Step(time.Hour, []Event{SettingsUpdate{Settings: s, PreviousClass: []int{0}}})
 	if len(b.versions) != keptVersions {
-		t.Errorf("%d settings are kept", len(b.versions))
+		t.Errorf("%d settings versions kept", len(b.versions))
 	}
 	actions := b.Step(time.Hour, []Event{Request{ID: "late", Generation: 1, TimeLeft: time.Second}})
 	if len(actions) != 1 || actions[0] != (Refuse{Request: "late"}) {
-		t.Errorf("a request under forgotten settings: %v", actions)
+		t.Errorf("request under removed settings: %v", actions)
 	}
 }
 
-// What was learned of backends stays, and of a class what goes on; settings that make no sense are not taken.
-func TestRetuneKeepsWhatWasLearned(t *testing.T) {
+// A settings update keeps the state of backends and of the classes that continue. Invalid settings are ignored.
+func TestSettingsUpdateKeepsState(t *testing.T) {
 	c := Class{Aim: time.Second, Deadline: time.Second, Worth: 1}
 	s := Settings{Balancers: 1, Classes: []Class{c, c}}
 	b, err := New(s, 1)
@@ -166,19 +167,19 @@
 	n.Classes = []Class{{Aim: 2 * time.Second, Deadline: 2 * time.Second, Effect: Unsafe}, c, c}
 	b.Step(time.Hour, []Event{SettingsUpdate{Settings: n, PreviousClass: []int{1, 0, -1}}})
 	if b.byID["s0"].latencyRatio != 3 || b.classes[0].latency != 77 || b.classes[0].Effect != Unsafe || b.classes[2].latency != float64(c.Aim)/4 {
-		t.Errorf("%+v %+v", b.classes[0], b.classes[2])
+		t.Errorf("state after the update: class 0 %+v, class 2 %+v", b.classes[0], b.classes[2])
 	}
 	bad := n
 	bad.Generation, bad.Classes = 2, nil
 	b.Step(time.Hour, []Event{SettingsUpdate{Settings: bad}})
 	if b.cfg.Generation != 1 {
-		t.Error("settings without a class were taken")
+		t.Error("settings without classes were accepted")
 	}
 }
 
-// A body that is still coming is no work for its backend yet: however long it takes, that is neither silent, nor slow, nor
-// full. Its request's times count from its last byte, and it is sent once.
-func TestComing(t *testing.T) {
+// A backend that is still receiving a body has no work yet: however long it takes, it counts as neither silent, slow nor
+// busy. The times of the request start with the last byte, and it is sent once.
+func TestPendingBody(t *testing.T) {
 	newBalancer := func() *Balancer {
 		b, err := New(Settings{Balancers: 1, MaxAttempts: 3, SecondCopies: true, ConnectTimeout: 250 * time.Millisecond,
 			Classes: []Class{{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}}}, 1)
@@ -190,7 +191,7 @@
 	}
 	now := time.Hour
 	b := newBalancer()
-	if to := sendsOf(b.Step(now, []Event{Request{ID: "big", TimeLeft: 2 * time.Second, BodyPending: true}})); len(to) != 1 {
+	if to := sentBackends(b.Step(now, []Event{Request{ID: "big", TimeLeft: 2 * time.Second, BodyPending: true}})); len(to) != 1 {
 		t.Fatalf("sent to %v", to)
 	}
 	now += time.Minute
@@ -199,12 +200,12 @@
 	if b.isSilent(s0) || b.slowness(s0) != 1 || b.load(s0) != 0 || b.inFlight-b.stuck != 0 {
 		t.Errorf("silent %v, slowness %v, load %v, %d count as in flight", b.isSilent(s0), b.slowness(s0), b.load(s0), b.inFlight-b.stuck)
 	}
-	if to := sendsOf(b.Step(now, []Event{Request{ID: "small", TimeLeft: time.Second}})); len(to) != 1 {
-		t.Errorf("beside it %v", to)
+	if to := sentBackends(b.Step(now, []Event{Request{ID: "small", TimeLeft: time.Second}})); len(to) != 1 {
+		t.Errorf("second request sent to %v", to)
 	}
 	b.Step(now, []Event{BodySent{Request: "big"}})
 	if r := b.requests["big"]; r.deadline != now+2*time.Second || r.aim != now+time.Second || b.load(s0) != 2 {
-		t.Errorf("deadline %v, aim %v after its last byte; load %v", r.deadline-now, r.aim-now, b.load(s0))
+		t.Errorf("deadline %v, aim %v after the last byte; load %v", r.deadline-now, r.aim-now, b.load(s0))
 	}
 
 	for _, tt := range []struct {
@@ -227,10 +228,10 @@
 			}
 		}
 		if got != tt.want {
-			t.Errorf("result %d, spent %v: %q, want %q", tt.result, tt.spent, got, tt.want)
+			t.Errorf("result %d, body consumed %v: %q, want %q", tt.result, tt.spent, got, tt.want)
 		}
 		if tokens := b.bucket.Tokens(); tt.spent && tokens != retryBucketCapacity {
-			t.Errorf("result %d: a token was spent for a retry that can't go out", tt.result)
+			t.Errorf("result %d: a token was spent for a retry that can't be sent", tt.result)
 		}
 	}
 }
--- a/state.go
+++ b/state.go
@@ -34,7 +34,7 @@
 	bucket           retry.Bucket  // private token bucket of retries
 	retryBudget      float64       // retries left in the budget shared by all agents
 	classes          []*classState // of the current settings
-	inFlight         int
+	inFlight         int           // attempts in flight
 	stuck            int           // of these, on unusable backends, overdue, or with a pending body
 	limitPerBackend  float64       // in-flight limit of all agents together, per unit of capacity
 	upCount          int           // available backends
