--- a/internal/consensus/ballot_test.go
+++ b/internal/consensus/consensus_test.go
@@ -9,24 +9,24 @@
 
 // What may be counted together, of three members.
 func TestSound(t *testing.T) {
-	v := func(by int, incs ...uint64) Vouch { return Vouch{By: by, Incs: incs} }
+	v := func(by int, incs ...uint64) Origin { return Origin{Voter: by, Incarnations: incs} }
 	for _, c := range []struct {
 		name string
-		of   []Vouch
+		of   []Origin
 		want []int // places whose answers stay
 	}{
-		{"all of one age", []Vouch{v(0, 1, 1, 1), v(1, 1, 1, 1), v(2, 1, 1, 1)}, []int{0, 1, 2}},
-		{"one knows another as reborn", []Vouch{v(0, 1, 2, 1), v(1, 1, 1, 1), v(2, 1, 1, 1)}, []int{0, 2}},
-		{"the reborn one itself", []Vouch{v(0, 1, 1, 1), v(1, 1, 2, 1)}, []int{0, 1}},
-		{"told twice", []Vouch{v(1, 1, 1, 1), v(1, 1, 1, 1), v(0, 1, 1, 1)}, []int{1, 0}},
-		{"told before and after its loss", []Vouch{v(1, 1, 1, 1), v(1, 1, 2, 1), v(0, 1, 1, 1)}, []int{0}},
-		{"each knows the other as reborn", []Vouch{v(0, 1, 2, 1), v(1, 2, 1, 1)}, nil},
-		{"no place", []Vouch{v(-1, 1, 1, 1), v(3, 1, 1, 1), v(0)}, nil},
-		{"a shorter list", []Vouch{v(0, 1), v(1, 1, 1)}, []int{0, 1}},
+		{"all of one age", []Origin{v(0, 1, 1, 1), v(1, 1, 1, 1), v(2, 1, 1, 1)}, []int{0, 1, 2}},
+		{"one knows another as reborn", []Origin{v(0, 1, 2, 1), v(1, 1, 1, 1), v(2, 1, 1, 1)}, []int{0, 2}},
+		{"the reborn one itself", []Origin{v(0, 1, 1, 1), v(1, 1, 2, 1)}, []int{0, 1}},
+		{"told twice", []Origin{v(1, 1, 1, 1), v(1, 1, 1, 1), v(0, 1, 1, 1)}, []int{1, 0}},
+		{"told before and after its loss", []Origin{v(1, 1, 1, 1), v(1, 1, 2, 1), v(0, 1, 1, 1)}, []int{0}},
+		{"each knows the other as reborn", []Origin{v(0, 1, 2, 1), v(1, 2, 1, 1)}, nil},
+		{"no place", []Origin{v(-1, 1, 1, 1), v(3, 1, 1, 1), v(0)}, nil},
+		{"a shorter list", []Origin{v(0, 1), v(1, 1, 1)}, []int{0, 1}},
 	} {
 		var got []int
-		for _, v := range Sound(c.of) {
-			got = append(got, v.By)
+		for _, v := range Countable(c.of) {
+			got = append(got, v.Voter)
 		}
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -38,13 +38,13 @@
 func TestBase(t *testing.T) {
 	key := configuration.Key{Kind: configuration.Routes, Name: "r"}
 	p := func(by int, n uint64) Promise {
-		p := Promise{Vouch: Vouch{By: by, Incs: []uint64{1, 1, 1}}, Given: true, Accepted: configuration.Ballot{N: n}}
+		p := Promise{Origin: Origin{Voter: by, Incarnations: []uint64{1, 1, 1}}, Granted: true, Accepted: configuration.Ballot{N: n}}
 		if n > 0 {
 			p.Items = []configuration.Item{{Key: key, Version: configuration.Version(n)}}
 		}
 		return p
 	}
-	refused := Promise{Vouch: p(1, 0).Vouch, Promised: configuration.Ballot{N: 9}}
+	refused := Promise{Origin: p(1, 0).Origin, Promised: configuration.Ballot{N: 9}}
 	for _, c := range []struct {
 		name       string
 		of         []Promise
--- a/internal/consensus/pages_test.go
+++ b/internal/consensus/pages_test.go
@@ -137,21 +137,23 @@
 	return s
 }
 
-func itemsOf(s configuration.Set) []configuration.Item { return Since(s, configuration.Ballot{}) }
+func itemsOf(s configuration.Set) []configuration.Item {
+	return ChangedSince(s, configuration.Ballot{})
+}
 
 // load is what a member reads off its disk.
 func (m pageMember) load() *Acceptor {
-	a := &Acceptor{Promised: ball(m.promised), Accepted: ball(m.accepted), Chosen: ball(m.chosen), Target: ball(m.target), Stands: m.base.kept()}
+	a := &Acceptor{Promised: ball(m.promised), Accepted: ball(m.accepted), Chosen: ball(m.chosen), Target: ball(m.target), Base: m.base.kept()}
 	if m.accepted > 0 {
-		a.Value = a.Stands.With(itemsOf(m.delta.kept())...)
+		a.Value = a.Base.With(itemsOf(m.delta.kept())...)
 	}
 	return a
 }
 
 // saved is what it puts there.
 func saved(a *Acceptor, delta content) pageMember {
-	m := pageMember{uint8(a.Promised.N), uint8(a.Accepted.N), uint8(a.Chosen.N), 0, contentOf(itemsOf(a.Stands)), delta}
-	if a.CatchesUp() {
+	m := pageMember{uint8(a.Promised.N), uint8(a.Accepted.N), uint8(a.Chosen.N), 0, contentOf(itemsOf(a.Base)), delta}
+	if a.CatchingUp() {
 		m.target = uint8(a.Target.N)
 	}
 	return m
@@ -226,7 +228,7 @@
 			p := once(k.promised, promising{m, b, r.have}, func() (told pagePromise) {
 				if a := m.load(); a.Prepare(ball(b)) {
 					p := a.Promise(vouch(i, 1), ball(r.have))
-					told = pagePromise{1, m.accepted, m.chosen, uint8(p.Known.N), contentOf(p.Items)}
+					told = pagePromise{1, m.accepted, m.chosen, uint8(p.KnownChosen.N), contentOf(p.Items)}
 				}
 				return told
 			})
@@ -265,14 +267,14 @@
 			continue
 		}
 		x := once(k.based, heard, func() (x basis) {
-			g := Round{Voters: members, Have: ball(r.have), Held: heard.held.kept()}
+			g := Round{Voters: members, HeldBallot: ball(r.have), HeldValue: heard.held.kept()}
 			for i, p := range heard.promises {
 				if p.given > 0 {
-					g.Add(Promise{Vouch: vouch(i, 1), Given: true, Accepted: ball(p.accepted), Chosen: ball(p.chosen), Known: ball(p.known), Items: itemsOf(p.items.kept())})
+					g.Add(Promise{Origin: vouch(i, 1), Granted: true, Accepted: ball(p.accepted), Chosen: ball(p.chosen), KnownChosen: ball(p.known), Items: itemsOf(p.items.kept())})
 				}
 			}
 			value, at, chosen, ok := g.Base()
-			return basis{g.Short != "", ok, chosen, uint8(at.N), contentOf(itemsOf(value))}
+			return basis{g.NoBaseReason != "", ok, chosen, uint8(at.N), contentOf(itemsOf(value))}
 		})
 		to2 := s
 		switch {
@@ -309,8 +311,8 @@
 	for _, base := range bases {
 		x := once(k.accepted, accepting{m, b, base, r.value}, func() (x change) {
 			a := m.load()
-			if x.ok = a.May(ball(b), ball(base)) || k.anyBase && a.May(ball(b), configuration.Ballot{}); x.ok {
-				delta := a.Delta(Since(r.value.kept(), ball(base)))
+			if x.ok = a.CanAccept(ball(b), ball(base)) || k.anyBase && a.CanAccept(ball(b), configuration.Ballot{}); x.ok {
+				delta := a.Delta(ChangedSince(r.value.kept(), ball(base)))
 				a.Accept(ball(b), delta)
 				if x.m = saved(a, contentOf(delta)); k.folds {
 					x.m.base, x.m.chosen, x.m.delta = contentOf(itemsOf(a.Value)), b, content{}
@@ -362,9 +364,9 @@
 }
 
 func (k pageRules) turn(m pageMember, from, upto, target uint8, value content) (x change) {
-	p := Page{From: ball(from), Upto: ball(upto), Target: ball(target)}
-	for _, i := range Since(value.kept(), p.From) {
-		if !p.Upto.Less(i.Ballot) {
+	p := Page{From: ball(from), UpTo: ball(upto), Target: ball(target)}
+	for _, i := range ChangedSince(value.kept(), p.From) {
+		if !p.UpTo.Less(i.Ballot) {
 			p.Items = append(p.Items, i)
 		}
 	}
@@ -375,11 +377,11 @@
 	if k.apart { // whatever it holds
 		a.Chosen = p.From
 	}
-	if !a.Turns(p) {
+	if !a.CanApplyPage(p) {
 		return x
 	}
 	promised := a.Promised
-	a.Turn(p)
+	a.ApplyPage(p)
 	switch {
 	case k.unpromised:
 		a.Promised = promised
@@ -389,7 +391,7 @@
 		a.Accepted, a.Target = a.Chosen, configuration.Ballot{}
 	}
 	x = change{true, saved(a, content{})}
-	if k.beside && a.CatchesUp() {
+	if k.beside && a.CatchingUp() {
 		x.m.accepted, x.m.delta = m.accepted, m.delta
 	}
 	return x
@@ -437,7 +439,7 @@
 		{"in force at a lower target than an earlier page had", pageRules{forgets: true}, false},
 		{"a page that does not follow", pageRules{apart: true}, false},
 	} {
-		if modelcheck.Slow && c.ok {
+		if modelcheck.RaceEnabled && c.ok {
 			continue
 		}
 		begun := time.Now()
@@ -450,8 +452,8 @@
 		for i := range 2 {
 			first.m[i] = pageMember{promised: 1, accepted: 1, delta: v}
 		}
-		n, err := modelcheck.Whole(first, k.next, k.broken, 4e6)
-		if wrong := modelcheck.Verdict(c.ok, n, err); wrong != nil {
+		n, err := modelcheck.Explore(first, k.next, k.broken, 4e6)
+		if wrong := modelcheck.CheckResult(c.ok, n, err); wrong != nil {
 			t.Errorf("%s: %v", c.name, wrong)
 		}
 		t.Logf("%s: %d states in %v, %v", c.name, n, time.Since(begun).Round(time.Millisecond), err)
--- a/internal/consensus/order_test.go
+++ b/internal/consensus/request_test.go
@@ -93,7 +93,7 @@
 	if t, ok := k.laid[at]; ok {
 		return t
 	}
-	o := Order{Items: k.calls[order], Since: configuration.Version(since)}
+	o := Request{Items: k.calls[order], KnownRefusal: configuration.Version(since)}
 	base := k.values[value]
 	if k.recordless {
 		for i := range base.All() {
@@ -107,11 +107,11 @@
 	if k.byteWise {
 		for _, i := range o.Items {
 			if cur, _ := base.Get(i.Key); cur.Version == i.Version && string(cur.Spec) != string(i.Spec) {
-				return try{value: value, verdict: Conflicts}
+				return try{value: value, verdict: Conflicting}
 			}
 		}
 	}
-	out := o.Lay(base, configuration.Ballot{N: 1}, func(next configuration.Set) error { return next.Check() })
+	out := o.Apply(base, configuration.Ballot{N: 1}, func(next configuration.Set) error { return next.Check() })
 	if k.forgetful && out.Verdict == Invalid {
 		out.Next = base
 	}
@@ -273,7 +273,7 @@
 	switch t.verdict {
 	case Acknowledged:
 		c.acknowledged = true
-	case Conflicts, Invalid:
+	case Conflicting, Invalid:
 		c.refused = b
 	}
 }
@@ -406,7 +406,7 @@
 		{"a refusal that is not written", [][]configuration.Item{addC, toC}, []uint8{0, 1, 1}, 5, false, func(k *harbourRules) { k.lazy = true }},
 		{"a refusal that is not remembered", [][]configuration.Item{addC, toC}, []uint8{1, 0, 1}, 4, true, func(k *harbourRules) { k.forgetful = true }},
 	} {
-		if modelcheck.Slow && c.wrong == nil {
+		if modelcheck.RaceEnabled && c.wrong == nil {
 			continue
 		}
 		t.Run(c.name, func(t *testing.T) {
@@ -427,11 +427,11 @@
 			for n := range c.copies {
 				begin.copies[n].came = k.early
 			}
-			n, err := modelcheck.Whole(begin, k.next, k.broken, 4e6)
-			if wrong := modelcheck.Verdict(c.wrong == nil, n, err); wrong != nil {
+			n, err := modelcheck.Explore(begin, k.next, k.broken, 4e6)
+			if wrong := modelcheck.CheckResult(c.wrong == nil, n, err); wrong != nil {
 				t.Error(wrong)
 			}
-			var b *modelcheck.Broken
+			var b *modelcheck.Violation
 			if errors.As(err, &b) {
 				t.Log(b)
 			}
--- a/internal/consensus/explore_test.go
+++ b/internal/consensus/rounds_test.go
@@ -76,7 +76,9 @@
 	return x
 }
 
-func vouch(by int, inc uint8) Vouch { return Vouch{By: by, Incs: []uint64{uint64(inc), 1, 1}} }
+func vouch(by int, inc uint8) Origin {
+	return Origin{Voter: by, Incarnations: []uint64{uint64(inc), 1, 1}}
+}
 
 func (m *member) push(w write) bool {
 	for i := range m.queue {
@@ -176,7 +178,7 @@
 				n.m[i] = m
 				to(n, "member %d promises %d, has %d, under %d", i, b, m.accepted, m.inc)
 			}
-		} else if r.accepts[i]&(1<<m.inc) == 0 && a.May(ball(b), configuration.Ballot{}) && m.push(write{putAccept, b, 0, m.inc}) {
+		} else if r.accepts[i]&(1<<m.inc) == 0 && a.CanAccept(ball(b), configuration.Ballot{}) && m.push(write{putAccept, b, 0, m.inc}) {
 			n := s
 			if k.early {
 				n.r[b].accepts[i] |= 1 << m.inc
@@ -187,16 +189,16 @@
 	}
 }
 
-func (k rules) sound(vs []Vouch) int {
+func (k rules) sound(vs []Origin) int {
 	if k.unsound {
 		return len(vs)
 	}
-	return len(Sound(vs))
+	return len(Countable(vs))
 }
 
 // chosen reports whether some of the answers make a majority, with one of each member at the most.
 func (k rules) chosen(told [members]uint8) bool {
-	var vs [members][]Vouch
+	var vs [members][]Origin
 	for i := range members {
 		for inc := uint8(1); inc <= 3; inc++ {
 			if told[i]&(1<<inc) != 0 {
@@ -204,7 +206,7 @@
 			}
 		}
 	}
-	return each(vs[:], nil, func(vs []Vouch) bool { return k.sound(vs) >= Majority(members) })
+	return each(vs[:], nil, func(vs []Origin) bool { return k.sound(vs) >= Majority(members) })
 }
 
 // each tries all choices of one or none of each list, until one will do.
@@ -228,9 +230,9 @@
 	for i := range members {
 		for n := range uint8(12) {
 			if told[i]&(1<<n) != 0 {
-				p := Promise{Vouch: vouch(i, n%3+1), Given: true, Accepted: ball(n / 3)}
+				p := Promise{Origin: vouch(i, n%3+1), Granted: true, Accepted: ball(n / 3)}
 				if k.unsound {
-					p.Vouch.Incs[0] = 1
+					p.Origin.Incarnations[0] = 1
 				}
 				ps[i] = append(ps[i], p)
 			}
@@ -407,13 +409,13 @@
 		{"an incarnation on disk before what was taken", rules{memory: 1, disks: 1, halves: true}, false},
 		{"a base that is not the highest", rules{anyBase: true, more: 1}, false},
 	} {
-		if c.k.long && !*all || modelcheck.Slow && (c.k.disks > 0 || c.k.more > 0) {
+		if c.k.long && !*all || modelcheck.RaceEnabled && (c.k.disks > 0 || c.k.more > 0) {
 			continue
 		}
 		begun := time.Now()
 		c.k.bases = map[[members]uint16]outcomes{}
-		n, err := modelcheck.Whole(first, c.k.next, broken, 4e6)
-		if wrong := modelcheck.Verdict(c.ok, n, err); wrong != nil {
+		n, err := modelcheck.Explore(first, c.k.next, broken, 4e6)
+		if wrong := modelcheck.CheckResult(c.ok, n, err); wrong != nil {
 			t.Errorf("%s: %v", c.name, wrong)
 		}
 		t.Logf("%s: %d states in %v", c.name, n, time.Since(begun).Round(time.Millisecond))
--- a/internal/dataplane/answers_test.go
+++ b/internal/dataplane/answers_test.go
@@ -40,7 +40,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWay(t, strings.Replace(lookup, "idempotent", "deduplicated", 1), func(io.Writer, *http.Request) { t.Error("it ran again") })
 		id := idempotency.ID{Life: 7, N: 1}
-		w.book.Ask(func(b *idempotency.Book[*Answer]) {
+		w.book.Do(func(b *idempotency.Book[*Answer]) {
 			b.Begin(w.now(), "k", id)
 			b.End("k", id, idempotency.Done, &Answer{Status: 200, Header: []Field{{Name: HeaderID, Value: "A"}}, Body: []byte("kept"), Length: 4}, 4, "")
 		})
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -106,9 +106,9 @@
 	if o.Heard == nil {
 		o.Heard = func(string) {}
 	}
-	g := &DataPlane{o: o, Gate: newGate(o, pacer), balancer: rpc.Own(h, 256), hops: newHops(o.Net, pacer),
+	g := &DataPlane{o: o, Gate: newGate(o, pacer), balancer: rpc.StartOwner(h, 256), hops: newHops(o.Net, pacer),
 		left: disconnect.New(disconnect.Interval), conns: map[*client]bool{}}
-	g.book = rpc.Own(idempotency.NewBook[*Answer](o.KeyWindow, o.AnswerBytes/2), 256)
+	g.book = rpc.StartOwner(idempotency.NewBook[*Answer](o.KeyWindow, o.AnswerBytes/2), 256)
 	return g
 }
 
@@ -116,7 +116,7 @@
 
 // Learn takes news of backends.
 func (g *DataPlane) Learn(news []backends.Berth) {
-	g.balancer.Ask(func(h *Balancer) { h.Learn(g.now(), news) })
+	g.balancer.Do(func(h *Balancer) { h.Learn(g.now(), news) })
 }
 
 // Hear takes news of the backend beside this proxy, without waiting for them to be taken.
@@ -131,7 +131,7 @@
 
 // Drop forgets nodes that are gone for good.
 func (g *DataPlane) Drop(nodes []string) {
-	g.balancer.Ask(func(h *Balancer) { h.Drop(nodes) })
+	g.balancer.Do(func(h *Balancer) { h.Drop(nodes) })
 }
 
 // Configure has the requests to come taken by another chart.
@@ -193,7 +193,7 @@
 
 // relays draws up to n other proxies that can be reached, as far as is known.
 func (g *DataPlane) relays(n int) (at []string) {
-	g.balancer.Ask(func(h *Balancer) { at = h.Relays(g.now(), n) })
+	g.balancer.Do(func(h *Balancer) { at = h.Relays(g.now(), n) })
 	return at
 }
 
@@ -201,7 +201,7 @@
 func (g *DataPlane) recallOwn(a *ask) outcome {
 	var op idempotency.Op[*Answer]
 	known := false
-	g.book.Ask(func(b *idempotency.Book[*Answer]) { op, known = b.Look(a.Key) })
+	g.book.Do(func(b *idempotency.Book[*Answer]) { op, known = b.Look(a.Key) })
 	o := recalled(op, known, a.Claim)
 	if a.Claim.Life == g.o.Life && (!known || op.ID != a.Claim) { // of this life, and not the one that was sent: it is void
 		o.State = idempotency.Void
@@ -239,9 +239,9 @@
 	}
 	g.mu.Unlock()
 	g.Gate.CloseAll()
-	g.balancer.End()
-	g.book.End()
-	g.Gate.book.End()
+	g.balancer.Stop()
+	g.book.Stop()
+	g.Gate.book.Stop()
 }
 
 // Report gives the counts by name.
--- a/internal/dataplane/front.go
+++ b/internal/dataplane/front.go
@@ -550,7 +550,7 @@
 			k = errcode.ClientLeft
 			break
 		}
-		g.balancer.Ask(func(h *Balancer) {
+		g.balancer.Do(func(h *Balancer) {
 			now := g.now()
 			if retries == 0 {
 				service = h.Service(v.route)
@@ -610,7 +610,7 @@
 		failed = c.node
 		var wait time.Duration
 		var no denial
-		g.balancer.Ask(func(h *Balancer) {
+		g.balancer.Do(func(h *Balancer) {
 			wait, no = h.Again(g.now(), v.route, service, retries, k, sent > 0, time.Until(v.cut))
 		})
 		if v.log.denied = no; no != granted {
--- a/internal/dataplane/gate.go
+++ b/internal/dataplane/gate.go
@@ -64,7 +64,7 @@
 	g := &Gate{o: o, pacer: pacer, pool: links.New(backendIdle, backendDial, 0), left: disconnect.New(disconnect.Interval), open: map[*resting]bool{},
 		berth: backends.Berth{Node: o.Node, Addr: o.GateAddr, Zone: o.Zone, Life: o.Life, Version: 1, Service: o.Service}}
 	g.pool.Net = sock.On(o.Net)
-	g.book = rpc.Own(idempotency.NewBook[*Answer](o.KeyWindow, o.AnswerBytes/2), 256)
+	g.book = rpc.StartOwner(idempotency.NewBook[*Answer](o.KeyWindow, o.AnswerBytes/2), 256)
 	return g
 }
 
@@ -241,7 +241,7 @@
 		return g.tell(givenUp(false))
 	}
 	if a.Key != "" {
-		g.book.Ask(func(b *idempotency.Book[*Answer]) {
+		g.book.Do(func(b *idempotency.Book[*Answer]) {
 			b.Forget(a.Key, a.Claim)
 			b.Begin(time.Since(g.o.Begun), a.Key, a.Claim)
 		})
@@ -277,7 +277,7 @@
 		case o.Code.NotRun():
 			state = idempotency.Void
 		}
-		g.book.Ask(func(b *idempotency.Book[*Answer]) { b.End(a.Key, a.Claim, state, o.answer, size, "") })
+		g.book.Do(func(b *idempotency.Book[*Answer]) { b.End(a.Key, a.Claim, state, o.answer, size, "") })
 	}
 	return g.tell(o)
 }
@@ -292,7 +292,7 @@
 	g.Counts.Recalls.Add(1)
 	var op idempotency.Op[*Answer]
 	known := false
-	g.book.Ask(func(b *idempotency.Book[*Answer]) { op, known = b.Look(a.Key) })
+	g.book.Do(func(b *idempotency.Book[*Answer]) { op, known = b.Look(a.Key) })
 	if op.State == idempotency.Void { // of one attempt; another under the same claim may be on its way here
 		known = false
 	}
--- a/internal/dataplane/gate_test.go
+++ b/internal/dataplane/gate_test.go
@@ -159,7 +159,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(Options{Node: "n", Service: "ledger", GateAddr: "a:1", Life: 7, Begun: time.Now(), Heartbeat: time.Minute,
 			KeyWindow: time.Minute, AnswerBytes: 1 << 20, Log: func(string, string) {}}, nil)
-		defer g.book.End()
+		defer g.book.Stop()
 		g.Beat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 10, Count: 1, State: backends.Serving})
 		enter := func(rank int) errcode.Kind {
 			return g.enter(context.Background(), &ask{Instance: "i-1", Service: "ledger", Rank: rank})
@@ -199,7 +199,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(Options{Node: "n", Service: "ledger", GateAddr: "a:1", Life: 7, Begun: time.Now(), Heartbeat: time.Minute,
 			KeyWindow: time.Minute, AnswerBytes: 1 << 20, Log: func(string, string) {}}, nil)
-		defer g.book.End()
+		defer g.book.Stop()
 		g.Beat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 6, Count: 1, State: backends.Serving})
 		var served [3]atomic.Int64
 		var all sync.WaitGroup
@@ -272,7 +272,7 @@
 	}
 	// The gate's own book tells of single attempts: none of them proves that a claim is void.
 	g := gateOf(t)
-	g.book.Ask(func(b *idempotency.Book[*Answer]) {
+	g.book.Do(func(b *idempotency.Book[*Answer]) {
 		b.Begin(0, "k", id)
 		b.End("k", id, idempotency.Void, nil, 0, "")
 	})
--- a/internal/dataplane/keyed.go
+++ b/internal/dataplane/keyed.go
@@ -31,7 +31,7 @@
 	id := idempotency.ID{Life: g.o.Life, N: g.claim.Add(1), At: g.o.GateAddr}
 	var known idempotency.Op[*Answer]
 	begun := false
-	g.book.Ask(func(b *idempotency.Book[*Answer]) { known, begun = b.Begin(g.now(), v.key, id) })
+	g.book.Do(func(b *idempotency.Book[*Answer]) { known, begun = b.Begin(g.now(), v.key, id) })
 	if !begun {
 		if known.State == idempotency.Unknown && known.Where != "" { // the proxy beside the backend may have got the answer since
 			return v.told(v.recall(known.Where, known.ID))
@@ -81,7 +81,7 @@
 	if a != nil {
 		size = a.size()
 	}
-	v.g.book.Ask(func(b *idempotency.Book[*Answer]) { b.End(v.key, v.claim, s, a, size, where) })
+	v.g.book.Do(func(b *idempotency.Book[*Answer]) { b.End(v.key, v.claim, s, a, size, where) })
 }
 
 // release gives the claim back: nothing ran under it, and nothing will.
@@ -136,7 +136,7 @@
 			time.Sleep(5*time.Millisecond + rand.N(20*time.Millisecond))
 			old := v.claim // void for good
 			v.claim = idempotency.ID{Life: g.o.Life, N: g.claim.Add(1), At: g.o.GateAddr}
-			g.book.Ask(func(b *idempotency.Book[*Answer]) {
+			g.book.Do(func(b *idempotency.Book[*Answer]) {
 				b.Forget(v.key, old)
 				b.Begin(g.now(), v.key, v.claim)
 			})
@@ -261,7 +261,7 @@
 	}
 	if o.Code == errcode.Gone || o.Code == errcode.Away || o.Code == errcode.Broken || o.Code == errcode.TimedOut {
 		var at []string
-		v.g.balancer.Ask(func(h *Balancer) {
+		v.g.balancer.Do(func(h *Balancer) {
 			for _, r := range h.rows {
 				for _, s := range v.route.Split {
 					if r.Service == s.Service && r.Addr != holder.At {
--- a/internal/dataplane/loss_test.go
+++ b/internal/dataplane/loss_test.go
@@ -115,7 +115,7 @@
 		ask(get, nil, "late_backoff", missed)
 		took, first = 500*time.Millisecond, 800*time.Millisecond
 		ask(get, nil, "late_backend", missed)
-		w.balancer.Ask(func(h *Balancer) { h.Allowance, h.Ratio, h.rations = 0, 0, map[string]*retrybudget.Ration{} })
+		w.balancer.Do(func(h *Balancer) { h.Allowance, h.Ratio, h.rations = 0, 0, map[string]*retrybudget.Ration{} })
 		first = 0
 		ask(get, nil, "failed_ration", missed)
 		took = 1001 * time.Millisecond
--- a/internal/dataplane/report.go
+++ b/internal/dataplane/report.go
@@ -32,7 +32,7 @@
 func (g *DataPlane) Tell(r *messages.Reported, own *messages.TugReport, brief bool) {
 	var all []messages.BerthReport
 	left := map[string]float64{}
-	g.balancer.Ask(func(h *Balancer) {
+	g.balancer.Do(func(h *Balancer) {
 		now := g.now()
 		own.Tokens = h.bucket.Tokens()
 		for s, x := range h.rations {
@@ -58,7 +58,7 @@
 }
 
 func bookOf(o *rpc.Owner[idempotency.Book[*Answer]]) (k messages.Book) {
-	o.Ask(func(b *idempotency.Book[*Answer]) {
+	o.Do(func(b *idempotency.Book[*Answer]) {
 		_, bytes := b.Len()
 		k = messages.Book{AtWork: b.In(idempotency.AtWork), Done: b.In(idempotency.Done), Unknown: b.In(idempotency.Unknown), Void: b.In(idempotency.Void), Bytes: bytes}
 	})
--- a/internal/dataplane/walk_front_test.go
+++ b/internal/dataplane/walk_front_test.go
@@ -255,16 +255,16 @@
 }
 
 // The last deed of each script is a request, two at once, or the last request with one behind it.
-var walkOfFronts = modelcheck.Walk[*frontWalk]{Deeds: len(clientDeeds), Deed: func(i int) string { return clientDeeds[i].name }, Length: 2,
-	Ways: []string{"a request", "two at once", "the last"}, Begin: newFrontWalk,
-	World: func(t *testing.T, w *frontWalk, script []int, way int) string {
+var walkOfFronts = modelcheck.ScriptTest[*frontWalk]{Actions: len(clientDeeds), ActionName: func(i int) string { return clientDeeds[i].name }, ScriptLength: 2,
+	Modes: []string{"a request", "two at once", "the last"}, Setup: newFrontWalk,
+	Run: func(t *testing.T, w *frontWalk, script []int, way int) string {
 		return w.world(t, append(script, [...]int{0, 4, 9}[way]))
 	},
-	End: func(*frontWalk) {}}
+	Teardown: func(*frontWalk) {}}
 
 // Whatever a client does on its connection, and its backend with a request, no answer goes to another request, and nothing runs
 // that was not sent whole.
-func TestWalkOfFront(t *testing.T) { walkOfFronts.Holds(t) }
+func TestWalkOfFront(t *testing.T) { walkOfFronts.Check(t) }
 
 // swapping holds the answer to the first of requests that came at once back until the next one has gone.
 type swapping struct {
@@ -353,7 +353,7 @@
 			go w.Serve(wrappingListener{l, wrap})
 		}
 	}
-	walkOfFronts.Finds(t, map[string]func(w *frontWalk){
+	walkOfFronts.CheckMutants(t, map[string]func(w *frontWalk){
 		"answers out of order":     through(func(c net.Conn) net.Conn { return &swapping{Conn: c} }),
 		"ends what is cut":         through(func(c net.Conn) net.Conn { return &filling{Conn: c} }),
 		"reads in one of two ways": through(func(c net.Conn) net.Conn { return &deaf{c} }),
--- a/internal/dataplane/walk_gate_test.go
+++ b/internal/dataplane/walk_gate_test.go
@@ -188,7 +188,7 @@
 	}
 	g := newGate(Options{Node: "n", Service: "ledger", App: addr, GateAddr: "a:1", Life: 7, Begun: time.Now(), Heartbeat: time.Hour,
 		KeyWindow: time.Minute, AnswerBytes: 1 << 20, Net: w.net, Log: func(string, string) {}}, nil)
-	defer g.book.End()
+	defer g.book.Stop()
 	defer l.Close()
 	g.Beat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 4, Count: 1, State: backends.Serving})
 	go w.serve(l, script)
@@ -265,15 +265,15 @@
 	{[3]string{"A", "B", "A"}, nil},
 }
 
-var walkOfGates = modelcheck.Walk[*gateWalk]{Deeds: len(backendDeeds), Deed: func(i int) string { return backendDeeds[i].name }, Length: 2,
-	Ways: []string{"others", "again after a proof", "again after a failure", "again behind another"}, Begin: newGateWalk,
-	World: func(t *testing.T, w *gateWalk, script []int, way int) string {
+var walkOfGates = modelcheck.ScriptTest[*gateWalk]{Actions: len(backendDeeds), ActionName: func(i int) string { return backendDeeds[i].name }, ScriptLength: 2,
+	Modes: []string{"others", "again after a proof", "again after a failure", "again behind another"}, Setup: newGateWalk,
+	Run: func(t *testing.T, w *gateWalk, script []int, way int) string {
 		return w.world(t, gateWays[way].ids, append(script, 0), gateWays[way].again)
 	},
-	End: func(w *gateWalk) { w.p.End() }}
+	Teardown: func(w *gateWalk) { w.p.End() }}
 
 // Whatever happens to a request at the backend, and to the one before it, none gets another's answer and none runs twice.
-func TestWalkOfGateAndBackend(t *testing.T) { walkOfGates.Holds(t) }
+func TestWalkOfGateAndBackend(t *testing.T) { walkOfGates.Check(t) }
 
 // wrapping is a network whose connections are wrapped.
 type wrapping struct {
@@ -376,7 +376,7 @@
 // Wrong gates are found: one that does not compare ids, one that sends again after a reset, one that uses a connection again that
 // was thrown away with a request on it, and one that makes a request again where a copy of its first answer may come.
 func TestWalkFindsWrongGates(t *testing.T) {
-	walkOfGates.Finds(t, map[string]func(w *gateWalk){
+	walkOfGates.CheckMutants(t, map[string]func(w *gateWalk){
 		"ids are not compared": func(w *gateWalk) {
 			w.net = wrapping{w.p, func(dial func() (net.Conn, error)) (net.Conn, error) {
 				c, err := dial()
--- a/internal/dataplane/walk_hop_test.go
+++ b/internal/dataplane/walk_hop_test.go
@@ -245,16 +245,16 @@
 	return ""
 }
 
-var walkOfHops = modelcheck.Walk[*hopWalk]{Deeds: len(gateDeeds), Deed: func(i int) string { return gateDeeds[i].name }, Length: 2,
-	Ways: []string{"small", "large", "stream"}, Begin: newHopWalk, World: hopWorld, End: func(w *hopWalk) { w.end() }}
+var walkOfHops = modelcheck.ScriptTest[*hopWalk]{Actions: len(gateDeeds), ActionName: func(i int) string { return gateDeeds[i].name }, ScriptLength: 2,
+	Modes: []string{"small", "large", "stream"}, Setup: newHopWalk, Run: hopWorld, Teardown: func(w *hopWalk) { w.end() }}
 
 // Whatever happens to an ask, and to the one before it, none gets another's answer and none is sent twice.
-func TestWalkOfHops(t *testing.T) { walkOfHops.Holds(t) }
+func TestWalkOfHops(t *testing.T) { walkOfHops.Check(t) }
 
 // Wrong hops are found: those that compare no numbers, that send again after a reset, and that use a connection again that was
 // thrown away.
 func TestWalkFindsWrongHops(t *testing.T) {
-	walkOfHops.Finds(t, map[string]func(w *hopWalk){
+	walkOfHops.CheckMutants(t, map[string]func(w *hopWalk){
 		"numbers are not compared":  func(w *hopWalk) { w.same = true },
 		"sends again after a reset": func(w *hopWalk) { w.net = sendsAgain(w.net) },
 		"uses again what was thrown away, and compares no numbers": func(w *hopWalk) {
--- a/internal/dataplane/way_test.go
+++ b/internal/dataplane/way_test.go
@@ -149,7 +149,7 @@
 		n := 0
 		w.hops.pool.Net = dials{w.p, func() {
 			if n++; n == 1 {
-				w.balancer.End()
+				w.balancer.Stop()
 			} else if n > 20 {
 				time.Sleep(time.Minute) // else its time never ends
 			}
@@ -196,7 +196,7 @@
 		there := newGate(Options{Node: "m", Service: "ledger", GateAddr: "10.0.0.2:82", Life: 8, Begun: time.Now(), Heartbeat: time.Hour,
 			KeyWindow: time.Minute, Net: m, Log: func(string, string) {}}, nil)
 		go there.Serve(l, nil)
-		defer func() { m.End(); there.CloseAll(); there.book.End() }()
+		defer func() { m.End(); there.CloseAll(); there.book.Stop() }()
 		there.Beat(controlapi.Beat{ID: "i-2", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
 		there.enter(context.Background(), &ask{Instance: "i-2", Service: "ledger"}) // takes its only place
 		w.Gate.Leave("i-1")
@@ -231,6 +231,6 @@
 		w.o.Council.Close()
 		m.End()
 		other.CloseAll()
-		other.book.End()
+		other.book.Stop()
 	})
 }
--- a/internal/idempotency/explore_test.go
+++ b/internal/idempotency/explore_test.go
@@ -80,8 +80,8 @@
 
 func pack(incs [members]uint8) uint8 { return incs[0]<<4 | incs[1]<<2 | incs[2] } // below 64: incarnations up to 3
 
-func vouch(by int, p uint8) consensus.Vouch {
-	return consensus.Vouch{By: by, Incs: []uint64{uint64(p >> 4), uint64(p >> 2 & 3), uint64(p & 3)}}
+func vouch(by int, p uint8) consensus.Origin {
+	return consensus.Origin{Voter: by, Incarnations: []uint64{uint64(p >> 4), uint64(p >> 2 & 3), uint64(p & 3)}}
 }
 
 // bit of a vouch in a set: incarnations are from 1 to 3.
@@ -264,7 +264,7 @@
 }
 
 // wins reports whether some of what was told makes a majority, with one answer of each member at the most.
-func (r rules) wins(told [members]uint32, heard []consensus.Vouch) bool {
+func (r rules) wins(told [members]uint32, heard []consensus.Origin) bool {
 	v := Vote{Voters: members}
 	for _, h := range heard {
 		v.Add(Grant{Vouch: h, Given: true})
@@ -274,7 +274,7 @@
 	}
 	from := 0
 	if len(heard) > 0 {
-		from = heard[len(heard)-1].By + 1
+		from = heard[len(heard)-1].Voter + 1
 	}
 	for i := from; i < members; i++ {
 		for b := range 27 {
@@ -469,13 +469,13 @@
 		{"an incarnation on disk before what was taken", rules{memory: 1, disks: 1, halves: true}, false},
 		{"a repair that heard one that repairs itself", rules{disks: 2, lame: true}, false},
 	} {
-		if c.r.long && !*all || modelcheck.Slow && (c.r.disks > 0 || c.r.ids > 0) {
+		if c.r.long && !*all || modelcheck.RaceEnabled && (c.r.disks > 0 || c.r.ids > 0) {
 			continue
 		}
 		begun := time.Now()
 		c.r.won = map[[members]uint32]bool{}
-		n, err := modelcheck.Whole(begin(), c.r.next, broken, 6e6)
-		if wrong := modelcheck.Verdict(c.ok, n, err); wrong != nil {
+		n, err := modelcheck.Explore(begin(), c.r.next, broken, 6e6)
+		if wrong := modelcheck.CheckResult(c.ok, n, err); wrong != nil {
 			t.Errorf("%s: %v", c.name, wrong)
 		}
 		t.Logf("%s: %d states in %v", c.name, n, time.Since(begun).Round(time.Millisecond))
--- a/internal/idempotency/tally.go
+++ b/internal/idempotency/tally.go
@@ -102,9 +102,9 @@
 
 // Grant is one member's answer to a claim.
 type Grant struct {
-	Vouch  consensus.Vouch `cbor:"1,keyasint"`
-	Given  bool            `cbor:"2,keyasint"`
-	Holder ID              `cbor:"3,keyasint"` // who has it where it was not given
+	Vouch  consensus.Origin `cbor:"1,keyasint"`
+	Given  bool             `cbor:"2,keyasint"`
+	Holder ID               `cbor:"3,keyasint"` // who has it where it was not given
 }
 
 // Verdict of a vote.
@@ -121,7 +121,7 @@
 // Vote gathers the grants for one claim.
 type Vote struct {
 	Voters int
-	given  []consensus.Vouch
+	given  []consensus.Origin
 	denied map[ID]int
 	heard  int
 }
@@ -145,7 +145,7 @@
 // Verdict is where the vote stands, and who holds the key where it is lost.
 func (v *Vote) Verdict() (Verdict, ID) {
 	need := consensus.Majority(v.Voters)
-	if len(consensus.Sound(v.given)) >= need {
+	if len(consensus.Countable(v.given)) >= need {
 		return Won, ID{}
 	}
 	var most ID
--- a/internal/lease/explore_test.go
+++ b/internal/lease/explore_test.go
@@ -237,7 +237,7 @@
 		{"a granter that grants right after a restart", rules{restarts: 1, fast: 1, slow: 1, eager: true}, false},
 		{"no margin", rules{fast: 1.06, slow: 0.94, noMargin: true}, false},
 	} {
-		if modelcheck.Slow || c.k.long && !*all {
+		if modelcheck.RaceEnabled || c.k.long && !*all {
 			continue
 		}
 		var first world
@@ -245,8 +245,8 @@
 			first.g[i].began = -Span
 		}
 		begun := time.Now()
-		n, err := modelcheck.Whole(first, c.k.next, c.k.broken, 5e6)
-		if wrong := modelcheck.Verdict(c.ok, n, err); wrong != nil {
+		n, err := modelcheck.Explore(first, c.k.next, c.k.broken, 5e6)
+		if wrong := modelcheck.CheckResult(c.ok, n, err); wrong != nil {
 			t.Errorf("%s: %v", c.name, wrong)
 		}
 		t.Logf("%s: %d states in %v", c.name, n, time.Since(begun).Round(time.Millisecond))
--- a/internal/messages/codebook.go
+++ b/internal/messages/codebook.go
@@ -65,7 +65,7 @@
 // Voter is a member of those that count, and Roll the list of them.
 type (
 	Voter = reconfig.Voter
-	Roll  = reconfig.Roll
+	Roll  = reconfig.VoterSet
 )
 
 // PrepareCall asks for the promise to take no ballot below B.
@@ -86,7 +86,7 @@
 
 // Accepted answers an AcceptCall, a LearnCall or a TurnCall.
 type Accepted struct {
-	Vouch    consensus.Vouch      `cbor:"1,keyasint"`
+	Vouch    consensus.Origin     `cbor:"1,keyasint"`
 	Taken    bool                 `cbor:"2,keyasint"`
 	Promised configuration.Ballot `cbor:"3,keyasint"`
 	Accepted configuration.Ballot `cbor:"4,keyasint"` // where it was not taken: what stands there
@@ -114,7 +114,7 @@
 
 // Watched is a purser's state as far as the caller lacks it.
 type Watched struct {
-	Vouch    consensus.Vouch      `cbor:"1,keyasint"` // By is -1 where it does not count
+	Vouch    consensus.Origin     `cbor:"1,keyasint"` // By is -1 where it does not count
 	Promised configuration.Ballot `cbor:"2,keyasint"`
 	Accepted configuration.Ballot `cbor:"3,keyasint"`
 	Chosen   configuration.Ballot `cbor:"4,keyasint"` // it holds all items up to this
@@ -132,7 +132,7 @@
 
 // Page is what is told of the chosen value.
 func (w *Watched) Page() consensus.Page {
-	return consensus.Page{From: w.From, Upto: w.Upto, Target: w.Chosen, Items: w.Items}
+	return consensus.Page{From: w.From, UpTo: w.Upto, Target: w.Chosen, Items: w.Items}
 }
 
 // Mark is how far a member's disk had come when it spoke as a member. A disk that is behind a mark that it told is an older copy.
@@ -178,7 +178,7 @@
 // Mustered answers a MusterCall. Its books come in parts: first the items of the base, then the rest of the claims. What is
 // told beside is of the moment of the part.
 type Mustered struct {
-	Vouch    consensus.Vouch      `cbor:"1,keyasint"`
+	Vouch    consensus.Origin     `cbor:"1,keyasint"`
 	Promised configuration.Ballot `cbor:"2,keyasint"`
 	Accepted configuration.Ballot `cbor:"3,keyasint"`
 	Chosen   configuration.Ballot `cbor:"4,keyasint"`
@@ -234,7 +234,7 @@
 
 // Handed answers a HandoverCall, in parts as a Mustered.
 type Handed struct {
-	Estate reconfig.Estate      `cbor:"1,keyasint"`
+	Estate reconfig.Handover    `cbor:"1,keyasint"`
 	Former bool                 `cbor:"2,keyasint,omitempty"`
 	Items  []configuration.Item `cbor:"3,keyasint"` // of the base, up to Upto
 	Claims []ClaimCall          `cbor:"4,keyasint"`
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// Broken is a state that must not be, and the shortest way there.
-type Broken struct {
-	Why string
-	Way []string
+// Violation is a state that must not be, and the shortest way there.
+type Violation struct {
+	Reason string
+	Trace  []string
 }
 
-func (b *Broken) Error() string { return b.Why + ":\n\t" + strings.Join(b.Way, "\n\t") }
+func (b *Violation) Error() string { return b.Reason + ":\n\t" + strings.Join(b.Trace, "\n\t") }
 
-// Whole visits every state that can be reached from first. next hands each that follows on a state to to, with the name of
+// Explore visits every state that can be reached from first. next hands each that follows on a state to to, with the name of
 // the event, which is formed only where it is told of; broken says what is wrong with a state, "" for nothing. It returns how
 // many there are, and a *Broken if one of them is. More than most states are an error: the space was to be small.
-func Whole[S comparable](first S, next func(s S, to func(s S, event string, args ...any)), broken func(S) string, most int) (int, error) {
+func Explore[S comparable](first S, next func(s S, to func(s S, event string, args ...any)), broken func(S) string, most int) (int, error) {
 	type from struct {
 		at    int32
 		event string
@@ -29,9 +29,9 @@
 	for at := 0; at < len(states); at++ {
 		s := states[at]
 		if why := broken(s); why != "" {
-			b := &Broken{Why: why}
+			b := &Violation{Reason: why}
 			for i := int32(at); ways[i].at >= 0; i = ways[i].at {
-				b.Way = append([]string{fmt.Sprintf(ways[i].event, ways[i].args...)}, b.Way...)
+				b.Trace = append([]string{fmt.Sprintf(ways[i].event, ways[i].args...)}, b.Trace...)
 			}
 			return len(states), b
 		}
@@ -48,10 +48,10 @@
 	return len(states), nil
 }
 
-// Verdict says what is wrong with what Whole came to where the space was to be whole, ok, or else a mutant's, in which a broken
+// CheckResult says what is wrong with what Whole came to where the space was to be whole, ok, or else a mutant's, in which a broken
 // state has to be found. nil: nothing is.
-func Verdict(ok bool, n int, err error) error {
-	var b *Broken
+func CheckResult(ok bool, n int, err error) error {
+	var b *Violation
 	switch {
 	case err != nil && !errors.As(err, &b), ok && err != nil:
 		return err
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Walk plays scripts of deeds, all after all, each in some ways, on real code in virtual time: what may happen to the first of some
+// ScriptTest plays scripts of deeds, all after all, each in some ways, on real code in virtual time: what may happen to the first of some
 // things, what to the next, and what must hold for each of them whatever it was. W is what one walk is played on.
-type Walk[W any] struct {
-	Deeds  int
-	Deed   func(i int) string // its name
-	Length int                // deeds of a script
-	Ways   []string
-	Begin  func(t *testing.T) W
-	World  func(t *testing.T, w W, script []int, way int) string // plays one script; what broke, "" for nothing
-	End    func(w W)                                             // when all is played; what sleeps then has 5 s to wake
+type ScriptTest[W any] struct {
+	Actions      int
+	ActionName   func(i int) string // its name
+	ScriptLength int                // deeds of a script
+	Modes        []string
+	Setup        func(t *testing.T) W
+	Run          func(t *testing.T, w W, script []int, way int) string // plays one script; what broke, "" for nothing
+	Teardown     func(w W)                                             // when all is played; what sleeps then has 5 s to wake
 }
 
 // partStep is how many first deeds are passed over for one that is played, with the race detector on.
 const partStep = 5
 
 // play plays the scripts that begin with each step-th deed, to the first that breaks, and counts the worlds.
-func (k Walk[W]) play(t *testing.T, w W, step int) (worlds int, why string) {
-	script := make([]int, k.Length)
+func (k ScriptTest[W]) play(t *testing.T, w W, step int) (worlds int, why string) {
+	script := make([]int, k.ScriptLength)
 	var from func(at int) string
 	from = func(at int) string {
-		if at == k.Length {
-			for way, name := range k.Ways {
+		if at == k.ScriptLength {
+			for way, name := range k.Modes {
 				worlds++
-				if why := k.World(t, w, append([]int(nil), script...), way); why != "" {
+				if why := k.Run(t, w, append([]int(nil), script...), way); why != "" {
 					return name + ": " + why
 				}
 			}
@@ -40,9 +40,9 @@
 		if at == 0 {
 			by = step
 		}
-		for script[at] = 0; script[at] < k.Deeds; script[at] += by {
+		for script[at] = 0; script[at] < k.Actions; script[at] += by {
 			if why := from(at + 1); why != "" {
-				return fmt.Sprintf("%s; %s", k.Deed(script[at]), why)
+				return fmt.Sprintf("%s; %s", k.ActionName(script[at]), why)
 			}
 		}
 		return ""
@@ -50,23 +50,23 @@
 	return worlds, from(0)
 }
 
-func (k Walk[W]) on(t *testing.T, spoil func(w W), step int) (worlds int, why string) {
+func (k ScriptTest[W]) on(t *testing.T, spoil func(w W), step int) (worlds int, why string) {
 	synctest.Test(t, func(t *testing.T) {
-		w := k.Begin(t)
+		w := k.Setup(t)
 		if spoil != nil {
 			spoil(w)
 		}
 		worlds, why = k.play(t, w, step)
-		k.End(w)
+		k.Teardown(w)
 		time.Sleep(5 * time.Second)
 	})
 	return worlds, why
 }
 
-// Holds fails t where a world breaks. With the race detector a part is walked.
-func (k Walk[W]) Holds(t *testing.T) {
+// Check fails t where a world breaks. With the race detector a part is walked.
+func (k ScriptTest[W]) Check(t *testing.T) {
 	step := 1
-	if Slow {
+	if RaceEnabled {
 		step = partStep
 	}
 	worlds, why := k.on(t, nil, step)
@@ -76,8 +76,8 @@
 	t.Logf("%d worlds", worlds)
 }
 
-// Finds fails t where no world of a mutant breaks: wrong programs, each made by what spoils a walk of the right one.
-func (k Walk[W]) Finds(t *testing.T, mutants map[string]func(w W)) {
+// CheckMutants fails t where no world of a mutant breaks: wrong programs, each made by what spoils a walk of the right one.
+func (k ScriptTest[W]) CheckMutants(t *testing.T, mutants map[string]func(w W)) {
 	for name, spoil := range mutants {
 		t.Run(name, func(t *testing.T) {
 			worlds, why := k.on(t, spoil, 1)
--- a/internal/proxy/tug.go
+++ b/internal/proxy/tug.go
@@ -372,7 +372,7 @@
 				t.mu.Unlock()
 				c.Go(messages.Pull, rpc.Encode(messages.PullCall{Self: &b, Others: others, Life: call.Life, At: messages.Tells, Have: configuration.Ballot{N: 1 << 62}, Sum: call.Sum, Epoch: call.Epoch}), func([]byte, error) {})
 			case <-timer.C:
-				c.Forget(id)
+				c.Cancel(id)
 				r.err = errcode.New(errcode.TimedOut, "")
 				break wait
 			case <-t.ended:
--- a/internal/quorum/council.go
+++ b/internal/quorum/council.go
@@ -170,7 +170,7 @@
 			}
 		case <-t.C:
 			for i, id := range ids {
-				clients[i].Forget(id)
+				clients[i].Cancel(id)
 			}
 			return errcode.New(errcode.CoreOut, "no majority within %v%s", wait.Round(time.Millisecond), why)
 		}
--- a/internal/reconfig/explore_test.go
+++ b/internal/reconfig/explore_test.go
@@ -102,10 +102,10 @@
 	return b
 }
 
-func (s *world) vouch(roll uint8, i int, knows bool) consensus.Vouch {
-	v := consensus.Vouch{By: place(roll, i), Incs: []uint64{1, 1, 1}}
+func (s *world) vouch(roll uint8, i int, knows bool) consensus.Origin {
+	v := consensus.Origin{Voter: place(roll, i), Incarnations: []uint64{1, 1, 1}}
 	if knows {
-		v.Incs[place(roll, int(s.wiped)-1)] = 2
+		v.Incarnations[place(roll, int(s.wiped)-1)] = 2
 	}
 	return v
 }
@@ -148,7 +148,7 @@
 		return ok
 	}
 	defer func() { enough[t] = ok }()
-	var of [3][]consensus.Vouch
+	var of [3][]consensus.Origin
 	for n, i := range voters[roll] {
 		for k := range uint8(2) {
 			if told(i)&(1<<k) != 0 {
@@ -156,7 +156,7 @@
 			}
 		}
 	}
-	return choices(of[:], nil, func(vs []consensus.Vouch) bool { return len(consensus.Sound(vs)) >= 2 })
+	return choices(of[:], nil, func(vs []consensus.Origin) bool { return len(consensus.Countable(vs)) >= 2 })
 }
 
 func bit(b bool) uint8 {
@@ -199,7 +199,7 @@
 				n.p[b].promises[i] |= told
 				to(n, "voter %d promises decree %d, has %d", i, b+1, m.accepted)
 			}
-		} else if told := uint8(1) << bit(m.knows); seal.Accept(ball(b+1), Roll{}) && (p.accepts[i]&told == 0 || m.accepted != b+1) {
+		} else if told := uint8(1) << bit(m.knows); seal.Accept(ball(b+1), VoterSet{}) && (p.accepts[i]&told == 0 || m.accepted != b+1) {
 			n := s
 			n.m[i].promised, n.m[i].accepted = b+1, b+1
 			n.m[i].loose = k.loose && (m.accepted == 0 || m.loose)
@@ -235,8 +235,8 @@
 	for i := range 3 {
 		for n := range uint8(6) {
 			if s.p[b].promises[i]&(1<<n) != 0 {
-				of[i] = append(of[i], Answer{Vouch: s.vouch(0, i, n%2 == 1), Given: true,
-					Seal: Seal{Accepted: ball(n / 2), Next: Roll{Epoch: uint64(n / 2)}}})
+				of[i] = append(of[i], Answer{Origin: s.vouch(0, i, n%2 == 1), Granted: true,
+					Seal: Seal{Accepted: ball(n / 2), Next: VoterSet{Epoch: uint64(n / 2)}}})
 			}
 		}
 	}
@@ -333,16 +333,16 @@
 		to(n, "machine %d makes up for its disk in the new epoch", i)
 		return
 	}
-	var told []Estate
+	var told []Handover
 	var from []member
 	var of [members][]int
 	for j, x := range s.m {
-		e := Estate{Promised: ball(x.vowed), Accepted: ball(x.value)}
+		e := Handover{Promised: ball(x.vowed), Accepted: ball(x.value)}
 		switch {
 		case x.mode == serving && x.epoch == 2:
-			e.Holds = true
+			e.Active = true
 		case x.mode == serving && x.epoch == 1 && x.shut() || x.past:
-			e.Vouch = s.vouch(0, j, x.knows)
+			e.Origin = s.vouch(0, j, x.knows)
 		default:
 			continue
 		}
@@ -350,11 +350,11 @@
 		told, from = append(told, e), append(from, x)
 	}
 	choices(of[:], nil, func(pick []int) bool {
-		var some []Estate
+		var some []Handover
 		for _, x := range pick {
 			some = append(some, told[x])
 		}
-		take := Enough(3, some)
+		take := SelectHandovers(3, some)
 		if (k.single || k.few) && len(pick) == 1 {
 			take = []int{0}
 		}
@@ -450,7 +450,7 @@
 				n.r[b].promises[i] |= told
 				to(n, "machine %d promises round %d in epoch %d, has %d", i, b+1, e, m.value)
 			}
-		} else if told := uint8(1) << bit(m.knows); a.May(ball(b+1), configuration.Ballot{}) && (r.accepts[i]&told == 0 || m.value != b+1) {
+		} else if told := uint8(1) << bit(m.knows); a.CanAccept(ball(b+1), configuration.Ballot{}) && (r.accepts[i]&told == 0 || m.value != b+1) {
 			a.Accept(ball(b+1), nil)
 			n := s
 			n.m[i].vowed, n.m[i].value, n.m[i].former = uint8(a.Promised.N), b+1, false
@@ -474,7 +474,7 @@
 		for n, i := range voters[roll] {
 			for t := range uint8(20) {
 				if r.promises[i]&(1<<t) != 0 {
-					of[n] = append(of[n], consensus.Promise{Vouch: s.vouch(roll, i, t%2 == 1), Given: true, Accepted: ball(t / 4), Former: t/2%2 == 1})
+					of[n] = append(of[n], consensus.Promise{Origin: s.vouch(roll, i, t%2 == 1), Granted: true, Accepted: ball(t / 4), Inherited: t/2%2 == 1})
 				}
 			}
 		}
@@ -655,15 +655,15 @@
 				}
 			}
 		}
-		if c.k.long && !*all || modelcheck.Slow && c.why == "" {
+		if c.k.long && !*all || modelcheck.RaceEnabled && c.why == "" {
 			continue
 		}
-		n, err := modelcheck.Whole(first, c.k.next, broken, 6e6)
-		var b *modelcheck.Broken
+		n, err := modelcheck.Explore(first, c.k.next, broken, 6e6)
+		var b *modelcheck.Violation
 		switch {
 		case err != nil && !errors.As(err, &b), c.why == "" && err != nil:
 			t.Errorf("%s: %v", c.name, err)
-		case c.why != "" && (err == nil || b.Why != c.why):
+		case c.why != "" && (err == nil || b.Reason != c.why):
 			t.Errorf("%s: found %v in %d states", c.name, err, n)
 		}
 		t.Logf("%s: %d states in %v", c.name, n, time.Since(begun).Round(time.Millisecond))
--- a/internal/reconfig/grow_test.go
+++ b/internal/reconfig/grow_test.go
@@ -10,7 +10,7 @@
 
 // A roll grows to as many voters as are wanted or not at all, of zones that have the fewest first.
 func TestGrow(t *testing.T) {
-	roll := Roll{Voters: []Voter{{Addr: "a", Zone: "1"}, {Addr: "b", Zone: "2"}, {Addr: "c", Zone: "3"}}}
+	roll := VoterSet{Voters: []Voter{{Addr: "a", Zone: "1"}, {Addr: "b", Zone: "2"}, {Addr: "c", Zone: "3"}}}
 	for _, c := range []struct {
 		losses int
 		of     []Voter
@@ -22,7 +22,7 @@
 		{2, []Voter{{Addr: "d", Zone: "1"}, {Addr: "e", Zone: "4"}, {Addr: "f", Zone: "4"}, {Addr: "g", Zone: "5"}}, "abceg"},
 		{3, []Voter{{Addr: "d", Zone: "1"}, {Addr: "e", Zone: "4"}, {Addr: "f", Zone: "4"}, {Addr: "g", Zone: "5"}}, "abcegdf"},
 	} {
-		voters, ok := Grow(roll, Wanted(c.losses), c.of)
+		voters, ok := Grow(roll, VotersFor(c.losses), c.of)
 		got := ""
 		for _, v := range voters {
 			got += v.Addr
@@ -71,7 +71,7 @@
 			}
 		}
 		got := ""
-		for _, v := range Next(Roll{Voters: voters}, c.lost, c.wanted, c.bears, all(c.candidates)) {
+		for _, v := range NextVoters(VoterSet{Voters: voters}, c.lost, c.wanted, c.bears, all(c.candidates)) {
 			got += v.Addr
 		}
 		if got != c.want {
--- a/internal/reconfig/relief.go
+++ b/internal/reconfig/reconfig.go
@@ -24,20 +24,20 @@
 	Disk uint64 `cbor:"4,keyasint,omitempty"` // of the disk that may take the office over; 0: it makes up for a lost one instead
 }
 
-// Roll is the list of those that count, of one epoch.
-type Roll struct {
-	Epoch  uint64  `cbor:"1,keyasint"`
-	Voters []Voter `cbor:"2,keyasint"`
-	Was    []Voter `cbor:"3,keyasint,omitempty"` // of the epoch before, who hand over
+// VoterSet is the list of those that count, of one epoch.
+type VoterSet struct {
+	Epoch    uint64  `cbor:"1,keyasint"`
+	Voters   []Voter `cbor:"2,keyasint"`
+	Previous []Voter `cbor:"3,keyasint,omitempty"` // of the epoch before, who hand over
 }
 
-// Place is the place of the voter at addr; -1: it does not count.
-func (r Roll) Place(addr string) int {
+// IndexOf is the place of the voter at addr; -1: it does not count.
+func (r VoterSet) IndexOf(addr string) int {
 	return slices.IndexFunc(r.Voters, func(v Voter) bool { return v.Addr == addr })
 }
 
-// Same reports whether both have the same voters of the same epoch, whatever their disks.
-func (r Roll) Same(o Roll) bool {
+// SameVoters reports whether both have the same voters of the same epoch, whatever their disks.
+func (r VoterSet) SameVoters(o VoterSet) bool {
 	return r.Epoch == o.Epoch && slices.EqualFunc(r.Voters, o.Voters, func(x, y Voter) bool { return x.Addr == y.Addr })
 }
 
@@ -45,12 +45,12 @@
 type Seal struct {
 	Promised configuration.Ballot `cbor:"1,keyasint"` // no lower ballot is taken
 	Accepted configuration.Ballot `cbor:"2,keyasint"` // of Next
-	Next     Roll                 `cbor:"3,keyasint"`
+	Next     VoterSet             `cbor:"3,keyasint"`
 	Closed   bool                 `cbor:"4,keyasint,omitempty"` // it slept through the vote, and heard that a successor is chosen
 }
 
-// Shut reports whether the epoch has ended for this voter.
-func (s *Seal) Shut() bool { return s.Closed || !s.Accepted.IsZero() }
+// Sealed reports whether the epoch has ended for this voter.
+func (s *Seal) Sealed() bool { return s.Closed || !s.Accepted.IsZero() }
 
 // Prepare takes the promise to take nothing lower than b, and reports whether it was given. It counts once it is on disk.
 func (s *Seal) Prepare(b configuration.Ballot) bool {
@@ -62,7 +62,7 @@
 }
 
 // Accept accepts a successor, and reports whether it did. From then on nothing is granted; it counts once it is on disk.
-func (s *Seal) Accept(b configuration.Ballot, next Roll) bool {
+func (s *Seal) Accept(b configuration.Ballot, next VoterSet) bool {
 	if b.Less(s.Promised) {
 		return false
 	}
@@ -82,40 +82,40 @@
 
 // Answer is one old voter's answer to a proposer.
 type Answer struct {
-	Vouch consensus.Vouch `cbor:"1,keyasint"`
-	Given bool            `cbor:"2,keyasint"` // promised, or accepted
-	Seal  Seal            `cbor:"3,keyasint"`
+	Origin  consensus.Origin `cbor:"1,keyasint"`
+	Granted bool             `cbor:"2,keyasint"` // promised, or accepted
+	Seal    Seal             `cbor:"3,keyasint"`
 }
 
 // Round gathers the answers to one ballot.
 type Round struct {
-	Voters   int                  // of the old epoch
-	Higher   configuration.Ballot // the highest that stood in the way
-	promises []Answer
-	accepts  []consensus.Vouch
+	Voters      int                  // of the old epoch
+	HighestSeen configuration.Ballot // the highest that stood in the way
+	promises    []Answer
+	accepts     []consensus.Origin
 }
 
 // Promise takes an answer to a Prepare. Of one voter only the first counts.
 func (r *Round) Promise(a Answer) {
 	r.raise(a.Seal.Promised)
-	if a.Given && !slices.ContainsFunc(r.promises, func(o Answer) bool { return o.Vouch.By == a.Vouch.By }) {
+	if a.Granted && !slices.ContainsFunc(r.promises, func(o Answer) bool { return o.Origin.Voter == a.Origin.Voter }) {
 		r.promises = append(r.promises, a)
 	}
 }
 
 // Base is the successor that has to be proposed, once enough was promised; bound is false where the proposer is free.
-func (r *Round) Base() (next Roll, bound, ok bool) {
-	var vs []consensus.Vouch
+func (r *Round) Base() (next VoterSet, bound, ok bool) {
+	var vs []consensus.Origin
 	for _, a := range r.promises {
-		vs = append(vs, a.Vouch)
+		vs = append(vs, a.Origin)
 	}
-	sound := consensus.Sound(vs)
+	sound := consensus.Countable(vs)
 	if len(sound) < consensus.Majority(r.Voters) {
 		return next, false, false
 	}
 	var of configuration.Ballot
 	for _, a := range r.promises {
-		told := slices.ContainsFunc(sound, func(v consensus.Vouch) bool { return v.By == a.Vouch.By })
+		told := slices.ContainsFunc(sound, func(v consensus.Origin) bool { return v.Voter == a.Origin.Voter })
 		if told && of.Less(a.Seal.Accepted) {
 			of, next = a.Seal.Accepted, a.Seal.Next
 		}
@@ -126,43 +126,45 @@
 // Accept takes an answer to the proposal itself, and reports whether the successor is chosen.
 func (r *Round) Accept(a Answer) bool {
 	r.raise(a.Seal.Promised)
-	if a.Given {
-		r.accepts = append(r.accepts, a.Vouch)
+	if a.Granted {
+		r.accepts = append(r.accepts, a.Origin)
 	}
-	return len(consensus.Sound(r.accepts)) >= consensus.Majority(r.Voters)
+	return len(consensus.Countable(r.accepts)) >= consensus.Majority(r.Voters)
 }
 
 func (r *Round) raise(b configuration.Ballot) {
-	if r.Higher.Less(b) {
-		r.Higher = b
+	if r.HighestSeen.Less(b) {
+		r.HighestSeen = b
 	}
 }
 
-// Estate is what one voter hands over, other than its claims of keys.
-type Estate struct {
-	Vouch    consensus.Vouch      `cbor:"1,keyasint"`
-	Holds    bool                 `cbor:"2,keyasint"` // it speaks in the new epoch already; else it is sealed in the old one
+// Handover is what one voter hands over, other than its claims of keys.
+type Handover struct {
+	Origin   consensus.Origin     `cbor:"1,keyasint"`
+	Active   bool                 `cbor:"2,keyasint"` // it speaks in the new epoch already; else it is sealed in the old one
 	Promised configuration.Ballot `cbor:"3,keyasint"`
 	Accepted configuration.Ballot `cbor:"4,keyasint"`
 	Chosen   configuration.Ballot `cbor:"5,keyasint"`
 }
 
-// Enough says which of the estates a new voter takes over: that of one who speaks in the new epoch already, whose books have
+// SelectHandovers says which of the estates a new voter takes over: that of one who speaks in the new epoch already, whose books have
 // all that was won in the old, or those of a majority of the old, all sealed. nil: more are wanted.
-func Enough(voters int, told []Estate) (take []int) {
-	var vs []consensus.Vouch
+func SelectHandovers(voters int, told []Handover) (take []int) {
+	var vs []consensus.Origin
 	for i, e := range told {
-		if e.Holds {
+		if e.Active {
 			return []int{i}
 		}
-		vs = append(vs, e.Vouch)
+		vs = append(vs, e.Origin)
 	}
-	sound := consensus.Sound(vs)
+	sound := consensus.Countable(vs)
 	if len(sound) < consensus.Majority(voters) {
 		return nil
 	}
 	for _, v := range sound {
-		take = append(take, slices.IndexFunc(told, func(e Estate) bool { return e.Vouch.By == v.By && slices.Equal(e.Vouch.Incs, v.Incs) }))
+		take = append(take, slices.IndexFunc(told, func(e Handover) bool {
+			return e.Origin.Voter == v.Voter && slices.Equal(e.Origin.Incarnations, v.Incarnations)
+		}))
 	}
 	return take
 }
@@ -170,7 +172,7 @@
 // Inherit is the register that a new voter begins with: the highest promise, the highest accepted value, which is that of the
 // estate at, and what is known to be chosen. The value was accepted in a former epoch: two new voters may have inherited
 // different ones, so that it is what rounds are built on, and is chosen by count only once it was accepted anew.
-func Inherit(told []Estate, take []int) (promised, accepted, chosen configuration.Ballot, at int) {
+func Inherit(told []Handover, take []int) (promised, accepted, chosen configuration.Ballot, at int) {
 	at = take[0]
 	for _, i := range take {
 		e := told[i]
@@ -189,12 +191,12 @@
 	return promised, accepted, chosen, at
 }
 
-// Wanted is how many voters bear the loss of so many at once.
-func Wanted(losses int) int { return 2*losses + 1 }
+// VotersFor is how many voters bear the loss of so many at once.
+func VotersFor(losses int) int { return 2*losses + 1 }
 
 // Grow is the roll with candidates added until it has as many voters as are wanted, of zones that have the fewest first. ok is
 // false where that can't be reached: half of the way costs each vote a member more and bears no further loss.
-func Grow(r Roll, wanted int, candidates []Voter) (voters []Voter, ok bool) {
+func Grow(r VoterSet, wanted int, candidates []Voter) (voters []Voter, ok bool) {
 	voters = slices.Clone(r.Voters)
 	for len(voters) < wanted {
 		best, fewest := -1, 0
@@ -263,25 +265,25 @@
 	return excess, uneven
 }
 
-// Next is the list of voters that should follow a roll: each of the lost places is taken by a candidate, as many are added as are
+// NextVoters is the list of voters that should follow a roll: each of the lost places is taken by a candidate, as many are added as are
 // wanted, and none that may be lost at once, by t, is to hold a majority. nil: there is nothing to change, or nobody to do it
 // with. A roll never shrinks by silence alone, and voters that are well leave only if that lowers the excess.
-func Next(r Roll, lost []int, wanted int, t Tolerance, candidates []Voter) []Voter {
-	voters := Replace(r, lost, t, candidates)
+func NextVoters(r VoterSet, lost []int, wanted int, t Tolerance, candidates []Voter) []Voter {
+	voters := ReplaceLost(r, lost, t, candidates)
 	if len(voters) < wanted {
-		if more, ok := Grow(Roll{Voters: voters}, wanted, candidates); ok {
+		if more, ok := Grow(VoterSet{Voters: voters}, wanted, candidates); ok {
 			voters = more
 		}
 	}
-	if voters = Spread(voters, t, candidates); (Roll{Epoch: r.Epoch, Voters: voters}).Same(r) {
+	if voters = Spread(voters, t, candidates); (VoterSet{Epoch: r.Epoch, Voters: voters}).SameVoters(r) {
 		return nil
 	}
 	return voters
 }
 
-// Replace is the list of voters with each of the lost places taken by the candidate that leaves the least excess, of the same zone
+// ReplaceLost is the list of voters with each of the lost places taken by the candidate that leaves the least excess, of the same zone
 // first. A place for which there is none stays.
-func Replace(r Roll, lost []int, t Tolerance, candidates []Voter) []Voter {
+func ReplaceLost(r VoterSet, lost []int, t Tolerance, candidates []Voter) []Voter {
 	voters := slices.Clone(r.Voters)
 	for _, place := range lost {
 		next, _, ok := best(voters, []int{place}, candidates, func(voters []Voter) [3]int {
--- a/internal/registry/contact_test.go
+++ b/internal/registry/contact_test.go
@@ -32,7 +32,7 @@
 			"one is of another epoch":       {0, func(w *messages.Watched) { w.Roll.Epoch = 1 }, messages.Never},
 			"one may know of a newer value": {0, func(w *messages.Watched) { w.Accepted.N = 9 }, messages.Never},
 			"one makes up for its disk":     {0, func(w *messages.Watched) { w.State = "repairing" }, messages.Never},
-			"one speaks for another":        {0, func(w *messages.Watched) { w.Vouch.By = 0 }, messages.Never},
+			"one speaks for another":        {0, func(w *messages.Watched) { w.Vouch.Voter = 0 }, messages.Never},
 			"one has yet to hear what is chosen": {0, func(w *messages.Watched) {
 				w.Chosen, w.Accepted, w.Known, w.Upto = configuration.Ballot{}, configuration.Ballot{}, configuration.Ballot{}, configuration.Ballot{}
 			}, 0},
@@ -45,7 +45,7 @@
 			b.heard, b.vouched, b.pending, b.behind, b.shut = make([]time.Time, 3), make([]time.Time, 3), make([]time.Time, 3), make([]int, 3), make([]time.Time, 3)
 			b.marks, b.upto, b.taught, b.answered = make([]messages.Mark, 3), make([]configuration.Ballot, 3), make([]bool, 3), make([]time.Time, 3)
 			for i := range 2 {
-				w := messages.Watched{State: "serving", Vouch: consensus.Vouch{By: i}, Roll: roll, Chosen: configuration.Ballot{N: 3}, Accepted: configuration.Ballot{N: 3},
+				w := messages.Watched{State: "serving", Vouch: consensus.Origin{Voter: i}, Roll: roll, Chosen: configuration.Ballot{N: 3}, Accepted: configuration.Ballot{N: 3},
 					Known: configuration.Ballot{N: 3}, Upto: configuration.Ballot{N: 3}}
 				ago := c.ago
 				if i == 1 {
@@ -114,7 +114,7 @@
 			time.Sleep(sleep)
 			for i := range 3 {
 				if i < 2 || sleep < time.Minute {
-					b.watched(i, messages.Watched{State: "serving", Vouch: consensus.Vouch{By: i}, Roll: roll}, time.Now())
+					b.watched(i, messages.Watched{State: "serving", Vouch: consensus.Origin{Voter: i}, Roll: roll}, time.Now())
 				}
 			}
 		}
@@ -158,21 +158,21 @@
 		h.council = quorum.New(p)
 		defer h.council.Close()
 		h.council.Take(messages.Roll{Epoch: 1, Voters: voters})
-		h.own = rpc.Own(b, 16)
-		defer h.own.End()
+		h.own = rpc.StartOwner(b, 16)
+		defer h.own.Stop()
 		items := []configuration.Item{{Key: configuration.Key{Kind: configuration.Services, Name: "s"}, Version: 1, Spec: []byte("{}")}}
 		begun := time.Now()
-		if k := errcode.Of(h.propose(ctx, consensus.Order{Items: items})); k != errcode.CoreOut {
+		if k := errcode.Of(h.propose(ctx, consensus.Request{Items: items})); k != errcode.CoreOut {
 			t.Error("a call whose caller has gone:", k)
 		}
 		if took := time.Since(begun); took > 10*time.Millisecond {
 			t.Error("it kept the turn from others for", took)
 		}
-		if err := h.tryRound(t.Context(), consensus.Order{Items: items}, time.Now().Add(-20*time.Second)); errcode.Of(err) != errcode.CoreOut {
+		if err := h.tryRound(t.Context(), consensus.Request{Items: items}, time.Now().Add(-20*time.Second)); errcode.Of(err) != errcode.CoreOut {
 			t.Error("a call from before a sleep:", err)
 		}
 		sleeps = true
-		if k := errcode.Of(h.propose(t.Context(), consensus.Order{})); k != errcode.CoreOut {
+		if k := errcode.Of(h.propose(t.Context(), consensus.Request{})); k != errcode.CoreOut {
 			t.Error("a read whose answers are of before a sleep:", k)
 		}
 		for _, v := range all {
@@ -192,13 +192,13 @@
 		h, b := ashore(t)
 		h.council = quorum.New(p)
 		h.council.Take(messages.Roll{Epoch: 1, Voters: []messages.Voter{{Addr: "10.0.0.2:80"}, {Addr: "10.0.0.3:80"}, {Addr: "10.0.0.4:80"}}})
-		h.own = rpc.Own(b, 16)
+		h.own = rpc.StartOwner(b, 16)
 		for _, c := range []struct {
 			name   string
 			silent time.Duration // of two; the third was heard just now
 			held   bool
 		}{{"never heard", -1, true}, {"heard lately", contactMs * time.Millisecond, true}, {"cut off", (contactMs + 1) * time.Millisecond, false}} {
-			h.own.Ask(func(b *books) {
+			h.own.Do(func(b *books) {
 				b.heard = make([]time.Time, 3)
 				if c.silent >= 0 {
 					now := time.Now()
@@ -206,7 +206,7 @@
 				}
 			})
 			begun := time.Now()
-			if k := errcode.Of(h.propose(t.Context(), consensus.Order{})); k != errcode.CoreOut {
+			if k := errcode.Of(h.propose(t.Context(), consensus.Request{})); k != errcode.CoreOut {
 				t.Errorf("%s: %v", c.name, k)
 			}
 			if took := time.Since(begun); (took > 0) != c.held {
@@ -214,7 +214,7 @@
 			}
 		}
 		h.council.Close()
-		h.own.End()
+		h.own.Stop()
 		p.End()
 	})
 }
--- a/internal/registry/harbour.go
+++ b/internal/registry/harbour.go
@@ -80,16 +80,16 @@
 	berths   *backends.Table
 	chosen   configuration.Ballot
 	stands   configuration.Set
-	pages    consensus.Pages        // of a later one
-	highest  configuration.Ballot   // of any ballot heard of
-	heard    []time.Time            // by place: when the member last spoke as one, at the latest
-	answered []time.Time            // by place: when it last answered, however it stood
-	vouched  []time.Time            // by place: the same, with nothing that is not known here
-	pending  []time.Time            // by place: since when it holds a value of which nobody knows whether it was chosen; zero: none
-	behind   []int                  // by place: answers in a row that it was behind
-	upto     []configuration.Ballot // by place: up to which it holds all items, as it told last
-	taught   []bool                 // by place: pages are on their way to it from here
-	marks    []messages.Mark        // by place: the last that it told
+	pages    consensus.PageAssembler // of a later one
+	highest  configuration.Ballot    // of any ballot heard of
+	heard    []time.Time             // by place: when the member last spoke as one, at the latest
+	answered []time.Time             // by place: when it last answered, however it stood
+	vouched  []time.Time             // by place: the same, with nothing that is not known here
+	pending  []time.Time             // by place: since when it holds a value of which nobody knows whether it was chosen; zero: none
+	behind   []int                   // by place: answers in a row that it was behind
+	upto     []configuration.Ballot  // by place: up to which it holds all items, as it told last
+	taught   []bool                  // by place: pages are on their way to it from here
+	marks    []messages.Mark         // by place: the last that it told
 	masters  map[string]messages.Master
 	sum      uint64                   // of masters
 	lost     map[string]time.Time     // of masters: since when nothing tells that they live
@@ -128,7 +128,7 @@
 	b := &books{h: h, berths: backends.New(), masters: map[string]messages.Master{}, lost: map[string]time.Time{},
 		pulling: map[string]chan struct{}{}, asked: map[string]bool{}, pullers: map[*puller]struct{}{}, begun: time.Now(), leases: map[lease.Name]*lease.Lease{}, stands: configuration.Set{}.Charted()}
 	b.enter(o.Self)
-	h.own = rpc.Own(b, 1024)
+	h.own = rpc.StartOwner(b, 1024)
 	h.port = &controlapi.Port{Change: h.change, Configure: h.configure,
 		Refused: func(k errcode.Kind, text string) { h.Counts.Refused.Add(1); o.Log("refused", text) }}
 	h.http = controlapi.Server(h.port)
@@ -162,7 +162,7 @@
 	h.running.Wait()
 	h.o.Head.Leave()
 	h.o.Head.Close()
-	h.own.End()
+	h.own.Stop()
 }
 
 // begin has f run beside all else, unless this one ends. It reports whether it does.
@@ -209,7 +209,7 @@
 
 // Status tells how it stands.
 func (h *Harbour) Status() (s Status) {
-	h.own.Ask(func(b *books) {
+	h.own.Do(func(b *books) {
 		s = Status{Chosen: b.chosen, Items: b.stands.Len(), Berths: b.berths.All(), Roll: h.council.Roll(), FreshMs: b.fresh()}
 		for _, m := range b.masters {
 			s.Masters = append(s.Masters, m)
@@ -256,7 +256,7 @@
 		return
 	}
 	h.o.Log("roll", fmt.Sprintf("epoch %d, %d count", roll.Epoch, len(roll.Voters)))
-	h.own.Ask(func(b *books) {
+	h.own.Do(func(b *books) {
 		if h.council.Roll().Epoch != roll.Epoch {
 			return
 		}
@@ -266,7 +266,7 @@
 	for i := range roll.Voters {
 		h.begin(func() { h.watch(i, roll) })
 	}
-	if roll.Epoch > 1 && roll.Place(h.o.Purser) < 0 {
+	if roll.Epoch > 1 && roll.IndexOf(h.o.Purser) < 0 {
 		h.begin(func() { h.dismiss(roll) })
 	}
 }
@@ -293,8 +293,8 @@
 			return
 		}
 		var call messages.WatchCall
-		h.own.Ask(func(b *books) {
-			call = messages.WatchCall{Have: b.pages.Have(b.chosen), HoldMs: uint32(watchHold.Milliseconds()), Epoch: roll.Epoch, Open: true}
+		h.own.Do(func(b *books) {
+			call = messages.WatchCall{Have: b.pages.CompleteUpTo(b.chosen), HoldMs: uint32(watchHold.Milliseconds()), Epoch: roll.Epoch, Open: true}
 			if place < len(b.shut) && !b.shut[place].IsZero() { // it is asked again soon whether that goes on
 				call.Open, call.HoldMs = false, uint32(haltTime.Milliseconds())/3
 			}
@@ -319,7 +319,7 @@
 			h.adopt(w.Roll)
 			return
 		}
-		h.own.Ask(func(b *books) {
+		h.own.Do(func(b *books) {
 			if h.council.Roll().Epoch == roll.Epoch {
 				b.watched(place, w, asked.Add(time.Duration(w.HeldMs)*time.Millisecond))
 			}
@@ -355,12 +355,12 @@
 	}
 	b.gap(now) // before this answer ends it
 	later(&b.answered[place])
-	if w.State != "serving" || w.Vouch.By != place {
+	if w.State != "serving" || w.Vouch.Voter != place {
 		return
 	}
 	later(&b.heard[place])
-	if place < len(w.Vouch.Incs) {
-		b.marks[place] = messages.Mark{Epoch: w.Roll.Epoch, Inc: w.Vouch.Incs[place], N: w.Mark}
+	if place < len(w.Vouch.Incarnations) {
+		b.marks[place] = messages.Mark{Epoch: w.Roll.Epoch, Inc: w.Vouch.Incarnations[place], N: w.Mark}
 	}
 	b.halted(place, w.Shut, now)
 	b.upto[place] = w.Chosen
@@ -376,7 +376,7 @@
 	switch {
 	case catches, w.Accepted.Less(b.chosen):
 		b.behind[place]++
-		if (catches || b.behind[place] >= 2 || consensus.Beyond(b.stands, w.Chosen, farBehind)) && b.may(lease.Teach) {
+		if (catches || b.behind[place] >= 2 || consensus.ExceedsSize(b.stands, w.Chosen, farBehind)) && b.may(lease.Teach) {
 			b.behind[place] = 0
 			b.teach(place)
 		}
@@ -407,7 +407,7 @@
 	}
 	go func() {
 		defer h.mending.Store(false)
-		h.propose(context.Background(), consensus.Order{})
+		h.propose(context.Background(), consensus.Request{})
 	}()
 	return true
 }
@@ -420,7 +420,7 @@
 
 // take takes a page of what was chosen after what is held.
 func (b *books) take(p consensus.Page) {
-	of, stands := b.pages.Take(p, b.chosen, b.stands)
+	of, stands := b.pages.Add(p, b.chosen, b.stands)
 	b.whole(of, stands)
 }
 
@@ -465,7 +465,7 @@
 // resign gives back the duties that this one has.
 func (h *Harbour) resign() {
 	var held []lease.Name
-	h.own.Ask(func(b *books) {
+	h.own.Do(func(b *books) {
 		for d, l := range b.leases {
 			if l.Holds(time.Since(b.begun)) {
 				held = append(held, d)
@@ -491,7 +491,7 @@
 	of, value, from, epoch := b.chosen, b.stands, b.upto[place], h.council.Roll().Epoch
 	h.begin(func() {
 		for turns := 0; from.Less(of) && turns < maxTurns && !h.over(); turns++ {
-			p := consensus.PageOf(value, of, from)
+			p := consensus.NewPage(value, of, from)
 			var a messages.Accepted
 			if c.Call(messages.Turn, messages.TurnCall{Page: p, Epoch: epoch}, &a, phaseTime) != nil || !a.Accepted.Less(of) || a.Chosen == from {
 				break
@@ -553,7 +553,7 @@
 		}
 		h.own.Send(func(b *books) {
 			var known messages.Mark
-			if at := h.council.Roll().Place(m.Addr); at >= 0 && at < len(b.marks) {
+			if at := h.council.Roll().IndexOf(m.Addr); at >= 0 && at < len(b.marks) {
 				known = b.marks[at]
 			}
 			c.Reply(known, nil)
@@ -707,7 +707,7 @@
 	var all []*puller
 	for more := true; more; {
 		more = false // also where the owner has ended
-		h.own.Ask(func(b *books) {
+		h.own.Do(func(b *books) {
 			if len(all) == 0 {
 				b.again, all = false, slices.Collect(maps.Keys(b.pullers))
 			}
@@ -781,7 +781,7 @@
 			seeds = append(seeds, messages.Beside(s, h.o.First, messages.HarbourPort))
 		}
 		soon := false
-		h.own.Ask(func(b *books) {
+		h.own.Do(func(b *books) {
 			for _, a := range seeds {
 				b.follow(a)
 			}
@@ -807,7 +807,7 @@
 			if !soon || time.Now().After(end) {
 				break
 			}
-			h.own.Ask(func(b *books) { soon = b.tend(time.Now()) })
+			h.own.Do(func(b *books) { soon = b.tend(time.Now()) })
 		}
 	}
 }
@@ -892,7 +892,7 @@
 			return
 		default:
 		}
-		h.own.Ask(func(b *books) {
+		h.own.Do(func(b *books) {
 			if anew != b.anew {
 				anew, call.Life = b.anew, 0
 			}
@@ -901,7 +901,7 @@
 		var n messages.News
 		if err := c.Call(messages.Pull, call, &n, pullHold+callTime); err != nil {
 			if errcode.Of(err) == errcode.Away {
-				h.own.Ask(func(b *books) { b.heardOut(addr) })
+				h.own.Do(func(b *books) { b.heardOut(addr) })
 			}
 			wait := 250 * time.Millisecond
 			if s := h.o.Head.State(addr); s == membership.Dead || s == membership.Left {
@@ -917,7 +917,7 @@
 		if n.Roll != nil {
 			h.adopt(*n.Roll)
 		}
-		h.own.Ask(func(b *books) {
+		h.own.Do(func(b *books) {
 			changed := false
 			for _, x := range n.Berths {
 				changed = b.berths.Join(x) || changed
@@ -953,11 +953,11 @@
 	if err := call.Check(); err != nil {
 		return errcode.New(errcode.Invalid, "%w", err)
 	}
-	if !consensus.Fits(call.Items) {
+	if !consensus.FitsDelta(call.Items) {
 		return errcode.New(errcode.BodyTooLong, "%d items, which are over %d bytes", len(call.Items), consensus.DeltaMax)
 	}
-	var o consensus.Order
-	h.own.Ask(func(b *books) { o = consensus.NewOrder(call.Items, b.stands) })
+	var o consensus.Request
+	h.own.Do(func(b *books) { o = consensus.NewRequest(call.Items, b.stands) })
 	err = h.propose(ctx, o)
 	h.o.Log("change", fmt.Sprintf("%d items: %v", len(call.Items), outcome(err)))
 	return err
@@ -972,17 +972,17 @@
 
 // configure reads what stands: what a majority says, and a round where that is in doubt.
 func (h *Harbour) configure(ctx context.Context) ([]byte, error) {
-	if err := h.propose(ctx, consensus.Order{}); err != nil {
+	if err := h.propose(ctx, consensus.Request{}); err != nil {
 		return nil, err
 	}
 	var s configuration.Set
-	h.own.Ask(func(b *books) { s = b.stands })
+	h.own.Do(func(b *books) { s = b.stands })
 	return s.Encode(), nil
 }
 
 // propose runs rounds until the order is chosen, or was already, or can't be. It ends when its sender has gone: who has no
 // answer sends it again, and a copy that is left behind may only come where it is wanted no more.
-func (h *Harbour) propose(ctx context.Context, order consensus.Order) error {
+func (h *Harbour) propose(ctx context.Context, order consensus.Request) error {
 	end := time.Now().Add(changeTime)
 	if !h.turn(end) {
 		return errcode.New(errcode.Preempted, "by other calls here")
@@ -1024,7 +1024,7 @@
 }
 
 // tryRound runs one round.
-func (h *Harbour) tryRound(ctx context.Context, order consensus.Order, end time.Time) error {
+func (h *Harbour) tryRound(ctx context.Context, order consensus.Request, end time.Time) error {
 	if given(ctx, end) {
 		return errLate
 	}
@@ -1040,10 +1040,10 @@
 	var silent uint32
 	var b configuration.Ballot
 	r := consensus.Round{Voters: n}
-	h.own.Ask(func(t *books) {
+	h.own.Do(func(t *books) {
 		b = configuration.Ballot{N: t.highest.N + 1, By: uint32(h.o.Life)}
 		t.raise(b)
-		r.Have, r.Held = t.chosen, t.stands
+		r.HeldBallot, r.HeldValue = t.chosen, t.stands
 		silent = majorityMs(t.heard)
 	})
 	if silent > contactMs && silent != messages.Never { // its caller is to go on at once: a round would hold it to the end
@@ -1053,7 +1053,7 @@
 	var of configuration.Ballot
 	var stands, ok bool
 	at := make(map[int]consensus.Promise, n) // of each that promised, without items
-	prepare := rpc.Encode(messages.PrepareCall{B: b, Epoch: roll.Epoch, Have: r.Have})
+	prepare := rpc.Encode(messages.PrepareCall{B: b, Epoch: roll.Epoch, Have: r.HeldBallot})
 	ph := phase{voters: n}
 	err := h.council.Gather(messages.Prepare, func(int) []byte { return prepare }, min(phaseTime, time.Until(end)), func(t quorum.Told) bool {
 		var p consensus.Promise
@@ -1061,7 +1061,7 @@
 			return ph.failed(t.Err)
 		}
 		r.Add(p)
-		if !p.Given {
+		if !p.Granted {
 			return ph.refused()
 		}
 		p.Items = nil
@@ -1069,14 +1069,14 @@
 		base, of, stands, ok = r.Base()
 		return ok
 	})
-	if b.Less(r.Higher) {
-		h.own.Ask(func(t *books) { t.raise(r.Higher) })
+	if b.Less(r.HighestSeen) {
+		h.own.Do(func(t *books) { t.raise(r.HighestSeen) })
 	}
 	switch {
 	case ok:
-	case r.Short != "":
-		return errcode.New(errcode.CoreOut, "%s", r.Short)
-	case b.Less(r.Higher):
+	case r.NoBaseReason != "":
+		return errcode.New(errcode.CoreOut, "%s", r.NoBaseReason)
+	case b.Less(r.HighestSeen):
 		return errcode.New(errcode.Preempted, "")
 	default:
 		return outOr(err)
@@ -1087,9 +1087,9 @@
 		return errLate
 	}
 	if stands {
-		h.own.Ask(func(t *books) { t.whole(of, base) })
+		h.own.Do(func(t *books) { t.whole(of, base) })
 	}
-	o := order.Lay(base, b, func(next configuration.Set) error {
+	o := order.Apply(base, b, func(next configuration.Set) error {
 		// A base that is invalid already, of two calls at once that were valid each, holds up nobody else's call.
 		if err := next.Check(); err != nil && base.Check() == nil {
 			return err
@@ -1100,7 +1100,7 @@
 		return told(o)
 	}
 	first := false // what a round before has left goes first: both at once are more than a member keeps beside its base
-	if !stands && len(o.Changes) > 0 && consensus.Beyond(o.Next, r.Have, consensus.DeltaMax) {
+	if !stands && len(o.Changes) > 0 && consensus.ExceedsSize(o.Next, r.HeldBallot, consensus.DeltaMax) {
 		first, o.Next = true, base
 	}
 	if err := h.settle(b, of, stands && !first, o.Next, at, roll, end); err != nil {
@@ -1115,12 +1115,12 @@
 // told is the answer to an order once what its outcome proposes was chosen: until then a refusal would be a guess.
 func told(o consensus.Outcome) error {
 	switch o.Verdict {
-	case consensus.Conflicts:
-		return errcode.New(errcode.Conflict, "%s", o.At)
+	case consensus.Conflicting:
+		return errcode.New(errcode.Conflict, "%s", o.Key)
 	case consensus.Invalid:
-		return errcode.New(errcode.Invalid, "%w", o.Why)
-	case consensus.Unclear:
-		return errcode.New(errcode.Unsure, "%s", o.At)
+		return errcode.New(errcode.Invalid, "%w", o.Err)
+	case consensus.Indeterminate:
+		return errcode.New(errcode.Unsure, "%s", o.Key)
 	}
 	return nil
 }
@@ -1178,7 +1178,7 @@
 func (h *Harbour) settle(b, of configuration.Ballot, stands bool, next configuration.Set, at map[int]consensus.Promise, roll messages.Roll, end time.Time) error {
 	n := len(roll.Voters)
 	holds := make([]configuration.Ballot, n)
-	h.own.Ask(func(t *books) { copy(holds, t.upto) })
+	h.own.Do(func(t *books) { copy(holds, t.upto) })
 	bodies := map[configuration.Ballot][]byte{}
 	var lag []int
 	for i := range holds {
@@ -1192,8 +1192,8 @@
 			continue
 		}
 		bodies[holds[i]] = nil
-		if !consensus.Beyond(next, holds[i], consensus.DeltaMax) {
-			bodies[holds[i]] = rpc.Encode(messages.AcceptCall{B: b, Base: holds[i], Changes: consensus.Since(next, holds[i]), Epoch: roll.Epoch})
+		if !consensus.ExceedsSize(next, holds[i], consensus.DeltaMax) {
+			bodies[holds[i]] = rpc.Encode(messages.AcceptCall{B: b, Base: holds[i], Changes: consensus.ChangedSince(next, holds[i]), Epoch: roll.Epoch})
 		}
 	}
 	for i := range holds {
@@ -1208,7 +1208,7 @@
 		}
 	}
 	if able < consensus.Majority(n) { // of those that answer; whoever else lags is found out by its watch
-		h.own.Ask(func(t *books) {
+		h.own.Do(func(t *books) {
 			for _, i := range lag {
 				if _, ok := at[i]; ok && h.council.Roll().Epoch == roll.Epoch {
 					t.upto[i] = holds[i]
@@ -1220,7 +1220,7 @@
 	if n-len(lag) < consensus.Majority(n) {
 		return errcode.New(errcode.CoreOut, "%d of %d catch up", len(lag), n)
 	}
-	var vs []consensus.Vouch
+	var vs []consensus.Origin
 	var higher configuration.Ballot
 	taken, ph := false, phase{voters: n}
 	err := h.council.Gather(messages.Accept, func(place int) []byte {
@@ -1237,12 +1237,12 @@
 			return ph.refused()
 		}
 		vs = append(vs, a.Vouch)
-		taken = len(consensus.Sound(vs)) >= consensus.Majority(n)
+		taken = len(consensus.Countable(vs)) >= consensus.Majority(n)
 		return taken
 	})
 	if !taken {
 		if b.Less(higher) {
-			h.own.Ask(func(t *books) { t.raise(higher) })
+			h.own.Do(func(t *books) { t.raise(higher) })
 			return errcode.New(errcode.Preempted, "")
 		}
 		if err == nil && ph.higher > 0 {
@@ -1250,7 +1250,7 @@
 		}
 		return outOr(err)
 	}
-	h.own.Ask(func(t *books) { t.whole(b, next) })
+	h.own.Do(func(t *books) { t.whole(b, next) })
 	for i := range roll.Voters {
 		h.learn(i, b)
 	}
--- a/internal/registry/harbour_test.go
+++ b/internal/registry/harbour_test.go
@@ -63,7 +63,7 @@
 	long := time.Now().Add(-time.Minute)
 	for i := range 30 {
 		b.pending[i%3] = long
-		b.watched(i%3, messages.Watched{State: "serving", Vouch: consensus.Vouch{By: i % 3}, Accepted: configuration.Ballot{N: 1}}, time.Now())
+		b.watched(i%3, messages.Watched{State: "serving", Vouch: consensus.Origin{Voter: i % 3}, Accepted: configuration.Ballot{N: 1}}, time.Now())
 	}
 	if h.mend() {
 		t.Error("another that settles was begun")
@@ -92,7 +92,7 @@
 func (v *voter) handle(c rpc.Call) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	vouch := consensus.Vouch{By: v.by, Incs: []uint64{1, 1, 1}}
+	vouch := consensus.Origin{Voter: v.by, Incarnations: []uint64{1, 1, 1}}
 	var p messages.PrepareCall
 	var a messages.AcceptCall
 	var l messages.LearnCall
@@ -103,14 +103,14 @@
 		if v.acc.Prepare(p.B) {
 			c.Reply(v.acc.Promise(vouch, p.Have), nil)
 		} else {
-			c.Reply(consensus.Promise{Vouch: vouch, Promised: v.acc.Promised, Accepted: v.acc.Accepted}, nil)
+			c.Reply(consensus.Promise{Origin: vouch, Promised: v.acc.Promised, Accepted: v.acc.Accepted}, nil)
 		}
 	case c.Kind == messages.Accept && rpc.Decode(c.Body, &a) == nil:
 		if v.overtaken > 0 {
 			v.overtaken--
 			v.acc.Prepare(configuration.Ballot{N: a.B.N + 10, By: 9})
 		}
-		taken := v.acc.May(a.B, a.Base)
+		taken := v.acc.CanAccept(a.B, a.Base)
 		if taken {
 			v.acc.Accept(a.B, v.acc.Delta(a.Changes))
 		}
@@ -120,9 +120,9 @@
 		v.acc.Learn(l.B)
 	case c.Kind == messages.Turn && rpc.Decode(c.Body, &turn) == nil:
 		v.most = max(v.most, len(c.Body))
-		taken := v.acc.Turns(turn.Page)
+		taken := v.acc.CanApplyPage(turn.Page)
 		if taken {
-			v.acc.Turn(turn.Page)
+			v.acc.ApplyPage(turn.Page)
 		}
 		c.Reply(messages.Accepted{Vouch: vouch, Taken: taken, Promised: v.acc.Promised, Accepted: v.acc.Accepted, Chosen: v.acc.Chosen}, nil)
 	}
@@ -158,7 +158,7 @@
 		h, b := ashore(t)
 		h.council = quorum.New(p)
 		b.raise(ballotOf(7))
-		h.own = rpc.Own(b, 16)
+		h.own = rpc.StartOwner(b, 16)
 		roll := messages.Roll{Epoch: 1}
 		var voters []*voter
 		var servers []*rpc.Server
@@ -178,14 +178,14 @@
 		}
 		h.council.Take(roll)
 		voters[0].mute = true
-		if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(ours, configuration.Set{}))); k != errcode.Invalid {
+		if k := errcode.Of(h.propose(t.Context(), consensus.NewRequest(ours, configuration.Set{}))); k != errcode.Invalid {
 			t.Errorf("beside theirs: %v", k)
 		}
 		voters[0].mute, voters[1].mute = false, true
-		if err := h.propose(t.Context(), consensus.Order{}); err != nil {
+		if err := h.propose(t.Context(), consensus.Request{}); err != nil {
 			t.Error(err)
 		}
-		h.own.Ask(func(b *books) {
+		h.own.Do(func(b *books) {
 			if _, ok := b.stands.Get(ours[0].Key); ok {
 				t.Error("what was refused is in force")
 			}
@@ -194,7 +194,7 @@
 		for _, s := range servers {
 			s.Close()
 		}
-		h.own.End()
+		h.own.Stop()
 		p.End()
 	})
 }
--- a/internal/registry/lag_test.go
+++ b/internal/registry/lag_test.go
@@ -38,28 +38,28 @@
 				v.acc.Learn(last)
 			}
 		})
-		h.own.Ask(func(b *books) { b.raise(last) })
+		h.own.Do(func(b *books) { b.raise(last) })
 		change := func(version configuration.Version) error {
 			i := service
 			i.Version, i.Ballot = version, configuration.Ballot{}
-			return h.propose(t.Context(), consensus.Order{Items: []configuration.Item{i}})
+			return h.propose(t.Context(), consensus.Request{Items: []configuration.Item{i}})
 		}
 		if err := change(2); errcode.Of(err) != errcode.CoreOut || !strings.Contains(err.Error(), "not read yet") {
 			t.Errorf("with nothing held: %v", err)
 		}
-		h.own.Ask(func(b *books) {
+		h.own.Do(func(b *books) {
 			b.whole(last, stands)
 			b.upto[0], b.upto[1] = last, last // as they were watched
 		})
 		if err := change(3); err != nil {
 			t.Error(err)
 		}
-		if voters[2].acc.Accepted.N > 0 || voters[2].acc.Stands.Len() > 0 {
+		if voters[2].acc.Accepted.N > 0 || voters[2].acc.Base.Len() > 0 {
 			t.Errorf("told at once: %v", voters[2].acc.Accepted)
 		}
 		voters[1].mute = true // a round waits for it in vain, and has the other taught
-		if err := change(4); err != nil || voters[2].acc.Stands.Len() != stands.Len() {
-			t.Errorf("beside one that lagged: %v, it holds %d items of %d", err, voters[2].acc.Stands.Len(), stands.Len())
+		if err := change(4); err != nil || voters[2].acc.Base.Len() != stands.Len() {
+			t.Errorf("beside one that lagged: %v, it holds %d items of %d", err, voters[2].acc.Base.Len(), stands.Len())
 		}
 		for _, v := range voters {
 			if v.most > consensus.PageMax*5/4 {
@@ -75,7 +75,7 @@
 	h, b := ashore(t)
 	h.council = quorum.New(p)
 	b.upto, b.taught = make([]configuration.Ballot, 3), make([]bool, 3)
-	h.own = rpc.Own(b, 16)
+	h.own = rpc.StartOwner(b, 16)
 	roll := messages.Roll{Epoch: 1}
 	var servers []*rpc.Server
 	for n := range 3 {
@@ -96,7 +96,7 @@
 			s.Close()
 		}
 		h.running.Wait()
-		h.own.End()
+		h.own.Stop()
 		p.End()
 	}
 }
@@ -123,13 +123,13 @@
 				v.acc.Accept(two, large("left", two))
 			}
 		})
-		h.own.Ask(func(b *books) {
+		h.own.Do(func(b *books) {
 			b.raise(two)
 			b.whole(one, configuration.SetOf(service))
 			b.upto[0], b.upto[1], b.upto[2] = one, one, one
 		})
 		voters[2].mute = true
-		if err := h.propose(t.Context(), consensus.Order{Items: large("call", configuration.Ballot{})}); err != nil {
+		if err := h.propose(t.Context(), consensus.Request{Items: large("call", configuration.Ballot{})}); err != nil {
 			t.Error(err)
 		}
 		for _, v := range voters[:2] {
@@ -153,19 +153,19 @@
 	five := configuration.SetOf(item("a", 1), item("b", 2), item("c", 3), item("d", 5))
 	six := five.With(item("a", 6))
 	tell := func(s configuration.Set, of uint64, catches bool) {
-		p := consensus.PageOf(s, configuration.Ballot{N: of}, b.pages.Have(b.chosen))
-		w := messages.Watched{State: "serving", Accepted: p.Target, Chosen: p.Target, Known: p.Target, From: p.From, Upto: p.Upto, Items: p.Items}
+		p := consensus.NewPage(s, configuration.Ballot{N: of}, b.pages.CompleteUpTo(b.chosen))
+		w := messages.Watched{State: "serving", Accepted: p.Target, Chosen: p.Target, Known: p.Target, From: p.From, Upto: p.UpTo, Items: p.Items}
 		if catches {
 			w.Known.N++
 		}
 		b.watched(0, w, time.Now())
 	}
-	if tell(five, 5, true); !b.pages.Have(b.chosen).IsZero() {
+	if tell(five, 5, true); !b.pages.CompleteUpTo(b.chosen).IsZero() {
 		t.Error("a page of a member that catches up")
 	}
 	tell(six, 6, false)
-	if !b.chosen.IsZero() || b.pages.Have(b.chosen).N != 2 {
-		t.Fatalf("behind the first page: %v, all up to %v", b.chosen, b.pages.Have(b.chosen))
+	if !b.chosen.IsZero() || b.pages.CompleteUpTo(b.chosen).N != 2 {
+		t.Fatalf("behind the first page: %v, all up to %v", b.chosen, b.pages.CompleteUpTo(b.chosen))
 	}
 	for range 8 {
 		if tell(five, 5, false); b.chosen.N > 0 {
@@ -175,7 +175,7 @@
 	if b.chosen.N != 5 || b.stands.Len() != 4 {
 		t.Errorf("chosen %v, %d items", b.chosen, b.stands.Len())
 	}
-	if tell(six, 6, false); b.chosen.N != 6 || b.pages.Have(b.chosen).N != 6 {
+	if tell(six, 6, false); b.chosen.N != 6 || b.pages.CompleteUpTo(b.chosen).N != 6 {
 		t.Errorf("chosen %v", b.chosen)
 	}
 	seven := configuration.Ballot{N: 7} // from a purser that knows of no pages
--- a/internal/registry/number_test.go
+++ b/internal/registry/number_test.go
@@ -23,7 +23,7 @@
 		p := network.New(1).Machine("10.0.0.1", "north").Start()
 		h, b := ashore(t)
 		h.council = quorum.New(p)
-		h.own = rpc.Own(b, 16)
+		h.own = rpc.StartOwner(b, 16)
 		roll := messages.Roll{Epoch: 1}
 		var voters []*voter
 		var servers []*rpc.Server
@@ -54,7 +54,7 @@
 		for _, s := range servers {
 			s.Close()
 		}
-		h.own.End()
+		h.own.Stop()
 		p.End()
 	})
 }
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return consensus.Apply(s, c.Items, configuration.Ballot{N: n, By: 9}).Next, c.Items
+	return consensus.ApplyItems(s, c.Items, configuration.Ballot{N: n, By: 9}).Next, c.Items
 }
 
 func serviceText(name string) string {
@@ -85,14 +85,14 @@
 	all, order := laid(t, more, 7, routeText("r1", "late"))
 	chamber(t, [3][]configuration.Set{{base, all}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
 		voters[0].mute = true
-		if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(order, configuration.Set{}))); k != errcode.Invalid {
+		if k := errcode.Of(h.propose(t.Context(), consensus.NewRequest(order, configuration.Set{}))); k != errcode.Invalid {
 			t.Errorf("while nobody tells of its service: %v", k)
 		}
 		voters[0].mute, voters[1].mute = false, true
-		if err := h.propose(t.Context(), consensus.Order{}); err != nil {
+		if err := h.propose(t.Context(), consensus.Request{}); err != nil {
 			t.Error(err)
 		}
-		h.own.Ask(func(b *books) {
+		h.own.Do(func(b *books) {
 			if _, ok := b.stands.Get(order[0].Key); ok {
 				t.Error("what was refused is in force")
 			}
@@ -106,19 +106,19 @@
 	_, order := laid(t, base, 6, routeText("r1", "late"))
 	_, late := laid(t, base, 6, serviceText("late"))
 	chamber(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, h *Harbour, _ []*voter) {
-		waits := consensus.NewOrder(order, base)
+		waits := consensus.NewRequest(order, base)
 		for _, step := range []struct {
 			what  string
-			order consensus.Order
+			order consensus.Request
 			want  errcode.Kind
-		}{{"a copy", consensus.NewOrder(order, base), errcode.Invalid}, {"its service", consensus.NewOrder(late, base), errcode.OK},
+		}{{"a copy", consensus.NewRequest(order, base), errcode.Invalid}, {"its service", consensus.NewRequest(late, base), errcode.OK},
 			{"the copy that waited", waits, errcode.Unsure}} {
 			if k := errcode.Of(h.propose(t.Context(), step.order)); k != step.want {
 				t.Errorf("%s: %v, want %v", step.what, k, step.want)
 			}
 		}
-		var anew consensus.Order
-		h.own.Ask(func(b *books) { anew = consensus.NewOrder(order, b.stands) })
+		var anew consensus.Request
+		h.own.Do(func(b *books) { anew = consensus.NewRequest(order, b.stands) })
 		if err := h.propose(t.Context(), anew); err != nil {
 			t.Errorf("sent anew: %v", err)
 		}
@@ -132,7 +132,7 @@
 	chamber(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
 		ctx, gone := context.WithCancel(t.Context())
 		gone()
-		if k := errcode.Of(h.propose(ctx, consensus.NewOrder(order, base))); k.Answer().Status != 503 {
+		if k := errcode.Of(h.propose(ctx, consensus.NewRequest(order, base))); k.Answer().Status != 503 {
 			t.Errorf("answered %v", k)
 		}
 		for _, v := range voters {
@@ -171,7 +171,7 @@
 			version configuration.Version
 			want    errcode.Kind
 		}{{last, errcode.OK}, {last - 1, errcode.OK}, {1, errcode.Unsure}, {last - 17, errcode.OK}, {last - 18, errcode.Unsure}} {
-			if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(call(c.version), base))); k != c.want {
+			if k := errcode.Of(h.propose(t.Context(), consensus.NewRequest(call(c.version), base))); k != c.want {
 				t.Errorf("%s: %v, want %v", c.version, k, c.want)
 			}
 		}
@@ -187,8 +187,8 @@
 func TestRefusalThatWasLeft(t *testing.T) {
 	base, _ := laid(t, configuration.Set{}, 5, serviceText("s"))
 	_, items := laid(t, base, 6, routeText("r1", "late"))
-	order := consensus.NewOrder(items, base)
-	left := order.Lay(base, configuration.Ballot{N: 6, By: 9}, configuration.Set.Check).Next
+	order := consensus.NewRequest(items, base)
+	left := order.Apply(base, configuration.Ballot{N: 6, By: 9}, configuration.Set.Check).Next
 	chamber(t, [3][]configuration.Set{{base, left}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
 		voters[1].mute = true
 		if k := errcode.Of(h.propose(t.Context(), order)); k != errcode.Invalid {
@@ -211,7 +211,7 @@
 				begin(voters[0])
 				begin(voters[1])
 				begun := time.Now()
-				err := h.propose(t.Context(), consensus.NewOrder(order, base))
+				err := h.propose(t.Context(), consensus.NewRequest(order, base))
 				if took := time.Since(begun); err != nil || took > 100*time.Millisecond {
 					t.Errorf("%v after %v", err, took)
 				}
--- a/internal/registry/rolls.go
+++ b/internal/registry/rolls.go
@@ -95,19 +95,19 @@
 	if b.gap(now); b.since.Equal(now) {
 		return false
 	}
-	wanted, roll := reconfig.Wanted(b.h.o.Losses), b.h.council.Roll()
+	wanted, roll := reconfig.VotersFor(b.h.o.Losses), b.h.council.Roll()
 	if roll.Epoch != b.epoch { // what is noted by place is of another
 		return false
 	}
 	known := b.pursers()
 	zoned(&roll, known)
 	if now.Sub(b.grown) >= growEvery && (len(b.heard) < wanted || b.h.o.Bears.Excess(roll.Voters) > 0) &&
-		reconfig.Next(roll, nil, wanted, b.h.o.Bears, known) != nil {
+		reconfig.NextVoters(roll, nil, wanted, b.h.o.Bears, known) != nil {
 		if b.may(lease.Roll) {
 			b.grown = now
 			b.turn("voters for all losses", func(roll messages.Roll) ([]messages.Voter, error) {
 				zoned(&roll, known)
-				return reconfig.Next(roll, nil, wanted, b.h.o.Bears, b.h.well(roll, known)), nil
+				return reconfig.NextVoters(roll, nil, wanted, b.h.o.Bears, b.h.well(roll, known)), nil
 			})
 			return true
 		}
@@ -140,7 +140,7 @@
 		go func() { well <- b.h.well(roll, known) }()
 		gone := b.h.silent(roll, gone, unwell, known, lost)
 		if candidates := <-well; len(gone) > 0 && time.Since(now) < 2*readyTime { // else this process slept: they may be back
-			return reconfig.Next(roll, gone, wanted, b.h.o.Bears, candidates), nil
+			return reconfig.NextVoters(roll, gone, wanted, b.h.o.Bears, candidates), nil
 		}
 		return nil, nil
 	})
@@ -238,7 +238,7 @@
 	for i, v := range known {
 		go func() {
 			var r messages.Readied
-			if roll.Place(v.Addr) >= 0 || h.call(v.Addr, messages.Ready, messages.ReadyCall{Dry: true}, &r, readyTime) != nil ||
+			if roll.IndexOf(v.Addr) >= 0 || h.call(v.Addr, messages.Ready, messages.ReadyCall{Dry: true}, &r, readyTime) != nil ||
 				r.State != "apart" || !r.Quorum {
 				i = -1
 			}
@@ -267,9 +267,9 @@
 
 // prepare asks the wished voters how they stand, and makes a roll of them. Those that join must be well, and a majority.
 func (h *Harbour) prepare(roll messages.Roll, voters []messages.Voter, dry bool) (next messages.Roll, err error) {
-	next = messages.Roll{Epoch: roll.Epoch + 1, Voters: slices.Clone(voters), Was: slices.Clone(roll.Voters)}
-	for i := range next.Was {
-		next.Was[i].Disk = 0
+	next = messages.Roll{Epoch: roll.Epoch + 1, Voters: slices.Clone(voters), Previous: slices.Clone(roll.Voters)}
+	for i := range next.Previous {
+		next.Previous[i].Disk = 0
 	}
 	type told struct {
 		i   int
@@ -289,7 +289,7 @@
 		t := <-ch
 		v := &next.Voters[t.i]
 		v.Disk = 0
-		joins := roll.Place(v.Addr) < 0
+		joins := roll.IndexOf(v.Addr) < 0
 		switch {
 		case t.err != nil && joins:
 			return next, errcode.New(errcode.Away, "%s", v.Addr)
@@ -327,7 +327,7 @@
 		case err == nil:
 			h.Counts.Relieved.Add(1)
 			holds = h.hand(next)
-			if voters != nil && !next.Same(mine) {
+			if voters != nil && !next.SameVoters(mine) {
 				return next, holds, errcode.New(errcode.Preempted, "another change was under way")
 			}
 			return next, holds, nil
@@ -346,7 +346,7 @@
 func (h *Harbour) decree(roll, mine messages.Roll) (next messages.Roll, err error) {
 	n := len(roll.Voters)
 	var b configuration.Ballot
-	h.own.Ask(func(t *books) {
+	h.own.Do(func(t *books) {
 		t.decree = configuration.Ballot{N: t.decree.N + 1, By: uint32(h.o.Life)}
 		b = t.decree
 	})
@@ -368,14 +368,14 @@
 	})
 	next, bound, ok := r.Base()
 	defer func() {
-		h.own.Ask(func(t *books) {
-			if t.decree.Less(r.Higher) {
-				t.decree = r.Higher
+		h.own.Do(func(t *books) {
+			if t.decree.Less(r.HighestSeen) {
+				t.decree = r.HighestSeen
 			}
 		})
 	}()
 	switch {
-	case !ok && b.Less(r.Higher):
+	case !ok && b.Less(r.HighestSeen):
 		return next, errcode.New(errcode.Preempted, "")
 	case !ok:
 		return next, err
@@ -392,7 +392,7 @@
 	switch {
 	case chosen:
 		return next, nil
-	case b.Less(r.Higher):
+	case b.Less(r.HighestSeen):
 		return next, errcode.New(errcode.Preempted, "")
 	}
 	return next, outOr(err)
@@ -420,8 +420,8 @@
 	}
 	h.o.Log("roll", fmt.Sprintf("epoch %d: %d speak after %v", next.Epoch, holds, time.Since(begun).Round(time.Millisecond)))
 	h.adopt(next) // a voter that is left out is told by those who watch it
-	for _, v := range next.Was {
-		if next.Place(v.Addr) < 0 {
+	for _, v := range next.Previous {
+		if next.IndexOf(v.Addr) < 0 {
 			go h.call(v.Addr, messages.Relieve, messages.RelieveCall{Roll: next}, nil, relieveTime)
 		}
 	}
@@ -531,7 +531,7 @@
 	switch {
 	case len(voters)%2 == 0:
 		return nil, errcode.New(errcode.Invalid, "%d voters: an odd number is wanted", len(voters))
-	case (messages.Roll{Epoch: roll.Epoch, Voters: voters}).Same(roll):
+	case (messages.Roll{Epoch: roll.Epoch, Voters: voters}).SameVoters(roll):
 		return nil, errcode.New(errcode.Invalid, "that is the roll in force")
 	}
 	return voters, nil
--- a/internal/registry/wake_test.go
+++ b/internal/registry/wake_test.go
@@ -19,7 +19,7 @@
 		b.berths.Join(backends.Berth{Node: fmt.Sprint("n", i), Addr: "10.0.0.1:7", Version: 1})
 	}
 	for range n {
-		c := rpc.Local(messages.Pull, nil, func([]byte, error) { answered.Add(1) })
+		c := rpc.LocalCall(messages.Pull, nil, func([]byte, error) { answered.Add(1) })
 		b.pull(c, messages.PullCall{Life: 1, At: b.berths.At(), Sum: b.sum, Have: configuration.Ballot{N: 1}, HoldMs: 5000})
 	}
 	return h, b
@@ -30,7 +30,7 @@
 	const proxies = 1000
 	var answered atomic.Int64
 	h, b := waiting(t, proxies, &answered)
-	h.own = rpc.Own(b, 16)
+	h.own = rpc.StartOwner(b, 16)
 	turn := make(chan int64, 1)
 	queued := make(chan struct{})
 	h.own.Send(func(b *books) {
@@ -45,13 +45,13 @@
 		t.Errorf("a call has its turn behind %d answers", n)
 	}
 	for left, telling := -1, true; left != 0 || telling; {
-		h.own.Ask(func(b *books) { left, telling = len(b.pullers), b.telling })
+		h.own.Do(func(b *books) { left, telling = len(b.pullers), b.telling })
 	}
 	h.running.Wait()
 	if n := answered.Load(); n != proxies {
 		t.Errorf("%d answers", n)
 	}
-	h.own.End()
+	h.own.Stop()
 }
 
 // One change is told to all who wait. turn-µs: for how long the owner had no time for another call.
@@ -64,7 +64,7 @@
 				b.StopTimer()
 				var answered atomic.Int64
 				h, x := waiting(b, n, &answered)
-				h.own = rpc.Own(x, 1024)
+				h.own = rpc.StartOwner(x, 1024)
 				b.StartTimer()
 				h.own.Send(func(x *books) {
 					x.berths.Join(backends.Berth{Node: "n1", Addr: "10.0.0.1:7", Version: 2})
@@ -72,14 +72,14 @@
 				})
 				for answered.Load() < int64(n) {
 					began := time.Now()
-					h.own.Ask(func(*books) {})
+					h.own.Do(func(*books) {})
 					took := time.Since(began)
 					longest = max(longest, took)
 					sum += took
 					rounds++
 				}
 				b.StopTimer()
-				h.own.End()
+				h.own.Stop()
 				b.StartTimer()
 			}
 			b.ReportMetric(float64(longest.Microseconds()), "longest-turn-µs")
--- a/internal/rpc/owner.go
+++ b/internal/rpc/owner.go
@@ -7,8 +7,8 @@
 	ended chan struct{}
 }
 
-// Own begins to own a table with a queue of so many commands.
-func Own[T any](table *T, depth int) *Owner[T] {
+// StartOwner begins to own a table with a queue of so many commands.
+func StartOwner[T any](table *T, depth int) *Owner[T] {
 	o := &Owner[T]{table: table, queue: make(chan func(*T), depth), ended: make(chan struct{})}
 	go func() {
 		defer close(o.ended)
@@ -30,8 +30,8 @@
 	}
 }
 
-// Ask has a command done and waits for it. It reports whether it was done: not once the owner has ended.
-func (o *Owner[T]) Ask(f func(*T)) bool {
+// Do has a command done and waits for it. It reports whether it was done: not once the owner has ended.
+func (o *Owner[T]) Do(f func(*T)) bool {
 	done := make(chan struct{})
 	o.Send(func(t *T) {
 		f(t)
@@ -45,8 +45,8 @@
 	}
 }
 
-// End ends the owner after the commands that are queued. Not for use from within a command.
-func (o *Owner[T]) End() {
+// Stop ends the owner after the commands that are queued. Not for use from within a command.
+func (o *Owner[T]) Stop() {
 	select {
 	case o.queue <- nil:
 	case <-o.ended:
--- a/internal/rpc/signal.go
+++ b/internal/rpc/signal.go
@@ -187,8 +187,8 @@
 	to   func(body []byte, err error)
 }
 
-// Local is a call from within the process: to gets its answer.
-func Local(kind uint8, v any, to func(body []byte, err error)) Call {
+// LocalCall is a call from within the process: to gets its answer.
+func LocalCall(kind uint8, v any, to func(body []byte, err error)) Call {
 	return Call{Kind: kind, Body: Encode(v), to: to}
 }
 
@@ -349,9 +349,9 @@
 	return id
 }
 
-// Forget ends the wait for a call; its number is not given again while its answer may come. If the peer has said nothing since long before, the connection is given up: one behind
+// Cancel ends the wait for a call; its number is not given again while its answer may come. If the peer has said nothing since long before, the connection is given up: one behind
 // a cut comes back late or not at all, a new one tells at once.
-func (c *Client) Forget(id uint32) {
+func (c *Client) Cancel(id uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.waiting[id]
@@ -386,7 +386,7 @@
 		}
 		return Decode(r.body, answer)
 	case <-t.C:
-		c.Forget(id)
+		c.Cancel(id)
 		return errcode.New(errcode.TimedOut, "%s", c.addr)
 	}
 }
--- a/internal/rpc/signal_test.go
+++ b/internal/rpc/signal_test.go
@@ -151,12 +151,12 @@
 
 // An owner works in order, and those who ask one that has ended are told so.
 func TestOwner(t *testing.T) {
-	o := Own(&[]int{}, 4)
+	o := StartOwner(&[]int{}, 4)
 	for i := range 100 {
 		o.Send(func(s *[]int) { *s = append(*s, i) })
 	}
 	n := 0
-	if !o.Ask(func(s *[]int) {
+	if !o.Do(func(s *[]int) {
 		for i, x := range *s {
 			if i == x {
 				n++
@@ -165,9 +165,9 @@
 	}) || n != 100 {
 		t.Errorf("%d of 100 in order", n)
 	}
-	o.End()
-	o.End()
-	if o.Ask(func(*[]int) {}) {
+	o.Stop()
+	o.Stop()
+	if o.Do(func(*[]int) {}) {
 		t.Error("done after the end")
 	}
 }
--- a/internal/rpc/walk_test.go
+++ b/internal/rpc/walk_test.go
@@ -157,7 +157,7 @@
 		if w.forget != nil {
 			w.forget(c, ids[i])
 		} else {
-			c.Forget(ids[i])
+			c.Cancel(ids[i])
 		}
 		c.mu.Lock()
 		c.next = ids[i] - 1
@@ -207,11 +207,11 @@
 	return &callWalk{p: p, net: p, port: 1000}
 }
 
-var walkOfCalls = modelcheck.Walk[*callWalk]{Deeds: len(peerDeeds), Deed: func(i int) string { return peerDeeds[i].name }, Length: 3,
-	Ways: []string{"one by one", "at once"}, Begin: newCallWalk, World: callWorld, End: func(w *callWalk) { w.p.End() }}
+var walkOfCalls = modelcheck.ScriptTest[*callWalk]{Actions: len(peerDeeds), ActionName: func(i int) string { return peerDeeds[i].name }, ScriptLength: 3,
+	Modes: []string{"one by one", "at once"}, Setup: newCallWalk, Run: callWorld, Teardown: func(w *callWalk) { w.p.End() }}
 
 // Whatever happens to a call, and to those before it, none gets another's answer.
-func TestWalkOfCalls(t *testing.T) { walkOfCalls.Holds(t) }
+func TestWalkOfCalls(t *testing.T) { walkOfCalls.Check(t) }
 
 // blindNet has every answer pass for one to the newest call, of its kind: as if neither was compared.
 type blindNet struct{ sock.Net }
@@ -247,7 +247,7 @@
 
 // Wrong clients are found: one that gives the number of a call that it gave up to another, and one that compares no numbers.
 func TestWalkFindsWrongClients(t *testing.T) {
-	walkOfCalls.Finds(t, map[string]func(w *callWalk){
+	walkOfCalls.CheckMutants(t, map[string]func(w *callWalk){
 		"a number is given again while its answer may come": func(w *callWalk) {
 			w.forget = func(c *Client, id uint32) {
 				c.mu.Lock()
@@ -280,12 +280,12 @@
 		}
 		was := first()
 		for range maxCalls {
-			c.Forget(c.Go(2, nil, func([]byte, error) { t.Error("it was given up") }))
+			c.Cancel(c.Go(2, nil, func([]byte, error) { t.Error("it was given up") }))
 		}
 		if err := c.Call(1, nil, &got, time.Second); err != nil || first() != was {
 			t.Errorf("behind %d that were given up: %v", maxCalls, err)
 		}
-		c.Forget(c.Go(2, nil, func([]byte, error) {}))
+		c.Cancel(c.Go(2, nil, func([]byte, error) {}))
 		synctest.Wait()
 		time.Sleep(time.Second)
 		if first() == was {
--- a/internal/store/amid_test.go
+++ b/internal/store/amid_test.go
@@ -56,7 +56,7 @@
 // next repair makes up for all.
 func TestRepairThatDiesAtEachSync(t *testing.T) {
 	items, claims := much()
-	m := mustered{m: messages.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: configuration.Ballot{N: 9},
+	m := mustered{m: messages.Mustered{Vouch: consensus.Origin{Voter: 1, Incarnations: []uint64{2, 1, 1}}, Accepted: configuration.Ballot{N: 9},
 		Chosen: configuration.Ballot{N: 9}}, claims: claims, base: configuration.SetOf(items...)}
 	for _, fails := range []bool{false, true} {
 		n, done := 0, false
@@ -95,8 +95,8 @@
 // own books whole for those that need them.
 func TestTakingOverThatDiesAtEachSync(t *testing.T) {
 	items, claims := much()
-	next := messages.Roll{Epoch: 2, Voters: voters, Was: voters}
-	h := handed{base: configuration.SetOf(items...), claims: claims, h: messages.Handed{Estate: reconfig.Estate{Vouch: consensus.Vouch{By: 1, Incs: []uint64{1, 1, 1}},
+	next := messages.Roll{Epoch: 2, Voters: voters, Previous: voters}
+	h := handed{base: configuration.SetOf(items...), claims: claims, h: messages.Handed{Estate: reconfig.Handover{Origin: consensus.Origin{Voter: 1, Incarnations: []uint64{1, 1, 1}},
 		Promised: configuration.Ballot{N: 9}, Accepted: configuration.Ballot{N: 9}, Chosen: configuration.Ballot{N: 9}}}}
 	older := items[0]
 	older.Version, older.Ballot.N = 1, 3
--- a/internal/store/purser.go
+++ b/internal/store/purser.go
@@ -152,14 +152,14 @@
 	p.later = func(f func(*books)) { go p.own.Send(f) }
 	p.aside = func(f func() func(*books)) {
 		go func() {
-			if g := f(); !p.own.Ask(g) { // it has ended meanwhile
+			if g := f(); !p.own.Do(g) { // it has ended meanwhile
 				g(&books{p: p, closed: true})
 			}
 		}()
 	}
 	b := &books{p: p, begun: time.Now(), state: NoDisk, me: -1, duties: lease.NewLedger(0)}
 	b.clear()
-	p.own = rpc.Own(b, 1024)
+	p.own = rpc.StartOwner(b, 1024)
 	p.server = rpc.Serve(l, p.handle)
 	p.own.Send((*books).open)
 	go p.tick()
@@ -183,8 +183,8 @@
 	close(p.ended)
 	p.server.Close()
 	var disk disk
-	p.own.Ask(func(b *books) { disk, b.closed = b.disk, true })
-	p.own.End()
+	p.own.Do(func(b *books) { disk, b.closed = b.disk, true })
+	p.own.Stop()
 	if disk != nil {
 		return disk.Close()
 	}
@@ -210,8 +210,8 @@
 
 // Status tells how it stands.
 func (p *Purser) Status() (s Status) {
-	p.own.Ask(func(b *books) {
-		s = Status{State: b.state, Keys: b.ledger.Len(), Chosen: b.acc.Chosen, Roll: b.roll, Shut: b.seal.Shut()}
+	p.own.Do(func(b *books) {
+		s = Status{State: b.state, Keys: b.ledger.Len(), Chosen: b.acc.Chosen, Roll: b.roll, Shut: b.seal.Sealed()}
 		if b.disk != nil {
 			s.Stall = b.disk.Stalled()
 		}
@@ -303,7 +303,7 @@
 	b.trouble = ""
 	b.disk, b.acc, b.ledger, b.roll, b.incs, b.me = read.disk, read.acc, read.ledger, read.roll, read.incs, read.me
 	b.bundles = read.bundles
-	b.seal, b.sealed, b.former, b.number, b.past = read.seal, read.seal.Shut() || read.past != nil, read.former, read.number, read.past
+	b.seal, b.sealed, b.former, b.number, b.past = read.seal, read.seal.Sealed() || read.past != nil, read.former, read.number, read.past
 	b.mark, b.markAt = read.mark, b.now()
 	b.p.marked.Store(b.mark)
 	switch {
@@ -363,14 +363,14 @@
 }
 
 func (b *books) place() {
-	b.me = b.roll.Place(b.p.o.Addr)
+	b.me = b.roll.IndexOf(b.p.o.Addr)
 	if len(b.incs) != len(b.roll.Voters) {
 		b.incs = make([]uint64, len(b.roll.Voters))
 	}
 }
 
-func (b *books) vouch() consensus.Vouch {
-	return consensus.Vouch{By: b.me, Incs: slices.Clone(b.incs)}
+func (b *books) vouch() consensus.Origin {
+	return consensus.Origin{Voter: b.me, Incarnations: slices.Clone(b.incs)}
 }
 
 // ---- On disk ----
@@ -386,7 +386,7 @@
 func putBallots(a *consensus.Acceptor) []storage.Put {
 	puts := []storage.Put{putBallot("promised", a.Promised), putBallot("accepted", a.Accepted), putBallot("chosen", a.Chosen),
 		{Table: tableMeta, Key: []byte("target")}, putLayout}
-	if a.CatchesUp() {
+	if a.CatchingUp() {
 		puts[3] = putBallot("target", a.Target)
 	}
 	return puts
@@ -414,7 +414,7 @@
 	for len(delta) > 0 {
 		n := 0
 		for size := 0; n < len(delta) && size < bundleBytes; n++ {
-			size += consensus.Size(delta[n])
+			size += consensus.ItemSize(delta[n])
 		}
 		puts = append(puts, storage.Put{Table: tableDelta, Key: binary.BigEndian.AppendUint16(nil, uint16(bundles)), Value: rpc.Encode(delta[:n])})
 		delta, bundles = delta[n:], bundles+1
@@ -481,7 +481,7 @@
 		var i configuration.Item
 		err := rpc.Decode(v, &i)
 		if err == nil {
-			b.acc.Stands = b.acc.Stands.With(i)
+			b.acc.Base = b.acc.Base.With(i)
 		}
 		return err
 	}); err != nil {
@@ -497,7 +497,7 @@
 		return err
 	}
 	if !b.acc.Accepted.IsZero() {
-		b.acc.Value = b.acc.Stands.With(delta...)
+		b.acc.Value = b.acc.Base.With(delta...)
 	}
 	if !layout && b.acc.Accepted != b.acc.Chosen && len(b.incs) > 0 { // which items were chosen can't be told: it is made up for
 		b.place()
@@ -659,7 +659,7 @@
 	if err := b.member(epoch); err != nil {
 		return err
 	}
-	if b.seal.Shut() || b.taking {
+	if b.seal.Sealed() || b.taking {
 		return errcode.New(errcode.Gone, "epoch %d has ended here", epoch)
 	}
 	return nil
@@ -692,7 +692,7 @@
 		b.queued = append(b.queued, func(b *books) { b.again(c, b.prepare(c, m)) })
 		return nil
 	}
-	if b.acc.Learns(m.Have) { // first, so that what is to be told and kept beside it stays small
+	if b.acc.CanLearn(m.Have) { // first, so that what is to be told and kept beside it stays small
 		b.fold(m.Have, func(b *books, err error) {
 			if err == nil {
 				err = b.prepare(c, m)
@@ -704,11 +704,11 @@
 		return nil
 	}
 	if !b.acc.Prepare(m.B) {
-		c.Reply(consensus.Promise{Vouch: b.vouch(), Promised: b.acc.Promised, Accepted: b.acc.Accepted}, nil)
+		c.Reply(consensus.Promise{Origin: b.vouch(), Promised: b.acc.Promised, Accepted: b.acc.Accepted}, nil)
 		return nil
 	}
 	answer := b.acc.Promise(b.vouch(), m.Have)
-	answer.Former = b.inherited()
+	answer.Inherited = b.inherited()
 	b.write([]storage.Put{putBallot("promised", m.B)}, func(err error) { reply(c, answer, err) })
 	return nil
 }
@@ -737,7 +737,7 @@
 		b.queued = append(b.queued, func(b *books) { b.again(c, b.accept(c, m)) })
 		return nil
 	}
-	if !b.acc.May(m.B, m.Base) {
+	if !b.acc.CanAccept(m.B, m.Base) {
 		c.Reply(b.accepted(false), nil)
 		return nil
 	}
@@ -784,7 +784,7 @@
 	for i := range b.acc.Value.Since(b.acc.Chosen) {
 		puts = append(puts, putItem(i))
 	}
-	was := b.acc.CatchesUp() // what it lacked may have come with what was proposed
+	was := b.acc.CatchingUp() // what it lacked may have come with what was proposed
 	puts = append(puts, putBallot("chosen", of), storage.Put{Table: tableMeta, Key: []byte("target")})
 	b.alter(puts, func(b *books, err error) {
 		if err == nil && b.acc.Learn(of) { // else whoever asks next tells again
@@ -802,7 +802,7 @@
 		return nil
 	}
 	c.Reply(b.accepted(b.acc.Accepted == m.B), nil)
-	if b.acc.Learns(m.B) && b.state == Serving && !b.taking { // else the register is being replaced
+	if b.acc.CanLearn(m.B) && b.state == Serving && !b.taking { // else the register is being replaced
 		b.fold(m.B, func(*books, error) {})
 	}
 	return nil
@@ -817,21 +817,21 @@
 		b.queued = append(b.queued, func(b *books) { b.again(c, b.turn(c, m)) })
 		return nil
 	}
-	if !b.acc.Turns(m.Page) {
+	if !b.acc.CanApplyPage(m.Page) {
 		c.Reply(b.accepted(false), nil)
 		return nil
 	}
-	was := b.acc.CatchesUp()
+	was := b.acc.CatchingUp()
 	next := *b.acc
-	next.Turn(m.Page)
+	next.ApplyPage(m.Page)
 	puts, _ := b.putDelta(nil)
-	for _, i := range m.Page.News(b.acc.Stands) {
+	for _, i := range m.Page.NewerThan(b.acc.Base) {
 		puts = append(puts, putItem(i))
 	}
 	puts = append(puts, putBallots(&next)...)
 	b.alter(puts, func(b *books, err error) {
 		if err == nil {
-			b.acc.Turn(m.Page)
+			b.acc.ApplyPage(m.Page)
 			b.bundles = 0
 			b.caught(was)
 			b.wake()
@@ -843,17 +843,17 @@
 
 // caught logs the begin and the end of catching up. was: whether it did before.
 func (b *books) caught(was bool) {
-	if is := b.acc.CatchesUp(); is != was {
+	if is := b.acc.CatchingUp(); is != was {
 		b.p.o.Log("register", fmt.Sprintf("catching up %v: all up to ballot %d of %d", is, b.acc.Chosen.N, b.acc.Target.N))
 	}
 }
 
 func (b *books) watched(have configuration.Ballot) messages.Watched {
 	w := messages.Watched{Vouch: b.vouch(), Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: b.acc.Chosen,
-		Known: b.acc.Known(), Roll: b.roll, State: string(b.state), Keys: b.ledger.Len(), Shut: b.seal.Shut(), Mark: b.p.marked.Load()}
-	if have.Less(b.acc.Chosen) && !b.acc.CatchesUp() {
-		p := consensus.PageOf(b.acc.Stands, b.acc.Chosen, have)
-		w.Items, w.From, w.Upto = p.Items, p.From, p.Upto
+		Known: b.acc.KnownChosen(), Roll: b.roll, State: string(b.state), Keys: b.ledger.Len(), Shut: b.seal.Sealed(), Mark: b.p.marked.Load()}
+	if have.Less(b.acc.Chosen) && !b.acc.CatchingUp() {
+		p := consensus.NewPage(b.acc.Base, b.acc.Chosen, have)
+		w.Items, w.From, w.Upto = p.Items, p.From, p.UpTo
 	}
 	return w
 }
@@ -875,7 +875,7 @@
 }
 
 func (b *books) news(w *watcher) bool {
-	return w.w.Have.Less(b.acc.Chosen) && !b.acc.CatchesUp() || w.w.Epoch < b.roll.Epoch || w.w.Open && b.sealed
+	return w.w.Have.Less(b.acc.Chosen) && !b.acc.CatchingUp() || w.w.Epoch < b.roll.Epoch || w.w.Open && b.sealed
 }
 
 func (b *books) answer(w *watcher) {
--- a/internal/store/purser_test.go
+++ b/internal/store/purser_test.go
@@ -101,8 +101,8 @@
 	p.begin = func(storage.Options) (disk, storage.Start, error) { return d.paper, d.as, nil }
 	p.aside = func(f func() func(*books)) { f()(d.books) }
 	p.known = func(messages.Roll) []messages.Mark { return d.told }
-	p.own = rpc.Own(&books{}, 64) // hears of what a repair found, which no test here waits for
-	t.Cleanup(p.own.End)
+	p.own = rpc.StartOwner(&books{}, 64) // hears of what a repair found, which no test here waits for
+	t.Cleanup(p.own.Stop)
 	d.books = &books{p: p, begun: time.Now(), state: NoDisk, me: -1}
 	d.clear()
 	return d
@@ -145,7 +145,7 @@
 
 func (d *desk) call(kind uint8, v any) *answered {
 	r := &answered{}
-	c := rpc.Local(kind, v, func(body []byte, err error) { r.body, r.err = body, err; r.n++ })
+	c := rpc.LocalCall(kind, v, func(body []byte, err error) { r.body, r.err = body, err; r.n++ })
 	if err := d.take(c); err != nil {
 		c.Reply(nil, err)
 	}
@@ -218,7 +218,7 @@
 	d.place()
 	d.set(Repairing)
 	told := func(by int, inc uint64, claims ...messages.ClaimCall) mustered {
-		return mustered{m: messages.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{inc, 1, 1}}}, claims: claims}
+		return mustered{m: messages.Mustered{Vouch: consensus.Origin{Voter: by, Incarnations: []uint64{inc, 1, 1}}}, claims: claims}
 	}
 	d.mustering = true // as since it began
 	d.restore(2, []mustered{told(1, 2), told(2, 2)}, d.left(t))
@@ -242,7 +242,7 @@
 	d.place()
 	d.set(Repairing)
 	one := configuration.Ballot{N: 1}
-	m := mustered{m: messages.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: one, Chosen: one, Base: one, Upto: one}}
+	m := mustered{m: messages.Mustered{Vouch: consensus.Origin{Voter: 1, Incarnations: []uint64{2, 1, 1}}, Accepted: one, Chosen: one, Base: one, Upto: one}}
 	const keys, items = 60000, 1500
 	for i := range keys {
 		m.claims = append(m.claims, messages.ClaimCall{Key: fmt.Sprintf("key-of-some-length-%040d", i), ID: id(uint64(i + 1))})
@@ -331,7 +331,7 @@
 		if err := errors.Join(prep.err, learn.err, must.err, rpc.Decode(prep.body, &p), rpc.Decode(must.body, &m)); err != nil {
 			t.Fatal(err)
 		}
-		if (acc.err != nil) != fails || !p.Given || p.Accepted != want || m.Accepted != want || m.Promised != b2 || m.Vouch.Incs[1] != 2 || d.acc.Chosen != want {
+		if (acc.err != nil) != fails || !p.Granted || p.Accepted != want || m.Accepted != want || m.Promised != b2 || m.Vouch.Incarnations[1] != 2 || d.acc.Chosen != want {
 			t.Errorf("fails %v: %v, promise %+v, muster %+v", fails, acc.err, p, m)
 		}
 		if d.accepting || len(d.queued) > 0 {
@@ -349,7 +349,7 @@
 	d.place()
 	d.set(Repairing)
 	told := func(by int, n uint64) mustered {
-		return mustered{m: messages.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{2, 1, 1}}}, claims: []messages.ClaimCall{{Key: "k", ID: id(n)}}}
+		return mustered{m: messages.Mustered{Vouch: consensus.Origin{Voter: by, Incarnations: []uint64{2, 1, 1}}}, claims: []messages.ClaimCall{{Key: "k", ID: id(n)}}}
 	}
 	d.restore(2, []mustered{told(1, 1), told(2, 2)}, d.left(t))
 	d.save([]storage.Put{d.putRoll()}, func(*books, error) {})
@@ -384,7 +384,7 @@
 		changes := []configuration.Item{item(configuration.Version(b), b)}
 		kind, v := messages.Accept, any(messages.AcceptCall{B: x, Changes: changes, Epoch: 1})
 		if chosen {
-			kind, v = messages.Turn, messages.TurnCall{Page: consensus.Page{Upto: x, Target: x, Items: changes}, Epoch: 1}
+			kind, v = messages.Turn, messages.TurnCall{Page: consensus.Page{UpTo: x, Target: x, Items: changes}, Epoch: 1}
 		}
 		r := d.call(kind, v)
 		d.settle()
@@ -504,7 +504,7 @@
 		var inc uint64
 		change := func(b configuration.Ballot) {
 			var p consensus.Promise
-			if call(messages.Prepare, messages.PrepareCall{B: b, Epoch: 1}, &p) && p.Given {
+			if call(messages.Prepare, messages.PrepareCall{B: b, Epoch: 1}, &p) && p.Granted {
 				promised = b
 			}
 			var a messages.Accepted
--- a/internal/store/register_test.go
+++ b/internal/store/register_test.go
@@ -64,16 +64,16 @@
 		t.Helper()
 		return told[messages.Accepted](t, d, messages.Turn, messages.TurnCall{Page: p, Epoch: 1}).Taken
 	}
-	first := consensus.PageOf(nine, at(9), at(1))
-	if first.Upto != at(5) || turn(consensus.PageOf(nine, at(9), at(5))) {
-		t.Fatalf("the first page is up to %v, or one that does not follow was taken", first.Upto)
+	first := consensus.NewPage(nine, at(9), at(1))
+	if first.UpTo != at(5) || turn(consensus.NewPage(nine, at(9), at(5))) {
+		t.Fatalf("the first page is up to %v, or one that does not follow was taken", first.UpTo)
 	}
 	r := d.call(messages.Turn, messages.TurnCall{Page: first, Epoch: 1})
 	d.paper.sync(storage.ErrDisk)
-	if d.settle(); errcode.Of(r.err) != errcode.DiskOut || d.acc.Accepted != at(2) || d.acc.CatchesUp() {
+	if d.settle(); errcode.Of(r.err) != errcode.DiskOut || d.acc.Accepted != at(2) || d.acc.CatchingUp() {
 		t.Fatalf("a page that did not come to disk: %v, accepted %v", r.err, d.acc.Accepted)
 	}
-	for i, p := range []consensus.Page{first, consensus.PageOf(seven, at(7), at(5)), consensus.PageOf(nine, at(9), at(7))} {
+	for i, p := range []consensus.Page{first, consensus.NewPage(seven, at(7), at(5)), consensus.NewPage(nine, at(9), at(7))} {
 		if !turn(p) || turn(p) {
 			t.Fatalf("page %d: not taken, or twice", i)
 		}
@@ -82,13 +82,13 @@
 		m := d.tell(messages.MusterCall{})
 		state := d.standing()
 		if i == 2 {
-			if w.Chosen != at(9) || w.Known != at(9) || d.acc.Accepted != at(9) || !same(d.acc.Stands, nine) || !same(d.acc.Value, nine) || state != "serving" {
-				t.Errorf("behind the last: %s, chosen %v of %v, %d items", state, w.Chosen, w.Known, d.acc.Stands.Len())
+			if w.Chosen != at(9) || w.Known != at(9) || d.acc.Accepted != at(9) || !same(d.acc.Base, nine) || !same(d.acc.Value, nine) || state != "serving" {
+				t.Errorf("behind the last: %s, chosen %v of %v, %d items", state, w.Chosen, w.Known, d.acc.Base.Len())
 			}
 			break
 		}
 		p := told[consensus.Promise](t, d, messages.Prepare, messages.PrepareCall{B: at(20 + uint64(i)), Epoch: 1})
-		if w.Known != at(9) || w.Chosen != p.Chosen || len(w.Items) > 0 || !p.Given || !p.Accepted.IsZero() || len(p.Items) > 0 || p.Known != at(9) || state != "catching up" {
+		if w.Known != at(9) || w.Chosen != p.Chosen || len(w.Items) > 0 || !p.Granted || !p.Accepted.IsZero() || len(p.Items) > 0 || p.KnownChosen != at(9) || state != "catching up" {
 			t.Errorf("behind page %d: %s, chosen %v of %v, %d items, promise %+v", i, state, w.Chosen, w.Known, len(w.Items), p)
 		}
 		if !m.Accepted.IsZero() || !m.Chosen.IsZero() || len(m.Items)+len(m.Delta) > 0 {
@@ -102,11 +102,11 @@
 	d := founded(t)
 	nine := configuration.SetOf(sized("r", at(5), 300, 1000)...).With(sized("s", at(9), 3, 10)...)
 	next := nine.With(sized("r", at(11), 1, 10)...)
-	if !told[messages.Accepted](t, d, messages.Turn, messages.TurnCall{Page: consensus.PageOf(nine, at(9), at(0)), Epoch: 1}).Taken || !d.acc.CatchesUp() {
+	if !told[messages.Accepted](t, d, messages.Turn, messages.TurnCall{Page: consensus.NewPage(nine, at(9), at(0)), Epoch: 1}).Taken || !d.acc.CatchingUp() {
 		t.Fatalf("all up to %v of %v", d.acc.Chosen, d.acc.Target)
 	}
 	for base, want := range map[uint64]bool{9: false, 5: true} {
-		a := told[messages.Accepted](t, d, messages.Accept, messages.AcceptCall{B: at(11), Base: at(base), Changes: consensus.Since(next, at(base)), Epoch: 1})
+		a := told[messages.Accepted](t, d, messages.Accept, messages.AcceptCall{B: at(11), Base: at(base), Changes: consensus.ChangedSince(next, at(base)), Epoch: 1})
 		if a.Taken != want {
 			t.Errorf("told by what is after %d: %v", base, a.Taken)
 		}
@@ -117,8 +117,8 @@
 	}
 	told[messages.Accepted](t, d, messages.Learn, messages.LearnCall{B: at(11)})
 	for _, d := range []*desk{d, restarted(t, d)} {
-		if d.acc.CatchesUp() || d.acc.Chosen != at(11) || !same(d.acc.Stands, next) {
-			t.Errorf("chosen %v, %d items", d.acc.Chosen, d.acc.Stands.Len())
+		if d.acc.CatchingUp() || d.acc.Chosen != at(11) || !same(d.acc.Base, next) {
+			t.Errorf("chosen %v, %d items", d.acc.Chosen, d.acc.Base.Len())
 		}
 	}
 }
@@ -128,10 +128,10 @@
 func TestTakeOverOfMuch(t *testing.T) {
 	stands := configuration.SetOf(sized("r", at(5), 3000, 1000)...)
 	value := stands.With(sized("s", at(6), 4, 10)...)
-	next := messages.Roll{Epoch: 2, Voters: voters, Was: voters}
+	next := messages.Roll{Epoch: 2, Voters: voters, Previous: voters}
 	got := func() []handed {
-		e := reconfig.Estate{Promised: at(6), Accepted: at(6), Chosen: at(5)}
-		return []handed{{h: messages.Handed{Estate: e, Delta: consensus.Since(value, at(5))}, base: stands}}
+		e := reconfig.Handover{Promised: at(6), Accepted: at(6), Chosen: at(5)}
+		return []handed{{h: messages.Handed{Estate: e, Delta: consensus.ChangedSince(value, at(5))}, base: stands}}
 	}
 	for dies := range 4 {
 		d := founded(t)
@@ -160,8 +160,8 @@
 		}
 		d.settle()
 		for name, d := range map[string]*desk{"": d, ", started again": restarted(t, d)} {
-			if d.state != Serving || d.roll.Epoch != 2 || d.acc.CatchesUp() || d.acc.Chosen != at(5) || !same(d.acc.Stands, stands) || !same(d.acc.Value, value) {
-				t.Errorf("died after %d writes%s: %s in epoch %d, chosen %v, %d items of %d", 4*dies, name, d.state, d.roll.Epoch, d.acc.Chosen, d.acc.Stands.Len(), stands.Len())
+			if d.state != Serving || d.roll.Epoch != 2 || d.acc.CatchingUp() || d.acc.Chosen != at(5) || !same(d.acc.Base, stands) || !same(d.acc.Value, value) {
+				t.Errorf("died after %d writes%s: %s in epoch %d, chosen %v, %d items of %d", 4*dies, name, d.state, d.roll.Epoch, d.acc.Chosen, d.acc.Base.Len(), stands.Len())
 			}
 		}
 	}
--- a/internal/store/relief.go
+++ b/internal/store/relief.go
@@ -76,21 +76,21 @@
 		b.queued = append(b.queued, func(b *books) { b.again(c, b.succeed(c, m)) })
 		return nil
 	}
-	answer := reconfig.Answer{Vouch: b.vouch()}
+	answer := reconfig.Answer{Origin: b.vouch()}
 	if m.Next == nil {
-		answer.Given = b.seal.Prepare(m.B)
+		answer.Granted = b.seal.Prepare(m.B)
 	} else {
-		answer.Given = m.Next.Epoch == m.Epoch+1 && b.seal.Accept(m.B, *m.Next)
+		answer.Granted = m.Next.Epoch == m.Epoch+1 && b.seal.Accept(m.B, *m.Next)
 	}
 	answer.Seal = b.seal
-	if !answer.Given {
+	if !answer.Granted {
 		c.Reply(answer, nil)
 		return nil
 	}
 	epoch := m.Epoch
 	b.write([]storage.Put{b.putSeal()}, func(err error) {
 		b.p.later(func(b *books) {
-			if err == nil && m.Next != nil && b.roll.Epoch == epoch && b.seal.Shut() && !b.sealed {
+			if err == nil && m.Next != nil && b.roll.Epoch == epoch && b.seal.Sealed() && !b.sealed {
 				b.sealed = true
 				b.p.o.Log("roll", fmt.Sprintf("epoch %d has ended here", epoch))
 				b.wake()
@@ -129,7 +129,7 @@
 		b.queued = append(b.queued, func(b *books) { b.hear(r, done) })
 		return
 	}
-	at := r.Place(b.p.o.Addr)
+	at := r.IndexOf(b.p.o.Addr)
 	if b.state == Repairing && b.mustering { // its repair ends first
 		done(errcode.New(errcode.Repairing, ""))
 		return
@@ -172,15 +172,15 @@
 // handover tells the books of the epoch before the one named to a voter that takes over.
 func (b *books) handover(c rpc.Call, m messages.HandoverCall) error {
 	r := b.register(m.Have)
-	e := reconfig.Estate{Vouch: b.vouch(), Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: r.chosen}
+	e := reconfig.Handover{Origin: b.vouch(), Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: r.chosen}
 	switch {
-	case b.state == Serving && b.roll.Epoch == m.Epoch && b.acc.CatchesUp(): // its books alone would not do
+	case b.state == Serving && b.roll.Epoch == m.Epoch && b.acc.CatchingUp(): // its books alone would not do
 		return errcode.New(errcode.Repairing, "")
 	case b.state == Serving && b.roll.Epoch == m.Epoch:
-		e.Holds = true
+		e.Active = true
 	case b.state == Serving && b.roll.Epoch+1 == m.Epoch && b.sealed:
 	case b.past != nil && b.past.Epoch+1 == m.Epoch && b.sealed:
-		e.Vouch = consensus.Vouch{By: b.past.Me, Incs: b.past.Incs}
+		e.Origin = consensus.Origin{Voter: b.past.Me, Incarnations: b.past.Incs}
 	default:
 		return errcode.New(errcode.Gone, "epoch %d, here %d", m.Epoch, b.roll.Epoch)
 	}
@@ -243,7 +243,7 @@
 // inherit asks for books, until there are enough of them.
 func (p *Purser) inherit(r messages.Roll) (got []handed, err error) {
 	var addrs []string
-	for _, v := range append(slices.Clone(r.Was), r.Voters...) {
+	for _, v := range append(slices.Clone(r.Previous), r.Voters...) {
 		if !slices.Contains(addrs, v.Addr) {
 			addrs = append(addrs, v.Addr)
 		}
@@ -281,7 +281,7 @@
 		}()
 	}
 	var all []told
-	var estates []reconfig.Estate
+	var estates []reconfig.Handover
 	var take []int
 	for range addrs {
 		t := <-ch
@@ -289,7 +289,7 @@
 			continue
 		}
 		all, estates = append(all, t), append(estates, t.h.Estate)
-		if take = reconfig.Enough(len(r.Was), estates); take != nil {
+		if take = reconfig.SelectHandovers(len(r.Previous), estates); take != nil {
 			break
 		}
 	}
@@ -309,7 +309,7 @@
 				return nil, t.err
 			}
 			was := h.Estate
-			if h = t.h; h.Estate.Holds != was.Holds || !slices.Equal(h.Estate.Vouch.Incs, was.Vouch.Incs) ||
+			if h = t.h; h.Estate.Active != was.Active || !slices.Equal(h.Estate.Origin.Incarnations, was.Origin.Incarnations) ||
 				!pursues(h.Estate.Chosen, h.Estate.Accepted, was.Chosen, was.Accepted) {
 				return nil, errors.New("it took over, or lost its disk, while it handed over")
 			}
@@ -324,18 +324,18 @@
 // write: claims are only added, and the register changes in one write with the roll, unless it lacks much. Then it is one that
 // catches up until then, which is no loss to others: what it lacks is chosen, and lives with a majority without it.
 func (b *books) inherit(r messages.Roll, got []handed, kept bool, left []storage.Put) {
-	estates, take := make([]reconfig.Estate, len(got)), make([]int, len(got))
+	estates, take := make([]reconfig.Handover, len(got)), make([]int, len(got))
 	acc := consensus.NewAcceptor()
 	for i, o := range got {
 		estates[i], take[i] = o.h.Estate, i
 		if c := o.h.Estate.Chosen; acc.Chosen.Less(c) {
-			acc.Chosen, acc.Stands = c, o.base
+			acc.Chosen, acc.Base = c, o.base
 		}
 	}
 	var at int
 	acc.Promised, acc.Accepted, _, at = reconfig.Inherit(estates, take)
-	delta := consensus.Since(got[at].base.With(got[at].h.Delta...), acc.Chosen)
-	acc.Value = acc.Stands.With(delta...)
+	delta := consensus.ChangedSince(got[at].base.With(got[at].h.Delta...), acc.Chosen)
+	acc.Value = acc.Base.With(delta...)
 	if !kept {
 		b.past, b.seal, b.sealed = nil, reconfig.Seal{}, false
 		b.clear()
@@ -356,13 +356,13 @@
 		items = append(items, p)
 		size += len(p.Key) + len(p.Value)
 	}
-	for i := range acc.Stands.All() {
-		if old, ok := b.acc.Stands.Get(i.Key); !ok || old.Version != i.Version || old.Ballot != i.Ballot {
+	for i := range acc.Base.All() {
+		if old, ok := b.acc.Base.Get(i.Key); !ok || old.Version != i.Version || old.Ballot != i.Ballot {
 			put(putItem(i))
 		}
 	}
-	for i := range b.acc.Stands.All() {
-		if _, ok := acc.Stands.Get(i.Key); !ok {
+	for i := range b.acc.Base.All() {
+		if _, ok := acc.Base.Get(i.Key); !ok {
 			put(storage.Put{Table: tableItems, Key: itemKey(i.Key)})
 		}
 	}
@@ -371,7 +371,7 @@
 		put(p)
 	}
 	former := acc.Accepted
-	if e := estates[at]; e.Holds && !got[at].h.Former {
+	if e := estates[at]; e.Active && !got[at].h.Former {
 		former = configuration.Ballot{}
 	}
 	last := func(b *books, puts []storage.Put) {
@@ -434,7 +434,7 @@
 							b.taken(r, cmp.Or(err, storage.ErrDisk))
 							return
 						}
-						for i := range acc.Stands.All() {
+						for i := range acc.Base.All() {
 							stale = append(stale, putItem(i))
 						}
 						for _, p := range bundles {
--- a/internal/store/relief_test.go
+++ b/internal/store/relief_test.go
@@ -29,7 +29,7 @@
 	if k := claim(d, "before"); k != errcode.OK {
 		t.Fatal(k)
 	}
-	next := messages.Roll{Epoch: 2, Voters: voters, Was: voters}
+	next := messages.Roll{Epoch: 2, Voters: voters, Previous: voters}
 	accept := d.call(messages.Succeed, messages.SucceedCall{Epoch: 1, B: configuration.Ballot{N: 1, By: 1}, Next: &next})
 	hand := func(d *desk) (h messages.Handed, k errcode.Kind) {
 		r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2})
@@ -48,7 +48,7 @@
 	}
 	d.settle()
 	var a reconfig.Answer
-	if accept.n != 1 || rpc.Decode(accept.body, &a) != nil || !a.Given {
+	if accept.n != 1 || rpc.Decode(accept.body, &a) != nil || !a.Granted {
 		t.Fatalf("%d answers, %+v", accept.n, a)
 	}
 	again := newDesk(t, Options{})
@@ -68,7 +68,7 @@
 				t.Errorf("%s: the duty %s: %v", name, of, r.err)
 			}
 		}
-		if h, k := hand(d); k != errcode.OK || h.Estate.Holds || len(h.Claims) != 1 {
+		if h, k := hand(d); k != errcode.OK || h.Estate.Active || len(h.Claims) != 1 {
 			t.Errorf("%s: handed over %v, %+v", name, k, h)
 		}
 	}
@@ -90,7 +90,7 @@
 		d.open()
 		d.settle()
 		d.mustering = true // no test here waits for a repair
-		d.call(messages.Relieve, messages.RelieveCall{Roll: messages.Roll{Epoch: 2, Voters: c.next, Was: voters}})
+		d.call(messages.Relieve, messages.RelieveCall{Roll: messages.Roll{Epoch: 2, Voters: c.next, Previous: voters}})
 		if r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2}); errcode.Of(r.err) != errcode.Gone {
 			t.Errorf("%s: handed over before it is on disk: %v", c.name, r.err)
 		}
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -39,7 +39,7 @@
 	if b.roll.Epoch == 0 {
 		return errcode.New(errcode.CoreOut, "%s", b.state)
 	}
-	at := b.roll.Place(m.Addr)
+	at := b.roll.IndexOf(m.Addr)
 	if m.Inc == 0 || at < 0 || b.me < 0 {
 		c.Reply(messages.Mustered{Vouch: b.vouch(), Roll: b.roll}, nil)
 		return nil
@@ -76,7 +76,7 @@
 	r := b.register(m.Have)
 	t := messages.Mustered{Vouch: b.vouch(), Roll: b.roll, Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: r.chosen,
 		Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta, Former: b.inherited()}
-	if b.seal.Shut() || !b.seal.Promised.IsZero() {
+	if b.seal.Sealed() || !b.seal.Promised.IsZero() {
 		s := b.seal
 		t.Seal = &s
 	}
@@ -97,13 +97,13 @@
 
 // register is the part with the items of ballots after have. A member that catches up holds no chosen value.
 func (b *books) register(have configuration.Ballot) (r register) {
-	from := b.acc.Stands
-	if r.chosen, r.base = b.acc.Chosen, b.acc.Chosen; b.acc.CatchesUp() {
+	from := b.acc.Base
+	if r.chosen, r.base = b.acc.Chosen, b.acc.Chosen; b.acc.CatchingUp() {
 		r.chosen, r.base, from = configuration.Ballot{}, b.acc.Accepted, b.acc.Value
 	}
-	p := consensus.PageOf(from, r.base, have)
-	if r.items, r.upto = p.Items, p.Upto; r.upto == r.base {
-		r.delta = consensus.Since(b.acc.Value, r.base)
+	p := consensus.NewPage(from, r.base, have)
+	if r.items, r.upto = p.Items, p.UpTo; r.upto == r.base {
+		r.delta = consensus.ChangedSince(b.acc.Value, r.base)
 	}
 	return r
 }
@@ -249,8 +249,8 @@
 	}
 	var inc uint64
 	for _, k := range known {
-		if me < len(k.Vouch.Incs) {
-			inc = max(inc, k.Vouch.Incs[me])
+		if me < len(k.Vouch.Incarnations) {
+			inc = max(inc, k.Vouch.Incarnations[me])
 		}
 	}
 	inc++
@@ -276,7 +276,7 @@
 			one.m, one.claims, one.base = m, append(one.claims, m.Claims...), one.base.With(m.Items...)
 		}
 		c.Close()
-		if m.Vouch.By >= 0 && m.Roll.Epoch == roll.Epoch {
+		if m.Vouch.Voter >= 0 && m.Roll.Epoch == roll.Epoch {
 			got = append(got, one)
 		}
 	}
@@ -304,7 +304,7 @@
 	voted := false // somebody accepted the value in this epoch
 	var value configuration.Set
 	for _, g := range got {
-		for i, k := range g.m.Vouch.Incs {
+		for i, k := range g.m.Vouch.Incarnations {
 			if i < len(incs) && i != b.me {
 				incs[i] = max(incs[i], k)
 			}
@@ -313,7 +313,7 @@
 			b.acc.Promised = g.m.Promised
 		}
 		if b.acc.Chosen.Less(g.m.Chosen) {
-			b.acc.Chosen, b.acc.Stands = g.m.Chosen, g.base
+			b.acc.Chosen, b.acc.Base = g.m.Chosen, g.base
 		}
 		if b.acc.Accepted.Less(g.m.Accepted) {
 			b.acc.Accepted, voted = g.m.Accepted, false
@@ -330,16 +330,16 @@
 	if !voted {
 		b.former = b.acc.Accepted
 	}
-	delta := consensus.Since(value, b.acc.Chosen)
-	b.acc.Value = b.acc.Stands.With(delta...)
+	delta := consensus.ChangedSince(value, b.acc.Chosen)
+	b.acc.Value = b.acc.Base.With(delta...)
 	puts, bundles := b.putDelta(delta)
 	b.bundles = bundles
 	puts = append(puts, putBallots(b.acc)...)
-	for i := range b.acc.Stands.All() {
+	for i := range b.acc.Base.All() {
 		puts = append(puts, putItem(i))
 	}
 	b.ledger.All(func(key string, id idempotency.ID) { puts = append(puts, putClaim(key, id)) })
-	if b.roll.Epoch > 1 || b.seal.Shut() || !b.seal.Promised.IsZero() {
+	if b.roll.Epoch > 1 || b.seal.Sealed() || !b.seal.Promised.IsZero() {
 		puts = append(puts, b.putChange()...)
 	}
 	puts = append(left, puts...) // in one order: what shall be there comes after
@@ -353,7 +353,7 @@
 			b.p.o.Log("repair", err.Error())
 			return
 		}
-		b.incs, b.sealed = incs, b.seal.Shut()
+		b.incs, b.sealed = incs, b.seal.Sealed()
 		b.set(Serving)
 		b.p.o.Log("repair", fmt.Sprintf("made up for by %d others: incarnation %d, %d items, %d keys", len(got), inc, b.acc.Value.Len(), b.ledger.Len()))
 		b.wake()
--- a/internal/store/report.go
+++ b/internal/store/report.go
@@ -24,7 +24,7 @@
 		own.Duties = append(own.Duties, messages.DutyReport{Duty: string(d), By: by, LeftMs: uint32(left.Milliseconds())})
 	})
 	r.Purser = own
-	items := messages.ItemReports(b.acc.Stands)
+	items := messages.ItemReports(b.acc.Base)
 	go func() {
 		r.SetItems(items)
 		r.Counts, r.Traffic = Running{P: p}.Counts(), rpc.Totals()
@@ -34,7 +34,7 @@
 
 // standing is the state as it is told: a member that catches up serves keys, and its register counts for nothing yet.
 func (b *books) standing() string {
-	if b.state == Serving && b.acc.CatchesUp() {
+	if b.state == Serving && b.acc.CatchingUp() {
 		return "catching up"
 	}
 	return string(b.state)
