--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -7,26 +7,28 @@
 	"saltmast/internal/configuration"
 )
 
-// What may be counted together, of three members.
-func TestSound(t *testing.T) {
-	v := func(by int, incs ...uint64) Origin { return Origin{Voter: by, Incarnations: incs} }
+// Which answers of three voters may be counted together.
+func TestCountable(t *testing.T) {
+	origin := func(voter int, incarnations ...uint64) Origin {
+		return Origin{Voter: voter, Incarnations: incarnations}
+	}
 	for _, c := range []struct {
-		name string
-		of   []Origin
-		want []int // places whose answers stay
+		name    string
+		answers []Origin
+		want    []int // voters whose answers are kept
 	}{
-		{"all of one age", []Origin{v(0, 1, 1, 1), v(1, 1, 1, 1), v(2, 1, 1, 1)}, []int{0, 1, 2}},
-		{"one knows another as reborn", []Origin{v(0, 1, 2, 1), v(1, 1, 1, 1), v(2, 1, 1, 1)}, []int{0, 2}},
-		{"the reborn one itself", []Origin{v(0, 1, 1, 1), v(1, 1, 2, 1)}, []int{0, 1}},
-		{"told twice", []Origin{v(1, 1, 1, 1), v(1, 1, 1, 1), v(0, 1, 1, 1)}, []int{1, 0}},
-		{"told before and after its loss", []Origin{v(1, 1, 1, 1), v(1, 1, 2, 1), v(0, 1, 1, 1)}, []int{0}},
-		{"each knows the other as reborn", []Origin{v(0, 1, 2, 1), v(1, 2, 1, 1)}, nil},
-		{"no place", []Origin{v(-1, 1, 1, 1), v(3, 1, 1, 1), v(0)}, nil},
-		{"a shorter list", []Origin{v(0, 1), v(1, 1, 1)}, []int{0, 1}},
+		{"same incarnations", []Origin{origin(0, 1, 1, 1), origin(1, 1, 1, 1), origin(2, 1, 1, 1)}, []int{0, 1, 2}},
+		{"one knows a later incarnation of another", []Origin{origin(0, 1, 2, 1), origin(1, 1, 1, 1), origin(2, 1, 1, 1)}, []int{0, 2}},
+		{"the voter of the later incarnation itself", []Origin{origin(0, 1, 1, 1), origin(1, 1, 2, 1)}, []int{0, 1}},
+		{"two answers of one voter", []Origin{origin(1, 1, 1, 1), origin(1, 1, 1, 1), origin(0, 1, 1, 1)}, []int{1, 0}},
+		{"answers from before and after a loss", []Origin{origin(1, 1, 1, 1), origin(1, 1, 2, 1), origin(0, 1, 1, 1)}, []int{0}},
+		{"each knows a later incarnation of the other", []Origin{origin(0, 1, 2, 1), origin(1, 2, 1, 1)}, nil},
+		{"voter index out of range", []Origin{origin(-1, 1, 1, 1), origin(3, 1, 1, 1), origin(0)}, nil},
+		{"a shorter list", []Origin{origin(0, 1), origin(1, 1, 1)}, []int{0, 1}},
 	} {
 		var got []int
-		for _, v := range Countable(c.of) {
-			got = append(got, v.Voter)
+		for _, o := range Countable(c.answers) {
+			got = append(got, o.Voter)
 		}
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -34,33 +36,33 @@
 	}
 }
 
-// The base is the highest accepted of a majority; one member's word counts once, however often it comes.
+// The base is the highest accepted value of a majority. Each voter counts once, however often it answers.
 func TestBase(t *testing.T) {
 	key := configuration.Key{Kind: configuration.Routes, Name: "r"}
-	p := func(by int, n uint64) Promise {
-		p := Promise{Origin: Origin{Voter: by, Incarnations: []uint64{1, 1, 1}}, Granted: true, Accepted: configuration.Ballot{N: n}}
+	promise := func(voter int, n uint64) Promise {
+		p := Promise{Origin: Origin{Voter: voter, Incarnations: []uint64{1, 1, 1}}, Granted: true, Accepted: configuration.Ballot{N: n}}
 		if n > 0 {
 			p.Items = []configuration.Item{{Key: key, Version: configuration.Version(n)}}
 		}
 		return p
 	}
-	refused := Promise{Origin: p(1, 0).Origin, Promised: configuration.Ballot{N: 9}}
+	refused := Promise{Origin: promise(1, 0).Origin, Promised: configuration.Ballot{N: 9}}
 	for _, c := range []struct {
 		name       string
-		of         []Promise
+		promises   []Promise
 		base       uint64
 		chosen, ok bool
 	}{
-		{"one alone", []Promise{p(0, 1)}, 0, false, false},
-		{"one that comes again", []Promise{p(0, 1), p(0, 1)}, 0, false, false},
-		{"one that refused", []Promise{p(0, 1), refused}, 0, false, false},
-		{"a majority that has it", []Promise{p(0, 1), p(1, 1)}, 1, true, true},
-		{"a majority of which one has it", []Promise{p(0, 0), p(1, 1)}, 1, false, true},
-		{"the same, told twice", []Promise{p(1, 1), p(0, 0), p(1, 1)}, 1, false, true},
-		{"the highest", []Promise{p(2, 3), p(0, 2), p(1, 2)}, 3, false, true},
+		{"one alone", []Promise{promise(0, 1)}, 0, false, false},
+		{"one that comes again", []Promise{promise(0, 1), promise(0, 1)}, 0, false, false},
+		{"one that refused", []Promise{promise(0, 1), refused}, 0, false, false},
+		{"a majority that has it", []Promise{promise(0, 1), promise(1, 1)}, 1, true, true},
+		{"a majority of which one has it", []Promise{promise(0, 0), promise(1, 1)}, 1, false, true},
+		{"the same, with a repeated answer", []Promise{promise(1, 1), promise(0, 0), promise(1, 1)}, 1, false, true},
+		{"the highest", []Promise{promise(2, 3), promise(0, 2), promise(1, 2)}, 3, false, true},
 	} {
 		r := Round{Voters: 3}
-		for _, p := range c.of {
+		for _, p := range c.promises {
 			r.Add(p)
 		}
 		base, of, chosen, ok := r.Base()
--- a/internal/consensus/pages_test.go
+++ b/internal/consensus/pages_test.go
@@ -9,12 +9,12 @@
 	"saltmast/internal/modelcheck"
 )
 
-// The whole space of three members, each a base and a delta on disk, with rounds that run whenever they like, proposers that hold
-// any chosen value or none, and teachers of any chosen value whose pages come in any order, again and again, and stop anywhere.
-// Each step begins with what is on disk, so that a member may have started again before it. Each ballot changes an item of its
-// own, and those with odd numbers one beside: what one of them changed is changed again behind one that left it.
+// These tests explore all states of three voters, each with a base and a delta on disk. Rounds run at any time, proposers hold any
+// chosen value or none, and pages of any chosen value arrive in any order, any number of times, and may stop anywhere. Each
+// step begins with the state on disk, so that a restart before any step is covered. Each ballot changes an item of its own, and
+// odd ballots also a common one, so that an item is changed, left alone by the next ballot and changed again.
 
-// content is a set of items: the ballots' own, and which ballot changed the common one last.
+// content is a set of items: a bit set of the ballots' own items, and the ballot that changed the common item last.
 type content struct{ own, common uint8 }
 
 type pageMember struct {
@@ -28,66 +28,67 @@
 }
 
 type pageRound struct {
-	begun, based, acked bool
-	have                uint8
-	value               content
-	promises            [members]pagePromise
-	accepts             uint8
+	started, based, acked bool
+	have                  uint8
+	value                 content
+	promises              [members]pagePromise
+	accepts               uint8
 }
 
 type pageWorld struct {
-	m   [members]pageMember
-	r   [5]pageRound // by ballot
-	why uint8        // a rule that was broken in a step
+	m        [members]pageMember
+	r        [5]pageRound // by ballot
+	violated uint8        // a rule that a step violated
 }
 
 type pageRules struct {
-	early, beside, lower, anyBase, folds, counts, unpromised, forgets, apart bool
-
-	promised map[promising]pagePromise
-	based    map[basing]basis
-	accepted map[accepting]change
-	learned  map[learning]change
-	turned   map[turning]change
+	// Mutants, each a wrong implementation.
+	inForceEarly, keepsAccepted, overridesAccepted, anyBase, foldsEarly, countsLagging, skipsPromise, forgetsTarget, acceptsGaps bool
+
+	promised     map[promiseKey]pagePromise
+	based        map[baseKey]baseResult
+	accepted     map[acceptKey]memberResult
+	learned      map[learnKey]memberResult
+	pagesApplied map[pageKey]memberResult
 }
 
-// What members and rounds make of what they are told is worked out once.
+// Keys and values of the caches for the results of the code under test.
 type (
-	promising struct {
+	promiseKey struct {
 		m       pageMember
 		b, have uint8
 	}
-	basing struct {
+	baseKey struct {
 		have     uint8
 		held     content
 		promises [members]pagePromise
 	}
-	basis struct {
+	baseResult struct {
 		short, ok, chosen bool
 		of                uint8
 		value             content
 	}
-	accepting struct {
+	acceptKey struct {
 		m       pageMember
 		b, base uint8
 		value   content
 	}
-	learning struct {
+	learnKey struct {
 		m pageMember
 		b uint8
 	}
-	turning struct {
+	pageKey struct {
 		m                  pageMember
 		from, upto, target uint8
 		value              content
 	}
-	change struct {
+	memberResult struct {
 		ok bool
 		m  pageMember
 	}
 )
 
-func once[K comparable, V any](known map[K]V, k K, f func() V) V {
+func memoize[K comparable, V any](known map[K]V, k K, f func() V) V {
 	v, ok := known[k]
 	if !ok {
 		v = f()
@@ -96,7 +97,7 @@
 	return v
 }
 
-// lastRound: two run behind the first, which two of the members have accepted and the third has missed.
+// lastRound is the last ballot: two rounds follow the first, which two voters have accepted and the third has missed.
 const lastRound = 3
 
 const forgotten uint8 = 1
@@ -105,11 +106,11 @@
 	var items []configuration.Item
 	for b := uint8(1); b <= 4; b++ {
 		if c.own&(1<<b) != 0 {
-			items = append(items, configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint("own", b)}, Version: configuration.Version(b), Ballot: ball(b)})
+			items = append(items, configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint("own", b)}, Version: configuration.Version(b), Ballot: ballot(b)})
 		}
 	}
 	if c.common > 0 {
-		items = append(items, configuration.Item{Key: configuration.Key{Kind: configuration.Limits}, Version: configuration.Version(c.common), Ballot: ball(c.common)})
+		items = append(items, configuration.Item{Key: configuration.Key{Kind: configuration.Limits}, Version: configuration.Version(c.common), Ballot: ballot(c.common)})
 	}
 	return configuration.SetOf(items...)
 }
@@ -125,10 +126,10 @@
 	return c
 }
 
-// sets are made once.
+// sets caches the result of content.set.
 var sets = map[content]configuration.Set{}
 
-func (c content) kept() configuration.Set {
+func (c content) cachedSet() configuration.Set {
 	s, ok := sets[c]
 	if !ok {
 		s = c.set()
@@ -141,17 +142,17 @@
 	return ChangedSince(s, configuration.Ballot{})
 }
 
-// load is what a member reads off its disk.
+// load returns the acceptor that a voter reads from its disk.
 func (m pageMember) load() *Acceptor {
-	a := &Acceptor{Promised: ball(m.promised), Accepted: ball(m.accepted), Chosen: ball(m.chosen), Target: ball(m.target), Base: m.base.kept()}
+	a := &Acceptor{Promised: ballot(m.promised), Accepted: ballot(m.accepted), Chosen: ballot(m.chosen), Target: ballot(m.target), Base: m.base.cachedSet()}
 	if m.accepted > 0 {
-		a.Value = a.Base.With(itemsOf(m.delta.kept())...)
+		a.Value = a.Base.With(itemsOf(m.delta.cachedSet())...)
 	}
 	return a
 }
 
-// saved is what it puts there.
-func saved(a *Acceptor, delta content) pageMember {
+// stored returns what a voter writes to its disk.
+func stored(a *Acceptor, delta content) pageMember {
 	m := pageMember{uint8(a.Promised.N), uint8(a.Accepted.N), uint8(a.Chosen.N), 0, contentOf(itemsOf(a.Base)), delta}
 	if a.CatchingUp() {
 		m.target = uint8(a.Target.N)
@@ -159,8 +160,8 @@
 	return m
 }
 
-// least is the same with the members in one order: they are alike.
-func (s pageWorld) least() pageWorld {
+// canonical returns s with its interchangeable voters sorted by rank.
+func (s pageWorld) canonical() pageWorld {
 	swap := func(i, j int) {
 		s.m[i], s.m[j] = s.m[j], s.m[i]
 		for b := range s.r {
@@ -172,14 +173,14 @@
 		}
 	}
 	for _, p := range [][2]int{{0, 1}, {1, 2}, {0, 1}} {
-		if s.order(p[0]) > s.order(p[1]) {
+		if s.rank(p[0]) > s.rank(p[1]) {
 			swap(p[0], p[1])
 		}
 	}
 	return s
 }
 
-func (s *pageWorld) order(i int) (n uint64) {
+func (s *pageWorld) rank(i int) (n uint64) {
 	m := s.m[i]
 	for _, x := range []uint8{m.promised, m.accepted, m.chosen, m.target, m.base.own, m.base.common, m.delta.own, m.delta.common} {
 		n = n*31 + uint64(x)
@@ -192,10 +193,10 @@
 }
 
 func (k pageRules) next(s pageWorld, to func(pageWorld, string, ...any)) {
-	if s.why > 0 {
+	if s.violated > 0 {
 		return
 	}
-	canon := func(s pageWorld, event string, args ...any) { to(s.least(), event, args...) }
+	canon := func(s pageWorld, event string, args ...any) { to(s.canonical(), event, args...) }
 	for b := uint8(1); b <= lastRound; b++ {
 		if b > 1 {
 			k.round(s, b, canon)
@@ -203,7 +204,7 @@
 		if s.r[b].acked {
 			for i := range members {
 				k.learn(s, i, b, canon)
-				k.teach(s, i, b, canon)
+				k.sendPages(s, i, b, canon)
 			}
 		}
 	}
@@ -212,11 +213,11 @@
 func (k pageRules) round(s pageWorld, b uint8, to func(pageWorld, string, ...any)) {
 	r := s.r[b]
 	switch {
-	case !r.begun: // by a proposer that holds a chosen value, or none
+	case !r.started: // by a proposer that holds a chosen value, or none
 		for have := range b {
 			if have == 0 || s.r[have].acked {
 				n := s
-				n.r[b].begun, n.r[b].have = true, have
+				n.r[b].started, n.r[b].have = true, have
 				to(n, "ballot %d begins, with %d held", b, have)
 			}
 		}
@@ -225,12 +226,12 @@
 			if r.promises[i].given > 0 {
 				continue
 			}
-			p := once(k.promised, promising{m, b, r.have}, func() (told pagePromise) {
-				if a := m.load(); a.Prepare(ball(b)) {
-					p := a.Promise(vouch(i, 1), ball(r.have))
-					told = pagePromise{1, m.accepted, m.chosen, uint8(p.KnownChosen.N), contentOf(p.Items)}
+			p := memoize(k.promised, promiseKey{m, b, r.have}, func() (answer pagePromise) {
+				if a := m.load(); a.Prepare(ballot(b)) {
+					p := a.Promise(origin(i, 1), ballot(r.have))
+					answer = pagePromise{1, m.accepted, m.chosen, uint8(p.KnownChosen.N), contentOf(p.Items)}
 				}
-				return told
+				return answer
 			})
 			if p.given > 0 {
 				n := s
@@ -251,57 +252,57 @@
 	}
 }
 
-// base has a round go on with the promises of any majority.
+// base continues a round with the promises of any majority.
 func (k pageRules) base(s pageWorld, b uint8, to func(pageWorld, string, ...any)) {
 	r := s.r[b]
 	for of := range 1 << members {
-		heard := basing{have: r.have, held: s.r[r.have].value}
+		given := baseKey{have: r.have, held: s.r[r.have].value}
 		n := 0
 		for i, p := range r.promises {
 			if of&(1<<i) != 0 && p.given > 0 {
-				heard.promises[i] = p
+				given.promises[i] = p
 				n++
 			}
 		}
 		if n < Majority(members) {
 			continue
 		}
-		x := once(k.based, heard, func() (x basis) {
-			g := Round{Voters: members, HeldBallot: ball(r.have), HeldValue: heard.held.kept()}
-			for i, p := range heard.promises {
+		x := memoize(k.based, given, func() (x baseResult) {
+			g := Round{Voters: members, HeldBallot: ballot(r.have), HeldValue: given.held.cachedSet()}
+			for i, p := range given.promises {
 				if p.given > 0 {
-					g.Add(Promise{Origin: vouch(i, 1), Granted: true, Accepted: ball(p.accepted), Chosen: ball(p.chosen), KnownChosen: ball(p.known), Items: itemsOf(p.items.kept())})
+					g.Add(Promise{Origin: origin(i, 1), Granted: true, Accepted: ballot(p.accepted), Chosen: ballot(p.chosen), KnownChosen: ballot(p.known), Items: itemsOf(p.items.cachedSet())})
 				}
 			}
 			value, at, chosen, ok := g.Base()
-			return basis{g.NoBaseReason != "", ok, chosen, uint8(at.N), contentOf(itemsOf(value))}
+			return baseResult{g.NoBaseReason != "", ok, chosen, uint8(at.N), contentOf(itemsOf(value))}
 		})
-		to2 := s
+		after := s
 		switch {
 		case x.short:
-			to2.why = forgotten
-			to(to2, "ballot %d: a majority has forgotten", b)
+			after.violated = forgotten
+			to(after, "ballot %d: a majority has forgotten", b)
 		case x.ok:
 			if x.chosen && x.of > 0 {
-				to2.r[x.of].acked, to2.r[x.of].accepts = true, 0
+				after.r[x.of].acked, after.r[x.of].accepts = true, 0
 			}
-			t := &to2.r[b]
+			t := &after.r[b]
 			t.based, t.value = true, x.value
 			t.value.own |= 1 << b
 			if b%2 == 1 {
 				t.value.common = b
 			}
-			for i := range t.promises { // only what is told of the value by is needed from here on
+			for i := range t.promises { // from here on only these two fields are used
 				t.promises[i] = pagePromise{given: t.promises[i].given, chosen: t.promises[i].chosen}
 			}
-			to(to2, "ballot %d is based on %d, chosen %v", b, x.of, x.chosen)
+			to(after, "ballot %d is based on %d, chosen %v", b, x.of, x.chosen)
 		}
 	}
 }
 
 func (k pageRules) accept(s pageWorld, b uint8, i int, to func(pageWorld, string, ...any)) {
 	r, m := s.r[b], s.m[i]
-	bases := []uint8{0} // to one that did not promise
+	bases := []uint8{0} // for a voter that did not promise
 	if p := r.promises[i]; p.given > 0 {
 		bases[0] = p.chosen
 	}
@@ -309,12 +310,12 @@
 		bases = append(bases, b-1)
 	}
 	for _, base := range bases {
-		x := once(k.accepted, accepting{m, b, base, r.value}, func() (x change) {
+		x := memoize(k.accepted, acceptKey{m, b, base, r.value}, func() (x memberResult) {
 			a := m.load()
-			if x.ok = a.CanAccept(ball(b), ball(base)) || k.anyBase && a.CanAccept(ball(b), configuration.Ballot{}); x.ok {
-				delta := a.Delta(ChangedSince(r.value.kept(), ball(base)))
-				a.Accept(ball(b), delta)
-				if x.m = saved(a, contentOf(delta)); k.folds {
+			if x.ok = a.CanAccept(ballot(b), ballot(base)) || k.anyBase && a.CanAccept(ballot(b), configuration.Ballot{}); x.ok {
+				delta := a.Delta(ChangedSince(r.value.cachedSet(), ballot(base)))
+				a.Accept(ballot(b), delta)
+				if x.m = stored(a, contentOf(delta)); k.foldsEarly {
 					x.m.base, x.m.chosen, x.m.delta = contentOf(itemsOf(a.Value)), b, content{}
 				}
 			}
@@ -324,21 +325,21 @@
 		switch {
 		case x.ok:
 			n.m[i] = x.m
-		case !k.counts:
+		case !k.countsLagging:
 			continue
 		}
 		if !r.acked {
 			n.r[b].accepts |= 1 << i
 		}
-		to(n, "member %d accepts %d by what is after %d: %v", i, b, base, x.ok)
+		to(n, "member %d accepts %d, given the items after %d: %v", i, b, base, x.ok)
 	}
 }
 
 func (k pageRules) learn(s pageWorld, i int, b uint8, to func(pageWorld, string, ...any)) {
-	x := once(k.learned, learning{s.m[i], b}, func() (x change) {
+	x := memoize(k.learned, learnKey{s.m[i], b}, func() (x memberResult) {
 		a := s.m[i].load()
-		x.ok = a.Learn(ball(b))
-		x.m = saved(a, content{})
+		x.ok = a.Learn(ballot(b))
+		x.m = stored(a, content{})
 		return x
 	})
 	if x.ok {
@@ -348,11 +349,11 @@
 	}
 }
 
-func (k pageRules) teach(s pageWorld, i int, target uint8, to func(pageWorld, string, ...any)) {
+func (k pageRules) sendPages(s pageWorld, i int, target uint8, to func(pageWorld, string, ...any)) {
 	for from := range target {
 		for upto := from + 1; upto <= target; upto++ {
-			x := once(k.turned, turning{s.m[i], from, upto, target, s.r[target].value}, func() change {
-				return k.turn(s.m[i], from, upto, target, s.r[target].value)
+			x := memoize(k.pagesApplied, pageKey{s.m[i], from, upto, target, s.r[target].value}, func() memberResult {
+				return k.applyPage(s.m[i], from, upto, target, s.r[target].value)
 			})
 			if x.ok {
 				n := s
@@ -363,18 +364,18 @@
 	}
 }
 
-func (k pageRules) turn(m pageMember, from, upto, target uint8, value content) (x change) {
-	p := Page{From: ball(from), UpTo: ball(upto), Target: ball(target)}
-	for _, i := range ChangedSince(value.kept(), p.From) {
+func (k pageRules) applyPage(m pageMember, from, upto, target uint8, value content) (x memberResult) {
+	p := Page{From: ballot(from), UpTo: ballot(upto), Target: ballot(target)}
+	for _, i := range ChangedSince(value.cachedSet(), p.From) {
 		if !p.UpTo.Less(i.Ballot) {
 			p.Items = append(p.Items, i)
 		}
 	}
 	a := m.load()
-	if k.lower { // whatever it accepted
+	if k.overridesAccepted { // mutant: regardless of what it accepted
 		a.Accepted = configuration.Ballot{}
 	}
-	if k.apart { // whatever it holds
+	if k.acceptsGaps { // mutant: regardless of what it holds
 		a.Chosen = p.From
 	}
 	if !a.CanApplyPage(p) {
@@ -383,22 +384,22 @@
 	promised := a.Promised
 	a.ApplyPage(p)
 	switch {
-	case k.unpromised:
+	case k.skipsPromise:
 		a.Promised = promised
-	case k.early:
-		a.Chosen, a.Accepted, a.Target = ball(target), ball(target), configuration.Ballot{}
-	case k.forgets && upto == target:
+	case k.inForceEarly:
+		a.Chosen, a.Accepted, a.Target = ballot(target), ballot(target), configuration.Ballot{}
+	case k.forgetsTarget && upto == target:
 		a.Accepted, a.Target = a.Chosen, configuration.Ballot{}
 	}
-	x = change{true, saved(a, content{})}
-	if k.beside && a.CatchingUp() {
+	x = memberResult{true, stored(a, content{})}
+	if k.keepsAccepted && a.CatchingUp() {
 		x.m.accepted, x.m.delta = m.accepted, m.delta
 	}
 	return x
 }
 
-func (k pageRules) broken(s pageWorld) string {
-	if s.why > 0 {
+func (k pageRules) violation(s pageWorld) string {
+	if s.violated > 0 {
 		return "a majority has forgotten what was chosen"
 	}
 	for b := uint8(1); b <= lastRound; b++ {
@@ -416,7 +417,7 @@
 		value.own |= m.delta.own
 		value.common = max(value.common, m.delta.common)
 		if m.accepted > 0 && value != s.r[m.accepted].value {
-			return "what was accepted is not the value of its ballot"
+			return "the accepted value is not the value of its ballot"
 		}
 	}
 	return ""
@@ -429,33 +430,33 @@
 		ok   bool
 	}{
 		{"three rounds", pageRules{}, true},
-		{"pages in force before the last", pageRules{early: true}, false},
-		{"an accepted value beside pages", pageRules{beside: true}, false},
-		{"pages in place of a later accepted value", pageRules{lower: true}, false},
+		{"pages in force before the last one", pageRules{inForceEarly: true}, false},
+		{"an accepted value beside pages", pageRules{keepsAccepted: true}, false},
+		{"pages in place of a later accepted value", pageRules{overridesAccepted: true}, false},
 		{"a delta over another base", pageRules{anyBase: true}, false},
-		{"a delta folded before it is chosen", pageRules{folds: true}, false},
-		{"a vote of a member that lags", pageRules{counts: true}, false},
-		{"pages without a promise", pageRules{unpromised: true}, false},
-		{"in force at a lower target than an earlier page had", pageRules{forgets: true}, false},
-		{"a page that does not follow", pageRules{apart: true}, false},
+		{"a delta folded before it is chosen", pageRules{foldsEarly: true}, false},
+		{"a vote of a lagging member is counted", pageRules{countsLagging: true}, false},
+		{"pages without a promise", pageRules{skipsPromise: true}, false},
+		{"in force at a lower target than that of an earlier page", pageRules{forgetsTarget: true}, false},
+		{"a page that does not follow", pageRules{acceptsGaps: true}, false},
 	} {
 		if modelcheck.RaceEnabled && c.ok {
 			continue
 		}
-		begun := time.Now()
+		start := time.Now()
 		k := c.k
-		k.promised, k.based = map[promising]pagePromise{}, map[basing]basis{}
-		k.accepted, k.learned, k.turned = map[accepting]change{}, map[learning]change{}, map[turning]change{}
+		k.promised, k.based = map[promiseKey]pagePromise{}, map[baseKey]baseResult{}
+		k.accepted, k.learned, k.pagesApplied = map[acceptKey]memberResult{}, map[learnKey]memberResult{}, map[pageKey]memberResult{}
 		var first pageWorld
 		v := content{own: 1 << 1, common: 1}
-		first.r[1] = pageRound{begun: true, based: true, acked: true, value: v}
+		first.r[1] = pageRound{started: true, based: true, acked: true, value: v}
 		for i := range 2 {
 			first.m[i] = pageMember{promised: 1, accepted: 1, delta: v}
 		}
-		n, err := modelcheck.Explore(first, k.next, k.broken, 4e6)
-		if wrong := modelcheck.CheckResult(c.ok, n, err); wrong != nil {
-			t.Errorf("%s: %v", c.name, wrong)
+		n, err := modelcheck.Explore(first, k.next, k.violation, 4e6)
+		if problem := modelcheck.CheckResult(c.ok, n, err); problem != nil {
+			t.Errorf("%s: %v", c.name, problem)
 		}
-		t.Logf("%s: %d states in %v, %v", c.name, n, time.Since(begun).Round(time.Millisecond), err)
+		t.Logf("%s: %d states in %v, %v", c.name, n, time.Since(start).Round(time.Millisecond), err)
 	}
 }
--- a/internal/consensus/rounds_test.go
+++ b/internal/consensus/rounds_test.go
@@ -9,10 +9,10 @@
 	"saltmast/internal/modelcheck"
 )
 
-// The whole space of three members and two rounds or three, of ballots 1 to 3, that run whenever they like: messages are lost, come
-// late and come again, members lose their memory, the first of them its disk, and make up for it, proposers stop anywhere. A
-// value is known by its ballot, and what it was built on. A member is as package purser is: what it tells is on disk, a
-// promise counts for itself at once, a value when it is there.
+// These tests explore all states of three voters and two or three rounds, of ballots 1 to 3, that run at any time. Messages are
+// lost, delayed and repeated; voters lose their memory, the first of them also its disk, which it then repairs; proposers stop
+// anywhere. A value is identified by its ballot and by the value that it was built on. A voter behaves as in package store: it
+// answers once its state is on disk; a promise binds the voter at once, an accepted value counts once it is on disk.
 
 const (
 	members = 3
@@ -20,64 +20,66 @@
 )
 
 const (
-	none uint8 = iota
+	noWrite uint8 = iota
 	putPromise
 	putAccept
-	putMuster
+	putIncarnation
 	putRepaired
 )
 
 type write struct {
 	kind, b, accepted uint8
-	inc               uint8
+	incarnation       uint8
 }
 
 type member struct {
-	lost                  bool  // and not made up for
-	promised, accepted    uint8 // in memory
-	inc                   uint8 // of the first member, as it knows it
-	onPromised, onAccept  uint8 // on disk
-	onInc                 uint8
-	queue                 [2]write
-	heard                 bool // what follows was told to the first member for its repair
-	toldPromise, toldBase uint8
+	diskLost                       bool  // and not repaired yet
+	promised, accepted             uint8 // in memory
+	incarnation                    uint8 // of the first voter, as this one knows it
+	diskPromised, diskAccepted     uint8 // on disk
+	diskIncarnation                uint8
+	queue                          [2]write
+	answered                       bool // it sent the following to the first voter for its repair
+	repairPromised, repairAccepted uint8
 }
 
 type round struct {
 	based    bool
-	base     uint8           // what its value was built on, where it is based
-	acked    bool            // somebody took its value for chosen
-	promises [members]uint16 // told, by what was accepted and the incarnation: 4 x 3
-	accepts  [members]uint8  // told, by the incarnation
+	base     uint8           // the ballot that its value was built on, if based
+	acked    bool            // somebody considered its value chosen
+	promises [members]uint16 // bit set of answers sent, by accepted ballot and incarnation: 4 x 3
+	accepts  [members]uint8  // bit set of answers sent, by incarnation
 }
 
 type world struct {
-	m             [members]member
-	r             [rounds + 1]round // by ballot
-	repair        uint8             // the incarnation under which the first member repairs; 0: it does not
-	memory, disks uint8             // lost so far
+	m                        [members]member
+	r                        [rounds + 1]round // by ballot
+	repair                   uint8             // the incarnation under which the first voter repairs its disk; 0: no repair
+	memoryLosses, diskLosses uint8             // so far
 }
 
 type rules struct {
-	early, forgets, unsound, deaf, promiseless, amnesiac, anyBase, halves bool
-	memory, disks                                                         uint8
-	more                                                                  uint8 // rounds beyond two
-	long                                                                  bool  // walked with -ballot.all
-	bases                                                                 map[[members]uint16]outcomes
+	// Mutants, each a wrong implementation.
+	answersBeforeWrite, losesPromises, countsAll, repairsFromOne, repairsWithoutPromises, missesDiskLoss, anyBase, writesIncarnationFirst bool
+	memoryLosses, diskLosses                                                                                                              uint8
+	extraRounds                                                                                                                           uint8 // beyond two
+	largeSpace                                                                                                                            bool  // explored only with -ballot.all
+	cache                                                                                                                                 map[[members]uint16]outcomes
 }
 
-// outcomes of a round's promises, whichever were heard: by base, that it may be that, and that it may be taken for chosen.
+// outcomes are the possible results of a round over all subsets of its promises: whether each ballot can be the base, and
+// whether it can be considered chosen.
 type outcomes struct{ base, chosen [rounds + 1]bool }
 
-func ball(b uint8) (x configuration.Ballot) {
+func ballot(b uint8) (x configuration.Ballot) {
 	if b > 0 {
 		x = configuration.Ballot{N: uint64(b), By: 1}
 	}
 	return x
 }
 
-func vouch(by int, inc uint8) Origin {
-	return Origin{Voter: by, Incarnations: []uint64{uint64(inc), 1, 1}}
+func origin(by int, incarnation uint8) Origin {
+	return Origin{Voter: by, Incarnations: []uint64{uint64(incarnation), 1, 1}}
 }
 
 func (m *member) push(w write) bool {
@@ -85,7 +87,7 @@
 		if m.queue[i] == w {
 			return false
 		}
-		if m.queue[i].kind == none {
+		if m.queue[i].kind == noWrite {
 			m.queue[i] = w
 			return true
 		}
@@ -93,25 +95,25 @@
 	return false
 }
 
-func (m *member) accepting() bool {
+func (m *member) acceptQueued() bool {
 	return m.queue[0].kind == putAccept || m.queue[1].kind == putAccept
 }
 
 func (k rules) next(s world, to func(world, string, ...any)) {
-	canon := func(s world, event string, args ...any) { to(s.least(), event, args...) }
-	for b := uint8(1); b <= 2+k.more; b++ {
+	canon := func(s world, event string, args ...any) { to(s.canonical(), event, args...) }
+	for b := uint8(1); b <= 2+k.extraRounds; b++ {
 		k.round(s, b, canon)
 	}
 	for i := range members {
 		k.member(s, i, canon)
 	}
-	if s.m[0].lost {
-		k.mend(s, canon)
+	if s.m[0].diskLost {
+		k.stepRepair(s, canon)
 	}
 }
 
-// least is s or s with its last two members in each other's place, which are alike.
-func (s world) least() world {
+// canonical returns s or s with its last two voters swapped, which are interchangeable.
+func (s world) canonical() world {
 	x := s
 	x.m[1], x.m[2] = s.m[2], s.m[1]
 	for b := range x.r {
@@ -119,18 +121,18 @@
 		r.promises[1], r.promises[2] = r.promises[2], r.promises[1]
 		r.accepts[1], r.accepts[2] = r.accepts[2], r.accepts[1]
 	}
-	if x.order() < s.order() {
+	if x.rank() < s.rank() {
 		return x
 	}
 	return s
 }
 
-// order tells the two apart as far as it matters.
-func (s *world) order() (n uint64) {
+// rank is a hash by which canonical picks one of the two.
+func (s *world) rank() (n uint64) {
 	for i := 1; i < members; i++ {
 		m := s.m[i]
 		n *= 2654435761
-		for _, x := range []uint8{m.promised, m.accepted, m.onPromised, m.onAccept, m.inc, m.queue[0].kind, m.queue[0].b, m.queue[1].kind, m.queue[1].b} {
+		for _, x := range []uint8{m.promised, m.accepted, m.diskPromised, m.diskAccepted, m.incarnation, m.queue[0].kind, m.queue[0].b, m.queue[1].kind, m.queue[1].b} {
 			n = n<<3 + uint64(x)
 		}
 		for b := 1; b <= rounds; b++ {
@@ -157,88 +159,88 @@
 				to(n, "ballot %d finds %d chosen", b, base)
 			}
 		}
-	} else if !r.acked && k.chosen(r.accepts) {
+	} else if !r.acked && k.hasMajority(r.accepts) {
 		n := s
 		n.r[b].acked, n.r[b].accepts = true, [members]uint8{}
 		to(n, "ballot %d is chosen", b)
 	}
-	for i := range members { // its messages come to members, whenever and however often
+	for i := range members { // its messages reach voters at any time and any number of times
 		m := s.m[i]
-		if m.lost || m.accepting() {
+		if m.diskLost || m.acceptQueued() {
 			continue
 		}
-		a := Acceptor{Promised: ball(m.promised), Accepted: ball(m.accepted)}
+		a := Acceptor{Promised: ballot(m.promised), Accepted: ballot(m.accepted)}
 		if !r.based {
-			n, bit := s, uint16(1)<<(m.accepted*3+m.inc-1)
-			if r.promises[i]&bit == 0 && a.Prepare(ball(b)) && m.push(write{putPromise, b, m.accepted, m.inc}) {
+			n, bit := s, uint16(1)<<(m.accepted*3+m.incarnation-1)
+			if r.promises[i]&bit == 0 && a.Prepare(ballot(b)) && m.push(write{putPromise, b, m.accepted, m.incarnation}) {
 				m.promised = uint8(a.Promised.N)
-				if k.early {
+				if k.answersBeforeWrite {
 					n.r[b].promises[i] |= bit
 				}
 				n.m[i] = m
-				to(n, "member %d promises %d, has %d, under %d", i, b, m.accepted, m.inc)
+				to(n, "member %d promises %d, has %d, under %d", i, b, m.accepted, m.incarnation)
 			}
-		} else if r.accepts[i]&(1<<m.inc) == 0 && a.CanAccept(ball(b), configuration.Ballot{}) && m.push(write{putAccept, b, 0, m.inc}) {
+		} else if r.accepts[i]&(1<<m.incarnation) == 0 && a.CanAccept(ballot(b), configuration.Ballot{}) && m.push(write{putAccept, b, 0, m.incarnation}) {
 			n := s
-			if k.early {
-				n.r[b].accepts[i] |= 1 << m.inc
+			if k.answersBeforeWrite {
+				n.r[b].accepts[i] |= 1 << m.incarnation
 			}
 			n.m[i] = m
-			to(n, "member %d accepts %d under %d", i, b, m.inc)
+			to(n, "member %d accepts %d under %d", i, b, m.incarnation)
 		}
 	}
 }
 
-func (k rules) sound(vs []Origin) int {
-	if k.unsound {
+func (k rules) countable(vs []Origin) int {
+	if k.countsAll {
 		return len(vs)
 	}
 	return len(Countable(vs))
 }
 
-// chosen reports whether some of the answers make a majority, with one of each member at the most.
-func (k rules) chosen(told [members]uint8) bool {
+// hasMajority reports whether some of the answers, at most one of each voter, make a majority.
+func (k rules) hasMajority(told [members]uint8) bool {
 	var vs [members][]Origin
 	for i := range members {
-		for inc := uint8(1); inc <= 3; inc++ {
-			if told[i]&(1<<inc) != 0 {
-				vs[i] = append(vs[i], vouch(i, inc))
+		for incarnation := uint8(1); incarnation <= 3; incarnation++ {
+			if told[i]&(1<<incarnation) != 0 {
+				vs[i] = append(vs[i], origin(i, incarnation))
 			}
 		}
 	}
-	return each(vs[:], nil, func(vs []Origin) bool { return k.sound(vs) >= Majority(members) })
+	return anyChoice(vs[:], nil, func(vs []Origin) bool { return k.countable(vs) >= Majority(members) })
 }
 
-// each tries all choices of one or none of each list, until one will do.
-func each[T any](of [][]T, have []T, do func([]T) bool) bool {
+// anyChoice reports whether do returns true for some choice of at most one element of each list.
+func anyChoice[T any](of [][]T, have []T, do func([]T) bool) bool {
 	if len(of) == 0 {
 		return do(have)
 	}
 	for _, x := range of[0] {
-		if each(of[1:], append(have[:len(have):len(have)], x), do) {
+		if anyChoice(of[1:], append(have[:len(have):len(have)], x), do) {
 			return true
 		}
 	}
-	return each(of[1:], have, do)
+	return anyChoice(of[1:], have, do)
 }
 
 func (k rules) outcomes(told [members]uint16) (o outcomes) {
-	if o, ok := k.bases[told]; ok {
+	if o, ok := k.cache[told]; ok {
 		return o
 	}
 	var ps [members][]Promise
 	for i := range members {
 		for n := range uint8(12) {
 			if told[i]&(1<<n) != 0 {
-				p := Promise{Origin: vouch(i, n%3+1), Granted: true, Accepted: ball(n / 3)}
-				if k.unsound {
+				p := Promise{Origin: origin(i, n%3+1), Granted: true, Accepted: ballot(n / 3)}
+				if k.countsAll {
 					p.Origin.Incarnations[0] = 1
 				}
 				ps[i] = append(ps[i], p)
 			}
 		}
 	}
-	each(ps[:], nil, func(ps []Promise) bool {
+	anyChoice(ps[:], nil, func(ps []Promise) bool {
 		r := Round{Voters: members}
 		for _, p := range ps {
 			r.Add(p)
@@ -252,56 +254,56 @@
 		}
 		return false
 	})
-	k.bases[told] = o
+	k.cache[told] = o
 	return o
 }
 
 func (k rules) member(s world, i int, to func(world, string, ...any)) {
 	m := s.m[i]
-	if m.queue[0].kind != none { // all that waits comes to disk: a part of it is what had come before the rest waited
+	if m.queue[0].kind != noWrite { // all queued writes reach the disk; a partial write equals a write before the rest was queued
 		n := s
 		m.queue = [2]write{}
 		for _, w := range s.m[i].queue {
 			switch w.kind {
 			case putPromise:
-				if !k.forgets {
-					m.onPromised = w.b
+				if !k.losesPromises {
+					m.diskPromised = w.b
 				}
 				if !s.r[w.b].based {
-					n.r[w.b].promises[i] |= 1 << (w.accepted*3 + w.inc - 1)
+					n.r[w.b].promises[i] |= 1 << (w.accepted*3 + w.incarnation - 1)
 				}
 			case putAccept:
-				a := Acceptor{Promised: ball(m.promised), Accepted: ball(m.accepted)}
-				a.Accept(ball(w.b), nil)
+				a := Acceptor{Promised: ballot(m.promised), Accepted: ballot(m.accepted)}
+				a.Accept(ballot(w.b), nil)
 				m.promised, m.accepted = uint8(a.Promised.N), uint8(a.Accepted.N)
-				m.onPromised, m.onAccept = max(m.onPromised, w.b), w.b
+				m.diskPromised, m.diskAccepted = max(m.diskPromised, w.b), w.b
 				if !s.r[w.b].acked {
-					n.r[w.b].accepts[i] |= 1 << w.inc
+					n.r[w.b].accepts[i] |= 1 << w.incarnation
 				}
-			case putMuster:
-				m.onInc = w.inc
-				if w.inc == s.repair {
-					m.heard, m.toldPromise, m.toldBase = true, m.promised, m.accepted
+			case putIncarnation:
+				m.diskIncarnation = w.incarnation
+				if w.incarnation == s.repair {
+					m.answered, m.repairPromised, m.repairAccepted = true, m.promised, m.accepted
 				}
 			case putRepaired:
-				m.onPromised, m.onAccept, m.onInc, m.inc, m.lost = m.promised, m.accepted, w.inc, w.inc, false
+				m.diskPromised, m.diskAccepted, m.diskIncarnation, m.incarnation, m.diskLost = m.promised, m.accepted, w.incarnation, w.incarnation, false
 				n.repair = 0
 				for j := 1; j < members; j++ {
-					n.m[j].forget()
+					n.m[j].clearRepairAnswer()
 				}
 			}
 		}
 		n.m[i] = m
 		to(n, "member %d: on disk %v", i, s.m[i].queue)
 	}
-	restart := func(n world, promised, accepted, inc uint8) world {
-		x := member{promised: promised, accepted: accepted, inc: inc, onPromised: promised, onAccept: accepted, onInc: inc,
-			heard: m.heard, toldPromise: m.toldPromise, toldBase: m.toldBase}
+	restart := func(n world, promised, accepted, incarnation uint8) world {
+		x := member{promised: promised, accepted: accepted, incarnation: incarnation, diskPromised: promised, diskAccepted: accepted, diskIncarnation: incarnation,
+			answered: m.answered, repairPromised: m.repairPromised, repairAccepted: m.repairAccepted}
 		if i == 0 {
-			if x.lost = inc == 0; x.lost {
+			if x.diskLost = incarnation == 0; x.diskLost {
 				n.repair = 0
 				for j := 1; j < members; j++ {
-					n.m[j].forget()
+					n.m[j].clearRepairAnswer()
 				}
 			}
 		}
@@ -309,65 +311,65 @@
 		return n
 	}
 	m = s.m[i]
-	if s.memory < k.memory {
+	if s.memoryLosses < k.memoryLosses {
 		n := s
-		n.memory++
-		to(restart(n, m.onPromised, m.onAccept, m.onInc), "member %d loses its memory", i)
+		n.memoryLosses++
+		to(restart(n, m.diskPromised, m.diskAccepted, m.diskIncarnation), "member %d loses its memory", i)
 	}
-	if i == 0 && s.disks < k.disks {
+	if i == 0 && s.diskLosses < k.diskLosses {
 		n := s
-		n.disks++
-		inc := uint8(0)
-		if k.amnesiac {
-			inc = m.onInc
+		n.diskLosses++
+		incarnation := uint8(0)
+		if k.missesDiskLoss {
+			incarnation = m.diskIncarnation
 		}
-		to(restart(n, 0, 0, inc), "member 0 loses its disk")
+		to(restart(n, 0, 0, incarnation), "member 0 loses its disk")
 	}
 }
 
-func (m *member) forget() { m.heard, m.toldPromise, m.toldBase = false, 0, 0 }
+func (m *member) clearRepairAnswer() { m.answered, m.repairPromised, m.repairAccepted = false, 0, 0 }
 
-// mend goes on with the repair of the first member.
-func (k rules) mend(s world, to func(world, string, ...any)) {
+// stepRepair continues the repair of the first voter.
+func (k rules) stepRepair(s world, to func(world, string, ...any)) {
 	if s.repair == 0 {
-		if inc := max(s.m[1].inc, s.m[2].inc) + 1; inc <= 3 {
+		if incarnation := max(s.m[1].incarnation, s.m[2].incarnation) + 1; incarnation <= 3 {
 			n := s
-			n.repair = inc
-			to(n, "member 0 repairs under %d", inc)
+			n.repair = incarnation
+			to(n, "member 0 repairs under %d", incarnation)
 		}
 		return
 	}
-	heard := 0
+	answered := 0
 	x := s.m[0]
 	x.promised, x.accepted = 0, 0
 	for j := 1; j < members; j++ {
 		m := s.m[j]
-		if m.heard {
-			heard++
-			x.accepted = max(x.accepted, m.toldBase)
-			if !k.promiseless {
-				x.promised = max(x.promised, m.toldPromise)
+		if m.answered {
+			answered++
+			x.accepted = max(x.accepted, m.repairAccepted)
+			if !k.repairsWithoutPromises {
+				x.promised = max(x.promised, m.repairPromised)
 			}
-		} else if m.inc <= s.repair && !m.accepting() && m.push(write{putMuster, 0, 0, s.repair}) {
-			m.inc = s.repair
+		} else if m.incarnation <= s.repair && !m.acceptQueued() && m.push(write{putIncarnation, 0, 0, s.repair}) {
+			m.incarnation = s.repair
 			n := s
 			n.m[j] = m
-			to(n, "member %d hears of incarnation %d", j, s.repair)
+			to(n, "member %d learns of incarnation %d", j, s.repair)
 		}
 	}
-	if (heard == members-1 || heard == 1 && k.deaf) && x.queue[0].kind == none {
+	if (answered == members-1 || answered == 1 && k.repairsFromOne) && x.queue[0].kind == noWrite {
 		x.push(write{putRepaired, 0, 0, s.repair})
-		if k.halves { // the incarnation comes to disk before what was taken
-			x.onInc = s.repair
+		if k.writesIncarnationFirst { // mutant: the incarnation reaches the disk before the repaired state
+			x.diskIncarnation = s.repair
 		}
 		n := s
 		n.m[0] = x
-		to(n, "member 0 takes what it heard: promised %d, accepted %d", x.promised, x.accepted)
+		to(n, "member 0 takes over the answers: promised %d, accepted %d", x.promised, x.accepted)
 	}
 }
 
-// broken: of two values that were taken for chosen, one is built on the other.
-func broken(s world) string {
+// violation reports two values that were considered chosen of which neither is built on the other.
+func violation(s world) string {
 	for b := uint8(1); b <= rounds; b++ {
 		for c := b + 1; c <= rounds; c++ {
 			on := c
@@ -382,42 +384,42 @@
 	return ""
 }
 
-var all = flag.Bool("ballot.all", false, "walk the large space too")
+var walkLarge = flag.Bool("ballot.all", false, "walk the large space too")
 
 func TestWholeSpaceOfRounds(t *testing.T) {
 	var first world
 	for i := range members {
-		first.m[i].inc, first.m[i].onInc = 1, 1
+		first.m[i].incarnation, first.m[i].diskIncarnation = 1, 1
 	}
 	for _, c := range []struct {
 		name string
 		k    rules
 		ok   bool
 	}{
-		{"three rounds", rules{more: 1}, true},
-		{"memory lost twice", rules{memory: 2}, true},
-		{"three rounds and memory lost", rules{memory: 1, more: 1}, true},
-		{"a disk lost", rules{disks: 1}, true},
-		{"memory and a disk lost", rules{memory: 1, disks: 1}, true},
-		{"a disk lost twice", rules{disks: 2, long: true}, true},
-		{"told before it is on disk", rules{memory: 1, early: true}, false},
-		{"a promise forgotten at a restart", rules{memory: 1, forgets: true}, false},
-		{"answers from before and after a loss counted together", rules{disks: 1, unsound: true}, false},
-		{"a repair that heard one other", rules{disks: 1, deaf: true}, false},
-		{"a repair without promises", rules{disks: 1, promiseless: true}, false},
-		{"a lost disk that is not noticed", rules{disks: 1, amnesiac: true}, false},
-		{"an incarnation on disk before what was taken", rules{memory: 1, disks: 1, halves: true}, false},
-		{"a base that is not the highest", rules{anyBase: true, more: 1}, false},
+		{"three rounds", rules{extraRounds: 1}, true},
+		{"memory lost twice", rules{memoryLosses: 2}, true},
+		{"three rounds and memory lost", rules{memoryLosses: 1, extraRounds: 1}, true},
+		{"a disk lost", rules{diskLosses: 1}, true},
+		{"memory and a disk lost", rules{memoryLosses: 1, diskLosses: 1}, true},
+		{"a disk lost twice", rules{diskLosses: 2, largeSpace: true}, true},
+		{"answered before it is on disk", rules{memoryLosses: 1, answersBeforeWrite: true}, false},
+		{"a promise forgotten at a restart", rules{memoryLosses: 1, losesPromises: true}, false},
+		{"answers from before and after a loss counted together", rules{diskLosses: 1, countsAll: true}, false},
+		{"a repair from one other voter", rules{diskLosses: 1, repairsFromOne: true}, false},
+		{"a repair without promises", rules{diskLosses: 1, repairsWithoutPromises: true}, false},
+		{"a lost disk that is not noticed", rules{diskLosses: 1, missesDiskLoss: true}, false},
+		{"an incarnation on disk before the repaired state", rules{memoryLosses: 1, diskLosses: 1, writesIncarnationFirst: true}, false},
+		{"a base that is not the highest", rules{anyBase: true, extraRounds: 1}, false},
 	} {
-		if c.k.long && !*all || modelcheck.RaceEnabled && (c.k.disks > 0 || c.k.more > 0) {
+		if c.k.largeSpace && !*walkLarge || modelcheck.RaceEnabled && (c.k.diskLosses > 0 || c.k.extraRounds > 0) {
 			continue
 		}
-		begun := time.Now()
-		c.k.bases = map[[members]uint16]outcomes{}
-		n, err := modelcheck.Explore(first, c.k.next, broken, 4e6)
-		if wrong := modelcheck.CheckResult(c.ok, n, err); wrong != nil {
-			t.Errorf("%s: %v", c.name, wrong)
+		start := time.Now()
+		c.k.cache = map[[members]uint16]outcomes{}
+		n, err := modelcheck.Explore(first, c.k.next, violation, 4e6)
+		if problem := modelcheck.CheckResult(c.ok, n, err); problem != nil {
+			t.Errorf("%s: %v", c.name, problem)
 		}
-		t.Logf("%s: %d states in %v", c.name, n, time.Since(begun).Round(time.Millisecond))
+		t.Logf("%s: %d states in %v", c.name, n, time.Since(start).Round(time.Millisecond))
 	}
 }
--- a/internal/modelcheck/norace.go
+++ b/internal/modelcheck/norace.go
@@ -2,5 +2,5 @@
 
 package modelcheck
 
-// RaceEnabled reports whether the race detector is on. It makes a walk ten times as long and has nothing to find there.
+// RaceEnabled reports whether the race detector is on. It slows an exploration down tenfold and has no races to find in it.
 const RaceEnabled = false
--- a/internal/rpc/owner.go
+++ b/internal/rpc/owner.go
@@ -1,55 +1,55 @@
 package rpc
 
-// Owner is the one goroutine that owns a table and works through a queue of commands on it, in order.
+// Owner is a goroutine that owns a table and runs queued commands on it, in order.
 type Owner[T any] struct {
 	table *T
 	queue chan func(*T)
-	ended chan struct{}
+	done  chan struct{}
 }
 
-// StartOwner begins to own a table with a queue of so many commands.
+// StartOwner starts the owner of a table, with a queue of depth commands.
 func StartOwner[T any](table *T, depth int) *Owner[T] {
-	o := &Owner[T]{table: table, queue: make(chan func(*T), depth), ended: make(chan struct{})}
+	o := &Owner[T]{table: table, queue: make(chan func(*T), depth), done: make(chan struct{})}
 	go func() {
-		defer close(o.ended)
-		for f := range o.queue {
-			if f == nil {
+		defer close(o.done)
+		for command := range o.queue {
+			if command == nil {
 				return
 			}
-			f(o.table)
+			command(o.table)
 		}
 	}()
 	return o
 }
 
-// Send queues a command. It waits while the queue is full, and does nothing once the owner has ended.
-func (o *Owner[T]) Send(f func(*T)) {
+// Send queues a command. It blocks while the queue is full, and does nothing once the owner has stopped.
+func (o *Owner[T]) Send(command func(*T)) {
 	select {
-	case o.queue <- f:
-	case <-o.ended:
+	case o.queue <- command:
+	case <-o.done:
 	}
 }
 
-// Do has a command done and waits for it. It reports whether it was done: not once the owner has ended.
-func (o *Owner[T]) Do(f func(*T)) bool {
-	done := make(chan struct{})
+// Do queues a command, waits until it has run, and reports whether it did: it does not run once the owner has stopped.
+func (o *Owner[T]) Do(command func(*T)) bool {
+	finished := make(chan struct{})
 	o.Send(func(t *T) {
-		f(t)
-		close(done)
+		command(t)
+		close(finished)
 	})
 	select {
-	case <-done:
+	case <-finished:
 		return true
-	case <-o.ended:
+	case <-o.done:
 		return false
 	}
 }
 
-// Stop ends the owner after the commands that are queued. Not for use from within a command.
+// Stop stops the owner after the queued commands and waits for it. It must not be called from within a command.
 func (o *Owner[T]) Stop() {
 	select {
 	case o.queue <- nil:
-	case <-o.ended:
+	case <-o.done:
 	}
-	<-o.ended
+	<-o.done
 }
--- a/internal/rpc/signal_test.go
+++ b/internal/rpc/rpc_test.go
@@ -20,14 +20,15 @@
 	return append(append(b, kind, byte(p)), body...)
 }
 
-// A frame is read whole or not at all, wherever it is cut; one that promises much takes no room before it comes.
+// A frame is read whole or not at all, wherever the stream is cut. A large announced length allocates no memory before the data
+// arrives.
 func TestFrames(t *testing.T) {
-	for _, size := range []int{0, 1, 100, 3 * firstBytes / 2} {
+	for _, size := range []int{0, 1, 100, 3 * initialBodyBytes / 2} {
 		body := bytes.Repeat([]byte("x"), size)
 		raw := framed(7, 3, errcode.Gone, body)
 		step := max(1, len(raw)/997)
 		for cut := 0; cut < len(raw); cut += step {
-			if f, err := readFrame(bufio.NewReader(bytes.NewReader(raw[:cut]))); err == nil || len(f.body) > 0 || cut > headBytes && err != io.ErrUnexpectedEOF {
+			if f, err := readFrame(bufio.NewReader(bytes.NewReader(raw[:cut]))); err == nil || len(f.body) > 0 || cut > headerBytes && err != io.ErrUnexpectedEOF {
 				t.Fatalf("cut at %d of %d: %d bytes, %v", cut, len(raw), len(f.body), err)
 			}
 		}
@@ -40,7 +41,7 @@
 		raw := framed(1, 1, 0, nil)
 		binary.BigEndian.PutUint32(raw, n)
 		if _, err := readFrame(bufio.NewReader(bytes.NewReader(raw))); err == nil {
-			t.Errorf("a length of %d was taken", n)
+			t.Errorf("a length of %d was accepted", n)
 		}
 	}
 	raw := framed(1, 1, 0, []byte("y"))
@@ -49,7 +50,7 @@
 	runtime.ReadMemStats(&before)
 	readFrame(bufio.NewReader(bytes.NewReader(raw)))
 	if runtime.ReadMemStats(&after); after.TotalAlloc-before.TotalAlloc > 1<<20 {
-		t.Errorf("%d bytes for a frame of which one came", after.TotalAlloc-before.TotalAlloc)
+		t.Errorf("%d bytes allocated for a frame of which one byte arrived", after.TotalAlloc-before.TotalAlloc)
 	}
 }
 
@@ -62,7 +63,7 @@
 	return l
 }
 
-// Calls under way fail when their connection ends, each once, and the next call makes another connection.
+// Calls under way fail when their connection ends, each once, and the next call makes a new connection.
 func TestClientOverTwoConnections(t *testing.T) {
 	l := listen(t, "127.0.0.1:0")
 	addr := l.Addr().String()
@@ -109,20 +110,20 @@
 		}
 	}
 	if !strings.HasSuffix(got, "two") || len(done) > 0 {
-		t.Errorf("%q, %d told again", got, len(done))
+		t.Errorf("%q, %d calls ended twice", got, len(done))
 	}
 	c.Close()
 	if err := c.Call(1, "three", &got, time.Minute); errcode.Of(err) != errcode.Away {
-		t.Errorf("%v for a call of a client that is closed", err)
+		t.Errorf("%v for a call of a closed client", err)
 	}
 }
 
-// A peer that reads nothing costs no more than the queue's bound: its connection ends, and nobody waits for it meanwhile. What the writer
-// has taken counts as what waits does, wherever in the queue it took it.
+// A peer that does not read takes at most maxQueuedBytes: then its connection is closed. Senders never block. Bytes that the writer
+// has taken count as queued, at whatever point it took them.
 func TestPeerThatDoesNotRead(t *testing.T) {
-	const frames = maxQueued>>20 + 4
+	const frames = maxQueuedBytes>>20 + 4
 	body := make([]byte, 1<<20)
-	for _, first := range []int{0, 1, frames / 2, frames - 5} { // frames that the writer has taken before the others come
+	for _, first := range []int{0, 1, frames / 2, frames - 5} { // frames queued before the writer starts to write
 		near, far := net.Pipe()
 		defer far.Close()
 		l := newLink(near)
@@ -130,7 +131,7 @@
 			l.send(1, 1, errcode.OK, body)
 		}
 		if first > 0 {
-			if _, err := far.Read(make([]byte, 1)); err != nil { // the writer is amid its write
+			if _, err := far.Read(make([]byte, 1)); err != nil { // the writer is in the middle of a write
 				t.Fatal(err)
 			}
 		}
@@ -139,17 +140,17 @@
 		}
 		far.SetReadDeadline(time.Now().Add(20 * time.Second))
 		if n, err := io.Copy(io.Discard, far); err != nil {
-			t.Errorf("%d frames taken first: %v after %d bytes more", first, err, n)
+			t.Errorf("%d frames queued first: %v after %d more bytes", first, err, n)
 		}
 		l.mu.Lock()
-		if !l.ended || l.writing+len(l.out) > maxQueued {
-			t.Errorf("%d frames taken first: ended %v with %d bytes", first, l.ended, l.writing+len(l.out))
+		if !l.ended || l.writing+len(l.out) > maxQueuedBytes {
+			t.Errorf("%d frames queued first: ended %v with %d bytes", first, l.ended, l.writing+len(l.out))
 		}
 		l.mu.Unlock()
 	}
 }
 
-// An owner works in order, and those who ask one that has ended are told so.
+// An owner runs commands in order, and Do reports false once the owner has stopped.
 func TestOwner(t *testing.T) {
 	o := StartOwner(&[]int{}, 4)
 	for i := range 100 {
@@ -168,7 +169,7 @@
 	o.Stop()
 	o.Stop()
 	if o.Do(func(*[]int) {}) {
-		t.Error("done after the end")
+		t.Error("a command ran after Stop")
 	}
 }
 
@@ -182,11 +183,11 @@
 			if err != nil {
 				return
 			}
-			again := framed(fr.id, fr.kind, fr.err, fr.body)
-			if !bytes.HasPrefix(raw[at:], again) {
-				t.Fatalf("read %x at %d of %x", again, at, raw)
+			reencoded := framed(fr.id, fr.kind, fr.err, fr.body)
+			if !bytes.HasPrefix(raw[at:], reencoded) {
+				t.Fatalf("read %x at %d of %x", reencoded, at, raw)
 			}
-			at += len(again)
+			at += len(reencoded)
 			var v any
 			if err := Decode(fr.body, &v); err != nil && errcode.Of(err) != errcode.Malformed {
 				t.Fatalf("%v", err)
--- a/internal/rpc/meter_test.go
+++ b/internal/rpc/traffic_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Frames are counted by kind on both sides of a link.
+// Frames are counted by kind on both sides of a connection.
 func TestFramesAreCounted(t *testing.T) {
 	l, err := Listen(nil, "127.0.0.1:0")
 	if err != nil {
@@ -20,7 +20,7 @@
 		}
 		return t
 	}
-	before := counted() // of this test's run before
+	before := counted() // from earlier runs of this test in the same process
 	s := Serve(l, func(c Call) { c.Reply("answer", nil) })
 	defer s.Close()
 	c := NewClient(nil, l.Addr().String())
@@ -29,7 +29,7 @@
 	if err := c.Call(kind, "call", &text, 10*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	// 10 bytes of head, and a text with one byte of its own head
+	// 10 bytes of frame header, and a CBOR text with a header of one byte
 	if want := (Traffic{Kind: kind, Out: before.Out + 2, OutBytes: before.OutBytes + 32, In: before.In + 2, InBytes: before.InBytes + 32}); counted() != want {
 		t.Errorf("counted %+v, not %+v", counted(), want)
 	}
--- a/internal/rpc/walk_test.go
+++ b/internal/rpc/walk_test.go
@@ -19,76 +19,80 @@
 	"saltmast/internal/sock"
 )
 
-// The walk of a connection for calls: three calls, one by one or all at once, and at each of them each thing that a peer or the
-// network may do to it, all after all. The numbers of calls come round at once: where a call was given up, the next one would
-// get its number. Each call ends once, with its own answer or none, and is sent once at the most.
+// These tests make three calls over one client, one by one or all at once, with every combination of what a peer or the network
+// may do to each of them. Call IDs wrap around, and after a call is cancelled the next one would get its ID. Each call must end at
+// most once, with its own answer or none, and must be sent at most once.
 
-const walkWait = 20 * time.Millisecond
+const callWait = 20 * time.Millisecond
 
-// called is one call as the peer of the walk has read it.
-type called struct {
+// receivedCall is a call as the test's peer has read it.
+type receivedCall struct {
 	c net.Conn
 	frame
 }
 
-func (a *called) good() []byte {
-	return framed(a.id, a.kind, errcode.OK, append([]byte("of "), a.body...))
+func (call *receivedCall) answer() []byte {
+	return framed(call.id, call.kind, errcode.OK, append([]byte("of "), call.body...))
 }
 
-func (a *called) put(msg ...[]byte) bool {
-	_, err := a.c.Write(bytes.Join(msg, nil))
+func (call *receivedCall) write(msg ...[]byte) bool {
+	_, err := call.c.Write(bytes.Join(msg, nil))
 	return err == nil
 }
 
-// peerDeeds are what may happen to a call at the peer. Each reports whether the connection goes on.
-var peerDeeds = []struct {
+// peerActions are what may happen to a call at the peer. Each reports whether the connection stays open.
+var peerActions = []struct {
 	name string
-	do   func(a *called) bool
+	do   func(call *receivedCall) bool
 }{
-	{"answered", func(a *called) bool { return a.put(a.good()) }},
-	{"answered in small pieces", func(a *called) bool {
-		for _, b := range a.good() {
-			a.put([]byte{b})
+	{"answered", func(call *receivedCall) bool { return call.write(call.answer()) }},
+	{"answered in small pieces", func(call *receivedCall) bool {
+		for _, b := range call.answer() {
+			call.write([]byte{b})
 			time.Sleep(10 * time.Microsecond)
 		}
 		return true
 	}},
-	{"answered with an error", func(a *called) bool { return a.put(framed(a.id, a.kind, errcode.Gone, nil)) }},
-	{"answered twice", func(a *called) bool { return a.put(a.good(), a.good()) }},
-	{"answered late", func(a *called) bool {
-		go func() { time.Sleep(2 * walkWait); a.put(a.good()) }()
+	{"answered with an error", func(call *receivedCall) bool { return call.write(framed(call.id, call.kind, errcode.Gone, nil)) }},
+	{"answered twice", func(call *receivedCall) bool { return call.write(call.answer(), call.answer()) }},
+	{"answered late", func(call *receivedCall) bool {
+		go func() { time.Sleep(2 * callWait); call.write(call.answer()) }()
 		return true
 	}},
-	{"answered late, and closed", func(a *called) bool {
-		go func() { time.Sleep(2 * walkWait); a.put(a.good()); a.c.Close() }()
+	{"answered late, and closed", func(call *receivedCall) bool {
+		go func() { time.Sleep(2 * callWait); call.write(call.answer()); call.c.Close() }()
 		return true
 	}},
-	{"not answered", func(a *called) bool { return true }},
-	{"answered under a number that none has", func(a *called) bool { return a.put(framed(a.id+100, a.kind, errcode.OK, []byte("of none"))) }},
-	{"answered as another kind", func(a *called) bool { return a.put(framed(a.id, a.kind+1, errcode.OK, []byte("of none"))) }},
-	{"cut in the frame's head", func(a *called) bool { a.put(a.good()[:7]); return false }},
-	{"cut in the message", func(a *called) bool { b := a.good(); a.put(b[:len(b)-1]); return false }},
-	{"spoilt", func(a *called) bool { return a.put([]byte("\xff\xff\xff\xffnoise")) }},
-	{"closed without an answer", func(a *called) bool { return false }},
-	{"answered, and closed", func(a *called) bool { a.put(a.good()); return false }},
-	{"answered, and reset", func(a *called) bool {
-		a.put(a.good())
-		time.Sleep(time.Millisecond) // in which the next call may come, and is not read
-		a.c.Close()
+	{"not answered", func(call *receivedCall) bool { return true }},
+	{"answered with an unknown ID", func(call *receivedCall) bool {
+		return call.write(framed(call.id+100, call.kind, errcode.OK, []byte("of none")))
+	}},
+	{"answered with another kind", func(call *receivedCall) bool {
+		return call.write(framed(call.id, call.kind+1, errcode.OK, []byte("of none")))
+	}},
+	{"cut in the frame header", func(call *receivedCall) bool { call.write(call.answer()[:7]); return false }},
+	{"cut in the message", func(call *receivedCall) bool { b := call.answer(); call.write(b[:len(b)-1]); return false }},
+	{"corrupted", func(call *receivedCall) bool { return call.write([]byte("\xff\xff\xff\xffnoise")) }},
+	{"closed without an answer", func(call *receivedCall) bool { return false }},
+	{"answered, and closed", func(call *receivedCall) bool { call.write(call.answer()); return false }},
+	{"answered, and reset", func(call *receivedCall) bool {
+		call.write(call.answer())
+		time.Sleep(time.Millisecond) // the next call may arrive meanwhile and is not read
+		call.c.Close()
 		return false
 	}},
 }
 
-type callWalk struct {
+type callEnvironment struct {
 	p      *network.Process
 	net    sock.Net
 	forget func(c *Client, id uint32)
 	port   int
 }
 
-// callWorld makes three calls under one script, one by one or at once.
-func callWorld(t *testing.T, w *callWalk, script []int, way int) string {
-	together := way == 1
+// runCalls makes three calls with one script, one by one or at once.
+func runCalls(t *testing.T, w *callEnvironment, script []int, mode int) string {
+	together := mode == 1
 	w.port++
 	addr := fmt.Sprintf("10.0.0.1:%d", w.port)
 	l, err := w.p.Listen(addr, 0)
@@ -97,7 +101,7 @@
 	}
 	defer l.Close()
 	var mu sync.Mutex
-	seen := map[string]int{}
+	received := map[string]int{}
 	var conns []net.Conn
 	n := 0
 	go func() {
@@ -117,14 +121,14 @@
 						return
 					}
 					mu.Lock()
-					seen[string(f.body)]++
-					d := peerDeeds[0]
+					received[string(f.body)]++
+					action := peerActions[0]
 					if n < len(script) {
-						d = peerDeeds[script[n]]
+						action = peerActions[script[n]]
 					}
 					n++
 					mu.Unlock()
-					if !d.do(&called{c, f}) {
+					if !action.do(&receivedCall{c, f}) {
 						return
 					}
 				}
@@ -132,7 +136,7 @@
 		}
 	}()
 	c := NewClient(w.net, addr)
-	c.next = ^uint32(0) - 1 // numbers come round with the second call
+	c.nextID = ^uint32(0) - 1 // IDs wrap around with the second call
 	type result struct {
 		body string
 		err  error
@@ -160,25 +164,25 @@
 			c.Cancel(ids[i])
 		}
 		c.mu.Lock()
-		c.next = ids[i] - 1
+		c.nextID = ids[i] - 1
 		c.mu.Unlock()
 	}
 	for i := range calls {
 		if begin(i); !together {
-			time.Sleep(walkWait)
+			time.Sleep(callWait)
 			end(i)
-			if i+1 < calls { // a dial that failed has a pause behind it
-				time.Sleep(time.Duration(script[0]%2) * pauseHigh)
+			if i+1 < calls { // no new dial is made during the backoff after a failed one
+				time.Sleep(time.Duration(script[0]%2) * maxBackoff)
 			}
 		}
 	}
 	if together {
-		time.Sleep(walkWait)
+		time.Sleep(callWait)
 		for i := range calls {
 			end(i)
 		}
 	}
-	time.Sleep(3 * walkWait)
+	time.Sleep(3 * callWait)
 	c.Close()
 	mu.Lock()
 	for _, x := range conns {
@@ -195,71 +199,71 @@
 		if len(got[i]) == 1 && got[i][0].err == nil && got[i][0].body != fmt.Sprint("of ", i) {
 			return fmt.Sprintf("call %d got %q", i, got[i][0].body)
 		}
-		if k := seen[fmt.Sprint(i)]; k > 1 {
+		if k := received[fmt.Sprint(i)]; k > 1 {
 			return fmt.Sprintf("call %d was sent %d times", i, k)
 		}
 	}
 	return ""
 }
 
-func newCallWalk(*testing.T) *callWalk {
+func newCallEnvironment(*testing.T) *callEnvironment {
 	p := network.New(1).Machine("10.0.0.1", "north").Start()
-	return &callWalk{p: p, net: p, port: 1000}
+	return &callEnvironment{p: p, net: p, port: 1000}
 }
 
-var walkOfCalls = modelcheck.ScriptTest[*callWalk]{Actions: len(peerDeeds), ActionName: func(i int) string { return peerDeeds[i].name }, ScriptLength: 3,
-	Modes: []string{"one by one", "at once"}, Setup: newCallWalk, Run: callWorld, Teardown: func(w *callWalk) { w.p.End() }}
+var callScripts = modelcheck.ScriptTest[*callEnvironment]{Actions: len(peerActions), ActionName: func(i int) string { return peerActions[i].name }, ScriptLength: 3,
+	Modes: []string{"one by one", "at once"}, Setup: newCallEnvironment, Run: runCalls, Teardown: func(w *callEnvironment) { w.p.End() }}
 
-// Whatever happens to a call, and to those before it, none gets another's answer.
-func TestWalkOfCalls(t *testing.T) { walkOfCalls.Check(t) }
+// Whatever happens to a call and to those before it, none gets another's answer.
+func TestWalkOfCalls(t *testing.T) { callScripts.Check(t) }
 
-// blindNet has every answer pass for one to the newest call, of its kind: as if neither was compared.
-type blindNet struct{ sock.Net }
+// relabelNet gives every answer the ID and kind of the newest call, as if the client compared neither.
+type relabelNet struct{ sock.Net }
 
-func (b blindNet) Dial(ctx context.Context, addr string, quiet time.Duration) (net.Conn, error) {
+func (b relabelNet) Dial(ctx context.Context, addr string, quiet time.Duration) (net.Conn, error) {
 	c, err := b.Net.Dial(ctx, addr, quiet)
 	if err != nil {
 		return nil, err
 	}
-	return &blindConn{Conn: c}, nil
+	return &relabelConn{Conn: c}, nil
 }
 
-type blindConn struct {
+type relabelConn struct {
 	net.Conn
 	last []byte
 }
 
-func (b *blindConn) Write(p []byte) (int, error) {
-	if len(p) >= headBytes {
+func (b *relabelConn) Write(p []byte) (int, error) {
+	if len(p) >= headerBytes {
 		b.last = slices.Clone(p[4:9])
 	}
 	return b.Conn.Write(p)
 }
 
-func (b *blindConn) Read(p []byte) (int, error) {
+func (b *relabelConn) Read(p []byte) (int, error) {
 	n, err := b.Conn.Read(p)
-	for at := 0; at+headBytes <= n; {
+	for at := 0; at+headerBytes <= n; {
 		copy(p[at+4:at+9], b.last)
 		at += 4 + int(binary.BigEndian.Uint32(p[at:]))
 	}
 	return n, err
 }
 
-// Wrong clients are found: one that gives the number of a call that it gave up to another, and one that compares no numbers.
+// The scripts detect wrong clients: one that reuses the ID of a cancelled call too early, and one that compares no IDs.
 func TestWalkFindsWrongClients(t *testing.T) {
-	walkOfCalls.CheckMutants(t, map[string]func(w *callWalk){
-		"a number is given again while its answer may come": func(w *callWalk) {
+	callScripts.CheckMutants(t, map[string]func(w *callEnvironment){
+		"an ID is reused while its answer may still arrive": func(w *callEnvironment) {
 			w.forget = func(c *Client, id uint32) {
 				c.mu.Lock()
 				delete(c.waiting, id)
 				c.mu.Unlock()
 			}
 		},
-		"numbers are not compared": func(w *callWalk) { w.net = blindNet{w.p} },
+		"IDs are not compared": func(w *callEnvironment) { w.net = relabelNet{w.p} },
 	})
 }
 
-// A peer that leaves ever more calls without an answer loses its connection; those that were given up take no place of others.
+// Cancelled calls don't count against the limit of pending calls, but too many of them without an answer close the connection.
 func TestCallsLeftWithoutAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := network.New(1).Machine("10.0.0.1", "north").Start()
@@ -273,23 +277,23 @@
 			}
 		})
 		c := NewClient(p, "10.0.0.1:80")
-		first := func() (l *link) { c.mu.Lock(); defer c.mu.Unlock(); return c.l }
+		current := func() (l *link) { c.mu.Lock(); defer c.mu.Unlock(); return c.l }
 		var got string
 		if err := c.Call(1, nil, &got, time.Second); err != nil {
 			t.Fatal(err)
 		}
-		was := first()
-		for range maxCalls {
-			c.Cancel(c.Go(2, nil, func([]byte, error) { t.Error("it was given up") }))
+		before := current()
+		for range maxPendingCalls {
+			c.Cancel(c.Go(2, nil, func([]byte, error) { t.Error("a cancelled call ended") }))
 		}
-		if err := c.Call(1, nil, &got, time.Second); err != nil || first() != was {
-			t.Errorf("behind %d that were given up: %v", maxCalls, err)
+		if err := c.Call(1, nil, &got, time.Second); err != nil || current() != before {
+			t.Errorf("after %d cancelled calls: %v", maxPendingCalls, err)
 		}
 		c.Cancel(c.Go(2, nil, func([]byte, error) {}))
 		synctest.Wait()
 		time.Sleep(time.Second)
-		if first() == was {
-			t.Error("the connection goes on")
+		if current() == before {
+			t.Error("the connection is still open")
 		}
 		c.Close()
 		s.Close()
