--- a/internal/consensus/rounds_test.go
+++ b/internal/consensus/rounds_test.go
@@ -384,7 +384,7 @@
 	return ""
 }
 
-var walkLarge = flag.Bool("ballot.all", false, "walk the large space too")
+var exploreLarge = flag.Bool("ballot.all", false, "walk the large space too")
 
 func TestWholeSpaceOfRounds(t *testing.T) {
 	var first world
@@ -411,7 +411,7 @@
 		{"an incarnation on disk before the repaired state", rules{memoryLosses: 1, diskLosses: 1, writesIncarnationFirst: true}, false},
 		{"a base that is not the highest", rules{anyBase: true, extraRounds: 1}, false},
 	} {
-		if c.k.largeSpace && !*walkLarge || modelcheck.RaceEnabled && (c.k.diskLosses > 0 || c.k.extraRounds > 0) {
+		if c.k.largeSpace && !*exploreLarge || modelcheck.RaceEnabled && (c.k.diskLosses > 0 || c.k.extraRounds > 0) {
 			continue
 		}
 		start := time.Now()
--- a/internal/reconfig/reconfig.go
+++ b/internal/reconfig/reconfig.go
@@ -1,11 +1,12 @@
-// Package reconfig hands the work of those that count over to others: the end of one epoch and the beginning of the next. It is
-// pure: a Seal is an old voter's part, a Round what a proposer gathers, Enough and Inherit what a new voter makes of the books
-// that old ones handed over.
+// Package reconfig implements reconfiguration: it replaces the voters of one epoch by those of the next. It is pure: a Seal is an
+// old voter's state, a Round is what a proposer gathers, and SelectHandovers and Inherit compute a new voter's state from what old
+// voters handed over.
 //
-// Who comes next is one decree an epoch, agreed by ballots among the old voters (Paxos). To accept one is to be sealed: an old
-// voter that did, on disk, promises, accepts and grants nothing more in its epoch, so that with the successor chosen a majority
-// has fallen silent for good. A new voter speaks in the new epoch once it has on disk what a majority of sealed old ones held.
-// Hence nothing can be won in the new epoch before a majority of the new holds it, and no further round begins the epoch.
+// The next voter set is a single decree per epoch, agreed on by the old voters with Paxos. A voter that accepts a successor, on
+// disk, is sealed: it promises, accepts and grants nothing more in its epoch. So once the successor is chosen, a majority of the
+// old voters has stopped for good. A new voter becomes active in the new epoch once it has on disk what a majority of sealed
+// old voters held. Hence nothing can be won in the new epoch before a majority of the new voters holds that state, and the epoch
+// needs no further round to start.
 package reconfig
 
 import (
@@ -16,43 +17,44 @@
 	"saltmast/internal/consensus"
 )
 
-// Voter is a member of those that count: where its purser is.
+// Voter is a member of a voter set, with the address of its store.
 type Voter struct {
 	Name string `cbor:"1,keyasint"`
-	Addr string `cbor:"2,keyasint"` // host:port of its purser
+	Addr string `cbor:"2,keyasint"` // host:port of its store
 	Zone string `cbor:"3,keyasint"`
-	Disk uint64 `cbor:"4,keyasint,omitempty"` // of the disk that may take the office over; 0: it makes up for a lost one instead
+	Disk uint64 `cbor:"4,keyasint,omitempty"` // number of the disk that may take over the old epoch's state; 0: the voter repairs its state instead
 }
 
-// VoterSet is the list of those that count, of one epoch.
+// VoterSet holds the voters of one epoch.
 type VoterSet struct {
 	Epoch    uint64  `cbor:"1,keyasint"`
 	Voters   []Voter `cbor:"2,keyasint"`
-	Previous []Voter `cbor:"3,keyasint,omitempty"` // of the epoch before, who hand over
+	Previous []Voter `cbor:"3,keyasint,omitempty"` // the voters of the epoch before, which hand over their state
 }
 
-// IndexOf is the place of the voter at addr; -1: it does not count.
+// IndexOf returns the index of the voter at addr, or -1 if there is none.
 func (r VoterSet) IndexOf(addr string) int {
 	return slices.IndexFunc(r.Voters, func(v Voter) bool { return v.Addr == addr })
 }
 
-// SameVoters reports whether both have the same voters of the same epoch, whatever their disks.
+// SameVoters reports whether both sets have the same epoch and the same voter addresses in the same order.
 func (r VoterSet) SameVoters(o VoterSet) bool {
 	return r.Epoch == o.Epoch && slices.EqualFunc(r.Voters, o.Voters, func(x, y Voter) bool { return x.Addr == y.Addr })
 }
 
-// Seal is an old voter's part in the end of its epoch. The zero value has promised nothing.
+// Seal is an old voter's state in the vote on the next voter set. The zero value has promised nothing.
 type Seal struct {
-	Promised configuration.Ballot `cbor:"1,keyasint"` // no lower ballot is taken
-	Accepted configuration.Ballot `cbor:"2,keyasint"` // of Next
+	Promised configuration.Ballot `cbor:"1,keyasint"` // lower ballots are rejected
+	Accepted configuration.Ballot `cbor:"2,keyasint"` // ballot of Next
 	Next     VoterSet             `cbor:"3,keyasint"`
-	Closed   bool                 `cbor:"4,keyasint,omitempty"` // it slept through the vote, and heard that a successor is chosen
+	Closed   bool                 `cbor:"4,keyasint,omitempty"` // it missed the vote and learned that a successor is chosen
 }
 
 // Sealed reports whether the epoch has ended for this voter.
 func (s *Seal) Sealed() bool { return s.Closed || !s.Accepted.IsZero() }
 
-// Prepare takes the promise to take nothing lower than b, and reports whether it was given. It counts once it is on disk.
+// Prepare promises to reject ballots lower than b, and reports whether the promise was given. The promise may be sent only once
+// it is on disk.
 func (s *Seal) Prepare(b configuration.Ballot) bool {
 	if b.Less(s.Promised) {
 		return false
@@ -61,7 +63,8 @@
 	return true
 }
 
-// Accept accepts a successor, and reports whether it did. From then on nothing is granted; it counts once it is on disk.
+// Accept accepts a successor, and reports whether it did. From then on the voter grants nothing in its epoch. The acceptance may be
+// sent only once it is on disk.
 func (s *Seal) Accept(b configuration.Ballot, next VoterSet) bool {
 	if b.Less(s.Promised) {
 		return false
@@ -70,7 +73,7 @@
 	return true
 }
 
-// Learn takes what another voter had promised and accepted, for a voter that lost its disk.
+// Learn merges what another voter had promised and accepted into the state of a voter that lost its disk.
 func (s *Seal) Learn(o Seal) {
 	if s.Promised.Less(o.Promised) {
 		s.Promised = o.Promised
@@ -90,12 +93,12 @@
 // Round gathers the answers to one ballot.
 type Round struct {
 	Voters      int                  // of the old epoch
-	HighestSeen configuration.Ballot // the highest that stood in the way
+	HighestSeen configuration.Ballot // the highest ballot that a voter had promised
 	promises    []Answer
 	accepts     []consensus.Origin
 }
 
-// Promise takes an answer to a Prepare. Of one voter only the first counts.
+// Promise records an answer to a Prepare. Only the first of each voter counts.
 func (r *Round) Promise(a Answer) {
 	r.raise(a.Seal.Promised)
 	if a.Granted && !slices.ContainsFunc(r.promises, func(o Answer) bool { return o.Origin.Voter == a.Origin.Voter }) {
@@ -103,27 +106,28 @@
 	}
 }
 
-// Base is the successor that has to be proposed, once enough was promised; bound is false where the proposer is free.
+// Base returns the successor that must be proposed, once a majority has promised; ok is false before. bound is false if the proposer
+// may propose any successor.
 func (r *Round) Base() (next VoterSet, bound, ok bool) {
-	var vs []consensus.Origin
+	var origins []consensus.Origin
 	for _, a := range r.promises {
-		vs = append(vs, a.Origin)
+		origins = append(origins, a.Origin)
 	}
-	sound := consensus.Countable(vs)
-	if len(sound) < consensus.Majority(r.Voters) {
+	countable := consensus.Countable(origins)
+	if len(countable) < consensus.Majority(r.Voters) {
 		return next, false, false
 	}
 	var of configuration.Ballot
 	for _, a := range r.promises {
-		told := slices.ContainsFunc(sound, func(v consensus.Origin) bool { return v.Voter == a.Origin.Voter })
-		if told && of.Less(a.Seal.Accepted) {
+		counts := slices.ContainsFunc(countable, func(v consensus.Origin) bool { return v.Voter == a.Origin.Voter })
+		if counts && of.Less(a.Seal.Accepted) {
 			of, next = a.Seal.Accepted, a.Seal.Next
 		}
 	}
 	return next, !of.IsZero(), true
 }
 
-// Accept takes an answer to the proposal itself, and reports whether the successor is chosen.
+// Accept records an answer to the proposal itself, and reports whether the successor is chosen.
 func (r *Round) Accept(a Answer) bool {
 	r.raise(a.Seal.Promised)
 	if a.Granted {
@@ -138,64 +142,66 @@
 	}
 }
 
-// Handover is what one voter hands over, other than its claims of keys.
+// Handover is the state that one voter hands over, except its claims of idempotency keys.
 type Handover struct {
 	Origin   consensus.Origin     `cbor:"1,keyasint"`
-	Active   bool                 `cbor:"2,keyasint"` // it speaks in the new epoch already; else it is sealed in the old one
+	Active   bool                 `cbor:"2,keyasint"` // it is active in the new epoch already; else it is sealed in the old one
 	Promised configuration.Ballot `cbor:"3,keyasint"`
 	Accepted configuration.Ballot `cbor:"4,keyasint"`
 	Chosen   configuration.Ballot `cbor:"5,keyasint"`
 }
 
-// SelectHandovers says which of the estates a new voter takes over: that of one who speaks in the new epoch already, whose books have
-// all that was won in the old, or those of a majority of the old, all sealed. nil: more are wanted.
-func SelectHandovers(voters int, told []Handover) (take []int) {
-	var vs []consensus.Origin
-	for i, e := range told {
-		if e.Active {
+// SelectHandovers returns the indexes of the handovers that a new voter takes over: that of one voter that is active in the new
+// epoch, whose state has all that was won in the old one, or else those of a majority of the old voters, all sealed. It returns
+// nil if more handovers are needed.
+func SelectHandovers(voters int, handovers []Handover) (take []int) {
+	var origins []consensus.Origin
+	for i, h := range handovers {
+		if h.Active {
 			return []int{i}
 		}
-		vs = append(vs, e.Origin)
+		origins = append(origins, h.Origin)
 	}
-	sound := consensus.Countable(vs)
-	if len(sound) < consensus.Majority(voters) {
+	countable := consensus.Countable(origins)
+	if len(countable) < consensus.Majority(voters) {
 		return nil
 	}
-	for _, v := range sound {
-		take = append(take, slices.IndexFunc(told, func(e Handover) bool {
-			return e.Origin.Voter == v.Voter && slices.Equal(e.Origin.Incarnations, v.Incarnations)
+	for _, v := range countable {
+		take = append(take, slices.IndexFunc(handovers, func(h Handover) bool {
+			return h.Origin.Voter == v.Voter && slices.Equal(h.Origin.Incarnations, v.Incarnations)
 		}))
 	}
 	return take
 }
 
-// Inherit is the register that a new voter begins with: the highest promise, the highest accepted value, which is that of the
-// estate at, and what is known to be chosen. The value was accepted in a former epoch: two new voters may have inherited
-// different ones, so that it is what rounds are built on, and is chosen by count only once it was accepted anew.
-func Inherit(told []Handover, take []int) (promised, accepted, chosen configuration.Ballot, at int) {
+// Inherit returns the register state that a new voter starts with: the highest promise, the ballot of the highest accepted value,
+// which is that of handover at, and the ballot known to be chosen. The value was accepted in a former epoch and two new voters may
+// have inherited different values. Therefore rounds may build on it, but acceptances of it count as votes only once it is
+// accepted again in the new epoch.
+func Inherit(handovers []Handover, take []int) (promised, accepted, chosen configuration.Ballot, at int) {
 	at = take[0]
 	for _, i := range take {
-		e := told[i]
-		if promised.Less(e.Promised) {
-			promised = e.Promised
+		h := handovers[i]
+		if promised.Less(h.Promised) {
+			promised = h.Promised
 		}
-		if accepted.Less(e.Accepted) {
-			accepted, at = e.Accepted, i
+		if accepted.Less(h.Accepted) {
+			accepted, at = h.Accepted, i
 		}
 	}
 	for _, i := range take {
-		if told[i].Chosen == accepted {
+		if handovers[i].Chosen == accepted {
 			chosen = accepted
 		}
 	}
 	return promised, accepted, chosen, at
 }
 
-// VotersFor is how many voters bear the loss of so many at once.
+// VotersFor returns the number of voters needed to tolerate the given number of simultaneous losses.
 func VotersFor(losses int) int { return 2*losses + 1 }
 
-// Grow is the roll with candidates added until it has as many voters as are wanted, of zones that have the fewest first. ok is
-// false where that can't be reached: half of the way costs each vote a member more and bears no further loss.
+// Grow returns the voters of r with candidates added until there are wanted voters, from zones with the fewest voters first. ok is
+// false if that number can't be reached: a partial growth makes each vote larger without tolerating a further loss.
 func Grow(r VoterSet, wanted int, candidates []Voter) (voters []Voter, ok bool) {
 	voters = slices.Clone(r.Voters)
 	for len(voters) < wanted {
@@ -222,21 +228,22 @@
 	return voters, len(voters) > len(r.Voters)
 }
 
-// Tolerance is what may be lost at once with a majority left: so many zones, or so many regions. Machines are what Wanted counts.
+// Tolerance is the number of zones, or of regions, that may be lost at once with a majority left. For machines see VotersFor.
 type Tolerance struct {
 	Zones, Regions int
-	RegionOf       map[string]string // by zone; a zone that it lacks lies in none that is known
+	RegionOf       map[string]string // region by zone; the region of other zones is unknown
 }
 
-// Excess is by how many voters too many the worst loss of zones, and that of regions, would take: with 0 each leaves a majority.
-// A voter whose zone, or region, isn't known shares it with nobody.
+// Excess returns by how many voters the worst tolerated loss of zones, plus that of regions, exceeds what leaves a majority; 0 if
+// each leaves one. A voter whose zone or region is unknown is counted as alone in it.
 func (t Tolerance) Excess(voters []Voter) (excess int) {
 	excess, _ = t.weigh(voters)
 	return excess
 }
 
-// weigh gives besides how far from even the voters lie, by which two rolls of one excess are told apart: the sum of the squares.
-func (t Tolerance) weigh(voters []Voter) (excess, uneven int) {
+// weigh returns the excess and, to rank voter lists of equal excess, how unevenly the voters are spread: the sum of the squared
+// numbers of voters per zone and region.
+func (t Tolerance) weigh(voters []Voter) (excess, unevenness int) {
 	count := func(lost int, of func(Voter) string) {
 		if lost <= 0 {
 			return
@@ -253,7 +260,7 @@
 		slices.Reverse(sizes)
 		taken := 0
 		for i, n := range sizes {
-			uneven += n * n
+			unevenness += n * n
 			if i < lost {
 				taken += n
 			}
@@ -262,12 +269,13 @@
 	}
 	count(t.Zones, func(v Voter) string { return v.Zone })
 	count(t.Regions, func(v Voter) string { return t.RegionOf[v.Zone] })
-	return excess, uneven
+	return excess, unevenness
 }
 
-// NextVoters is the list of voters that should follow a roll: each of the lost places is taken by a candidate, as many are added as are
-// wanted, and none that may be lost at once, by t, is to hold a majority. nil: there is nothing to change, or nobody to do it
-// with. A roll never shrinks by silence alone, and voters that are well leave only if that lowers the excess.
+// NextVoters returns the voters that should follow r: candidates replace the voters at the lost indexes and are added up to wanted
+// voters, and if possible no zones or regions that t tolerates to be lost hold a majority. It returns nil if there is nothing to
+// change or no suitable candidate. The set never shrinks because voters are unreachable, and healthy voters are replaced only
+// if that lowers the excess.
 func NextVoters(r VoterSet, lost []int, wanted int, t Tolerance, candidates []Voter) []Voter {
 	voters := ReplaceLost(r, lost, t, candidates)
 	if len(voters) < wanted {
@@ -281,18 +289,18 @@
 	return voters
 }
 
-// ReplaceLost is the list of voters with each of the lost places taken by the candidate that leaves the least excess, of the same zone
-// first. A place for which there is none stays.
+// ReplaceLost returns the voters of r with each lost one replaced by the candidate that leaves the least excess, preferring its
+// zone. A voter for which there is no candidate stays.
 func ReplaceLost(r VoterSet, lost []int, t Tolerance, candidates []Voter) []Voter {
 	voters := slices.Clone(r.Voters)
 	for _, place := range lost {
 		next, _, ok := best(voters, []int{place}, candidates, func(voters []Voter) [3]int {
-			excess, uneven := t.weigh(voters)
-			moved := 0
+			excess, unevenness := t.weigh(voters)
+			zoneChanged := 0
 			if voters[place].Zone != r.Voters[place].Zone {
-				moved = 1
+				zoneChanged = 1
 			}
-			return [3]int{excess, moved, uneven}
+			return [3]int{excess, zoneChanged, unevenness}
 		})
 		if ok {
 			voters = next
@@ -301,33 +309,33 @@
 	return voters
 }
 
-// Spread is the list of voters with some of them replaced by candidates until no loss that is to be borne takes a majority, or
-// none of the candidates helps any more.
+// Spread returns the voters with some of them replaced by candidates, until no tolerated loss takes a majority or no further
+// replacement helps.
 func Spread(voters []Voter, t Tolerance, candidates []Voter) []Voter {
 	places := make([]int, len(voters))
 	for i := range places {
 		places[i] = i
 	}
-	price := func(voters []Voter) [3]int {
-		excess, uneven := t.weigh(voters)
-		return [3]int{excess, uneven}
+	cost := func(voters []Voter) [3]int {
+		excess, unevenness := t.weigh(voters)
+		return [3]int{excess, unevenness}
 	}
-	now := voters
-	for t.Excess(now) > 0 {
-		next, price2, ok := best(now, places, candidates, price)
-		if p := price(now); !ok || slices.Compare(price2[:], p[:]) >= 0 {
+	current := voters
+	for t.Excess(current) > 0 {
+		next, nextCost, ok := best(current, places, candidates, cost)
+		if p := cost(current); !ok || slices.Compare(nextCost[:], p[:]) >= 0 {
 			break
 		}
-		now = next
+		current = next
 	}
-	if t.Excess(now) < t.Excess(voters) {
-		return now
+	if t.Excess(current) < t.Excess(voters) {
+		return current
 	}
 	return voters
 }
 
-// best is the cheapest list of voters with one of the places taken by one of the candidates that are not among them.
-func best(voters []Voter, places []int, candidates []Voter, price func([]Voter) [3]int) (next []Voter, least [3]int, ok bool) {
+// best returns the cheapest list of voters in which one of those at places is replaced by a candidate that is not a voter yet.
+func best(voters []Voter, places []int, candidates []Voter, cost func([]Voter) [3]int) (next []Voter, lowest [3]int, ok bool) {
 	for _, place := range places {
 		for _, c := range candidates {
 			if slices.ContainsFunc(voters, func(v Voter) bool { return v.Addr == c.Addr }) {
@@ -335,10 +343,10 @@
 			}
 			with := slices.Clone(voters)
 			with[place] = c
-			if p := price(with); !ok || slices.Compare(p[:], least[:]) < 0 {
-				next, least, ok = with, p, true
+			if p := cost(with); !ok || slices.Compare(p[:], lowest[:]) < 0 {
+				next, lowest, ok = with, p, true
 			}
 		}
 	}
-	return next, least, ok
+	return next, lowest, ok
 }
--- a/internal/rpc/walk_test.go
+++ b/internal/rpc/callscripts_test.go
@@ -215,7 +215,7 @@
 	Modes: []string{"one by one", "at once"}, Setup: newCallEnvironment, Run: runCalls, Teardown: func(w *callEnvironment) { w.p.End() }}
 
 // Whatever happens to a call and to those before it, none gets another's answer.
-func TestWalkOfCalls(t *testing.T) { callScripts.Check(t) }
+func TestCallScripts(t *testing.T) { callScripts.Check(t) }
 
 // relabelNet gives every answer the ID and kind of the newest call, as if the client compared neither.
 type relabelNet struct{ sock.Net }
@@ -250,7 +250,7 @@
 }
 
 // The scripts detect wrong clients: one that reuses the ID of a cancelled call too early, and one that compares no IDs.
-func TestWalkFindsWrongClients(t *testing.T) {
+func TestCallScriptsFindWrongClients(t *testing.T) {
 	callScripts.CheckMutants(t, map[string]func(w *callEnvironment){
 		"an ID is reused while its answer may still arrive": func(w *callEnvironment) {
 			w.forget = func(c *Client, id uint32) {
@@ -264,7 +264,7 @@
 }
 
 // Cancelled calls don't count against the limit of pending calls, but too many of them without an answer close the connection.
-func TestCallsLeftWithoutAnswer(t *testing.T) {
+func TestCancelledCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := network.New(1).Machine("10.0.0.1", "north").Start()
 		l, err := p.Listen("10.0.0.1:80", 0)
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -80,7 +80,7 @@
 }
 
 // send queues a frame. It never blocks. If the queue exceeds maxQueuedBytes the connection is closed.
-func (l *link) send(id uint32, kind uint8, p errcode.Kind, body []byte) {
+func (l *link) send(id uint32, kind uint8, code errcode.Kind, body []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ended {
@@ -92,7 +92,7 @@
 	}
 	l.out = binary.BigEndian.AppendUint32(l.out, uint32(6+len(body)))
 	l.out = binary.BigEndian.AppendUint32(l.out, id)
-	l.out = append(l.out, kind, byte(p))
+	l.out = append(l.out, kind, byte(code))
 	l.out = append(l.out, body...)
 	countSent(kind, headerBytes+len(body))
 	select {
@@ -101,6 +101,7 @@
 	}
 }
 
+// write is the writer goroutine: it writes the queued bytes until the connection ends.
 func (l *link) write() {
 	var spare []byte
 	for range l.wake {
@@ -351,9 +352,10 @@
 	return id
 }
 
-// Cancel stops waiting for a call. Its ID is not reused while its answer may still arrive. If the peer has sent nothing since the
-// call and that was over ackTimeout/2 ago, the connection is closed: after a network partition an old connection recovers late or
-// never, while a new one shows at once whether the peer is reachable.
+// Cancel stops waiting for a call. Its ID is not reused while its answer may still arrive. The connection is closed if more than
+// maxPendingCalls cancelled calls are unanswered, or if the peer has sent nothing since the call and that was over ackTimeout/2
+// ago: after a network partition an old connection recovers late or never, while a new one shows at once whether the peer is
+// reachable.
 func (c *Client) Cancel(id uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -405,6 +407,7 @@
 	}
 }
 
+// dial connects, then reads answers until the connection ends.
 func (c *Client) dial() {
 	ctx, cancel := context.WithTimeout(context.Background(), DialTime)
 	nc, err := c.net.Dial(ctx, c.addr, ackTimeout)
