--- a/internal/consensus/request.go
+++ b/internal/consensus/request.go
@@ -42,45 +42,45 @@
 var refusals = configuration.Key{Kind: configuration.Refusals}
 
 // refused reports whether a copy of the request was refused after this one arrived, or may have been.
-func (o Request) refused(base configuration.Set) bool {
+func (r Request) refused(base configuration.Set) bool {
 	last, _ := base.Get(refusals)
-	if last.Version <= o.KnownRefusal { // the usual case: the digest is not needed then
+	if last.Version <= r.KnownRefusal { // the usual case: the digest is not needed then
 		return false
 	}
-	sum := configuration.Sum(o.Items)
+	sum := configuration.Sum(r.Items)
 	for _, t := range last.Past {
-		if t.Sum == sum && t.Version > o.KnownRefusal {
+		if t.Sum == sum && t.Version > r.KnownRefusal {
 			return true
 		}
 	}
 	n := len(last.Past)
-	return n == configuration.MaxPast && last.Past[n-1].Version > o.KnownRefusal+1
+	return n == configuration.MaxPast && last.Past[n-1].Version > r.KnownRefusal+1
 }
 
 // refuse returns the outcome that adds the refusal of the request to base.
-func (o Request) refuse(base configuration.Set, b configuration.Ballot, why error) Outcome {
+func (r Request) refuse(base configuration.Set, b configuration.Ballot, why error) Outcome {
 	last, _ := base.Get(refusals)
 	last.Key, last.Ballot, last.Dropped, last.Version = refusals, b, true, last.Version+1
-	last, _ = last.Remember(configuration.Taken{Version: last.Version, Sum: configuration.Sum(o.Items)})
+	last, _ = last.Remember(configuration.Taken{Version: last.Version, Sum: configuration.Sum(r.Items)})
 	return Outcome{Next: base.With(last), Changes: []configuration.Item{last}, Verdict: Invalid, Err: why}
 }
 
 // Apply applies the request to a base value, under ballot b. valid returns what is wrong with the resulting configuration if that
 // differs from base. A request whose versions were all taken with the same content before changes nothing and is acknowledged,
 // whatever happened to those items since.
-func (o Request) Apply(base configuration.Set, b configuration.Ballot, valid func(next configuration.Set) error) Outcome {
-	out := ApplyItems(base, o.Items, b)
+func (r Request) Apply(base configuration.Set, b configuration.Ballot, valid func(next configuration.Set) error) Outcome {
+	out := ApplyItems(base, r.Items, b)
 	if out.Verdict != Acknowledged || len(out.Changes) == 0 {
 		return out
 	}
 	err := valid(out.Next)
 	if err == nil && out.Superseded {
-		err = base.Never(o.Items)
+		err = base.Never(r.Items)
 	}
 	switch {
 	case err != nil: // also if it was refused before, usually by an earlier round of this same copy that did not complete
-		return o.refuse(base, b, err)
-	case o.refused(base):
+		return r.refuse(base, b, err)
+	case r.refused(base):
 		return Outcome{Next: base, Verdict: Indeterminate, Key: refusals}
 	}
 	return out
--- a/internal/consensus/request_test.go
+++ b/internal/consensus/request_test.go
@@ -360,7 +360,7 @@
 	return at(a).Same(at(b))
 }
 
-func TestWholeSpaceOfOrders(t *testing.T) {
+func TestWholeSpaceOfRequests(t *testing.T) {
 	call := func(upsert, remove string) []configuration.Item {
 		c, err := configuration.DecodeCall([]byte(`{"upsert":{"resources":[` + upsert + `]},"remove":{` + remove + `}}`))
 		if err != nil || c.Check() != nil {
--- a/internal/consensus/rounds_test.go
+++ b/internal/consensus/rounds_test.go
@@ -199,11 +199,11 @@
 }
 
 // hasMajority reports whether some of the answers, at most one of each voter, make a majority.
-func (k rules) hasMajority(told [members]uint8) bool {
+func (k rules) hasMajority(answers [members]uint8) bool {
 	var vs [members][]Origin
 	for i := range members {
 		for incarnation := uint8(1); incarnation <= 3; incarnation++ {
-			if told[i]&(1<<incarnation) != 0 {
+			if answers[i]&(1<<incarnation) != 0 {
 				vs[i] = append(vs[i], origin(i, incarnation))
 			}
 		}
@@ -224,14 +224,14 @@
 	return anyChoice(of[1:], have, do)
 }
 
-func (k rules) outcomes(told [members]uint16) (o outcomes) {
-	if o, ok := k.cache[told]; ok {
+func (k rules) outcomes(answers [members]uint16) (o outcomes) {
+	if o, ok := k.cache[answers]; ok {
 		return o
 	}
 	var ps [members][]Promise
 	for i := range members {
 		for n := range uint8(12) {
-			if told[i]&(1<<n) != 0 {
+			if answers[i]&(1<<n) != 0 {
 				p := Promise{Origin: origin(i, n%3+1), Granted: true, Accepted: ballot(n / 3)}
 				if k.countsAll {
 					p.Origin.Incarnations[0] = 1
@@ -254,7 +254,7 @@
 		}
 		return false
 	})
-	k.cache[told] = o
+	k.cache[answers] = o
 	return o
 }
 
