--- a/internal/dataplane/gate.go
+++ b/internal/dataplane/gate.go
@@ -64,7 +64,7 @@
 	g := &Gate{o: o, pacer: pacer, pool: links.New(backendIdle, backendDial, 0), left: disconnect.New(disconnect.Interval), open: map[*resting]bool{},
 		berth: backends.Backend{Node: o.Node, Addr: o.GateAddr, Zone: o.Zone, Incarnation: o.Life, Version: 1, Service: o.Service}}
 	g.pool.Net = sock.On(o.Net)
-	g.book = rpc.Own(idempotency.NewCache[*Answer](o.KeyWindow, o.AnswerBytes/2), 256)
+	g.book = rpc.StartOwner(idempotency.NewCache[*Answer](o.KeyWindow, o.AnswerBytes/2), 256)
 	return g
 }
 
@@ -241,7 +241,7 @@
 		return g.tell(givenUp(false))
 	}
 	if a.Key != "" {
-		g.book.Ask(func(b *idempotency.Cache[*Answer]) {
+		g.book.Do(func(b *idempotency.Cache[*Answer]) {
 			b.Forget(a.Key, a.Claim)
 			b.Begin(time.Since(g.o.Begun), a.Key, a.Claim)
 		})
@@ -277,7 +277,7 @@
 		case o.Code.NotRun():
 			state = idempotency.NotExecuted
 		}
-		g.book.Ask(func(b *idempotency.Cache[*Answer]) { b.Finish(a.Key, a.Claim, state, o.answer, size, "") })
+		g.book.Do(func(b *idempotency.Cache[*Answer]) { b.Finish(a.Key, a.Claim, state, o.answer, size, "") })
 	}
 	return g.tell(o)
 }
@@ -292,7 +292,7 @@
 	g.Counts.Recalls.Add(1)
 	var op idempotency.Operation[*Answer]
 	known := false
-	g.book.Ask(func(b *idempotency.Cache[*Answer]) { op, known = b.Lookup(a.Key) })
+	g.book.Do(func(b *idempotency.Cache[*Answer]) { op, known = b.Lookup(a.Key) })
 	if op.State == idempotency.NotExecuted { // of one attempt; another under the same claim may be on its way here
 		known = false
 	}
--- a/internal/idempotency/claims.go
+++ b/internal/idempotency/claims.go
@@ -102,9 +102,9 @@
 
 // Grant is one voter's answer to a claim.
 type Grant struct {
-	Origin  consensus.Vouch `cbor:"1,keyasint"`
-	Granted bool            `cbor:"2,keyasint"`
-	Holder  ID              `cbor:"3,keyasint"` // of the key, if it was not granted
+	Origin  consensus.Origin `cbor:"1,keyasint"`
+	Granted bool             `cbor:"2,keyasint"`
+	Holder  ID               `cbor:"3,keyasint"` // of the key, if it was not granted
 }
 
 // Result is the result of a claim.
@@ -121,7 +121,7 @@
 // GrantCounter counts the answers to one claim.
 type GrantCounter struct {
 	Voters   int
-	granted  []consensus.Vouch
+	granted  []consensus.Origin
 	denied   map[ID]int // by the holder named
 	answered int        // including voters that will not answer
 }
@@ -145,7 +145,7 @@
 // Result returns the result so far and, if the claim is lost or split, the holder that most voters named.
 func (c *GrantCounter) Result() (Result, ID) {
 	majority := consensus.Majority(c.Voters)
-	if len(consensus.Sound(c.granted)) >= majority {
+	if len(consensus.Countable(c.granted)) >= majority {
 		return Won, ID{}
 	}
 	var top ID
--- a/internal/idempotency/modelcheck_test.go
+++ b/internal/idempotency/modelcheck_test.go
@@ -91,8 +91,8 @@
 // packIncs encodes three incarnations of up to 3 each in six bits.
 func packIncs(incs [members]uint8) uint8 { return incs[0]<<4 | incs[1]<<2 | incs[2] }
 
-func origin(by int, packed uint8) consensus.Vouch {
-	return consensus.Vouch{By: by, Incs: []uint64{uint64(packed >> 4), uint64(packed >> 2 & 3), uint64(packed & 3)}}
+func origin(by int, packed uint8) consensus.Origin {
+	return consensus.Origin{Voter: by, Incarnations: []uint64{uint64(packed >> 4), uint64(packed >> 2 & 3), uint64(packed & 3)}}
 }
 
 // incsBit returns the bit of packed incarnations, each from 1 to 3, in a set.
@@ -282,7 +282,7 @@
 }
 
 // wins reports whether some of the grants sent, at most one of each voter, make a majority together with those received.
-func (r rules) wins(sent [members]uint32, received []consensus.Vouch) bool {
+func (r rules) wins(sent [members]uint32, received []consensus.Origin) bool {
 	c := GrantCounter{Voters: members}
 	for _, h := range received {
 		c.Add(Grant{Origin: h, Granted: true})
@@ -292,7 +292,7 @@
 	}
 	from := 0
 	if len(received) > 0 {
-		from = received[len(received)-1].By + 1
+		from = received[len(received)-1].Voter + 1
 	}
 	for i := from; i < members; i++ {
 		for b := range 27 {
@@ -489,13 +489,13 @@
 		{"an incarnation on disk before the claims restored with it", rules{memory: 1, disks: 1, splitRepairWrite: true}, false},
 		{"a repair from the report of a voter that is repairing", rules{disks: 2, repairFromRepairing: true}, false},
 	} {
-		if c.r.long && !*runLong || modelcheck.Slow && (c.r.disks > 0 || c.r.claims > 0) {
+		if c.r.long && !*runLong || modelcheck.RaceEnabled && (c.r.disks > 0 || c.r.claims > 0) {
 			continue
 		}
 		begun := time.Now()
 		c.r.won = map[[members]uint32]bool{}
-		n, err := modelcheck.Whole(initialWorld(), c.r.next, broken, 6e6)
-		if wrong := modelcheck.Verdict(c.ok, n, err); wrong != nil {
+		n, err := modelcheck.Explore(initialWorld(), c.r.next, broken, 6e6)
+		if wrong := modelcheck.CheckResult(c.ok, n, err); wrong != nil {
 			t.Errorf("%s: %v", c.name, wrong)
 		}
 		t.Logf("%s: %d states in %v", c.name, n, time.Since(begun).Round(time.Millisecond))
--- a/internal/lease/modelcheck_test.go
+++ b/internal/lease/modelcheck_test.go
@@ -237,7 +237,7 @@
 		{"a granter that grants right after a restart", rules{restarts: 1, fast: 1, slow: 1, grantAfterRestart: true}, false},
 		{"no margin", rules{fast: 1.06, slow: 0.94, noMargin: true}, false},
 	} {
-		if modelcheck.Slow || c.k.long && !*all {
+		if modelcheck.RaceEnabled || c.k.long && !*all {
 			continue
 		}
 		var first world
@@ -245,8 +245,8 @@
 			first.g[i].startedAt = -Span
 		}
 		startedAt := time.Now()
-		n, err := modelcheck.Whole(first, c.k.next, c.k.violation, 5e6)
-		if mismatch := modelcheck.Verdict(c.ok, n, err); mismatch != nil {
+		n, err := modelcheck.Explore(first, c.k.next, c.k.violation, 5e6)
+		if mismatch := modelcheck.CheckResult(c.ok, n, err); mismatch != nil {
 			t.Errorf("%s: %v", c.name, mismatch)
 		}
 		t.Logf("%s: %d states in %v", c.name, n, time.Since(startedAt).Round(time.Millisecond))
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -376,7 +376,7 @@
 				p.mu.Unlock()
 				client.Go(messages.Pull, rpc.Encode(messages.PullCall{Self: &self, Others: relayed, Life: call.Life, At: messages.Tells, Have: configuration.Ballot{N: 1 << 62}, Sum: call.Sum, Epoch: call.Epoch}), func([]byte, error) {})
 			case <-timer.C:
-				client.Forget(id)
+				client.Cancel(id)
 				r.err = errcode.New(errcode.TimedOut, "")
 				break wait
 			case <-p.done:
--- a/internal/quorum/client.go
+++ b/internal/quorum/client.go
@@ -172,7 +172,7 @@
 			}
 		case <-t.C:
 			for i, id := range pending {
-				clients[i].Forget(id)
+				clients[i].Cancel(id)
 			}
 			return errcode.New(errcode.CoreOut, "no majority within %v%s", wait.Round(time.Millisecond), why)
 		}
--- a/internal/store/interruption_test.go
+++ b/internal/store/interruption_test.go
@@ -56,7 +56,7 @@
 // received is on disk, and the next repair restores it completely.
 func TestRepairInterruptedAtEachSync(t *testing.T) {
 	items, claims := largeState()
-	m := recoveredState{last: messages.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: configuration.Ballot{N: 9},
+	m := recoveredState{last: messages.Mustered{Vouch: consensus.Origin{Voter: 1, Incarnations: []uint64{2, 1, 1}}, Accepted: configuration.Ballot{N: 9},
 		Chosen: configuration.Ballot{N: 9}}, claims: claims, base: configuration.SetOf(items...)}
 	for _, fails := range []bool{false, true} {
 		n, done := 0, false
@@ -95,8 +95,8 @@
 // both sets still has its own state complete for others that need it.
 func TestTakeoverInterruptedAtEachSync(t *testing.T) {
 	items, claims := largeState()
-	next := messages.Roll{Epoch: 2, Voters: voters, Was: voters}
-	h := handedState{base: configuration.SetOf(items...), claims: claims, last: messages.Handed{Estate: reconfig.Estate{Vouch: consensus.Vouch{By: 1, Incs: []uint64{1, 1, 1}},
+	next := messages.Roll{Epoch: 2, Voters: voters, Previous: voters}
+	h := handedState{base: configuration.SetOf(items...), claims: claims, last: messages.Handed{Estate: reconfig.Handover{Origin: consensus.Origin{Voter: 1, Incarnations: []uint64{1, 1, 1}},
 		Promised: configuration.Ballot{N: 9}, Accepted: configuration.Ballot{N: 9}, Chosen: configuration.Ballot{N: 9}}}}
 	older := items[0]
 	older.Version, older.Ballot.N = 1, 3
--- a/internal/store/reconfig.go
+++ b/internal/store/reconfig.go
@@ -78,21 +78,21 @@
 		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.replyError(c, s.voteSuccessor(c, m)) })
 		return nil
 	}
-	answer := reconfig.Answer{Vouch: s.vouch()}
+	answer := reconfig.Answer{Origin: s.vouch()}
 	if m.Next == nil {
-		answer.Given = s.seal.Prepare(m.B)
+		answer.Granted = s.seal.Prepare(m.B)
 	} else {
-		answer.Given = m.Next.Epoch == m.Epoch+1 && s.seal.Accept(m.B, *m.Next)
+		answer.Granted = m.Next.Epoch == m.Epoch+1 && s.seal.Accept(m.B, *m.Next)
 	}
 	answer.Seal = s.seal
-	if !answer.Given {
+	if !answer.Granted {
 		c.Reply(answer, nil)
 		return nil
 	}
 	epoch := m.Epoch
 	s.write([]storage.Put{s.putSeal()}, func(err error) {
 		s.srv.enqueue(func(s *voterState) {
-			if err == nil && m.Next != nil && s.voterSet.Epoch == epoch && s.seal.Shut() && !s.sealDurable {
+			if err == nil && m.Next != nil && s.voterSet.Epoch == epoch && s.seal.Sealed() && !s.sealDurable {
 				s.sealDurable = true
 				s.srv.opts.Log("roll", fmt.Sprintf("epoch %d has ended here", epoch))
 				s.notifyWatchers()
@@ -131,7 +131,7 @@
 		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.learnVoterSet(r, done) })
 		return
 	}
-	index := r.Place(s.srv.opts.Addr)
+	index := r.IndexOf(s.srv.opts.Addr)
 	if s.state == Repairing && s.recovering { // the repair has to end first
 		done(errcode.New(errcode.Repairing, ""))
 		return
@@ -174,15 +174,15 @@
 // handover sends the state of the epoch before m.Epoch to a voter that takes over.
 func (s *voterState) handover(c rpc.Call, m messages.HandoverCall) error {
 	r := s.registerPart(m.Have)
-	e := reconfig.Estate{Vouch: s.vouch(), Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: r.chosen}
+	e := reconfig.Handover{Origin: s.vouch(), Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: r.chosen}
 	switch {
-	case s.state == Serving && s.voterSet.Epoch == m.Epoch && s.acceptor.CatchesUp(): // its state alone is incomplete
+	case s.state == Serving && s.voterSet.Epoch == m.Epoch && s.acceptor.CatchingUp(): // its state alone is incomplete
 		return errcode.New(errcode.Repairing, "")
 	case s.state == Serving && s.voterSet.Epoch == m.Epoch:
-		e.Holds = true
+		e.Active = true
 	case s.state == Serving && s.voterSet.Epoch+1 == m.Epoch && s.sealDurable:
 	case s.formerEpoch != nil && s.formerEpoch.Epoch+1 == m.Epoch && s.sealDurable:
-		e.Vouch = consensus.Vouch{By: s.formerEpoch.Index, Incs: s.formerEpoch.Incarnations}
+		e.Origin = consensus.Origin{Voter: s.formerEpoch.Index, Incarnations: s.formerEpoch.Incarnations}
 	default:
 		return errcode.New(errcode.Gone, "epoch %d, here %d", m.Epoch, s.voterSet.Epoch)
 	}
@@ -245,7 +245,7 @@
 // collectHandover asks old and new voters for their state until there is enough of it to take over. It blocks.
 func (srv *Server) collectHandover(r messages.Roll) (got []handedState, err error) {
 	var addrs []string
-	for _, v := range append(slices.Clone(r.Was), r.Voters...) {
+	for _, v := range append(slices.Clone(r.Previous), r.Voters...) {
 		if !slices.Contains(addrs, v.Addr) {
 			addrs = append(addrs, v.Addr)
 		}
@@ -283,7 +283,7 @@
 		}()
 	}
 	var all []response
-	var estates []reconfig.Estate
+	var estates []reconfig.Handover
 	var take []int
 	for range addrs {
 		t := <-ch
@@ -291,7 +291,7 @@
 			continue
 		}
 		all, estates = append(all, t), append(estates, t.h.Estate)
-		if take = reconfig.Enough(len(r.Was), estates); take != nil {
+		if take = reconfig.SelectHandovers(len(r.Previous), estates); take != nil {
 			break
 		}
 	}
@@ -311,7 +311,7 @@
 				return nil, t.err
 			}
 			previous := h.Estate
-			if h = t.h; h.Estate.Holds != previous.Holds || !slices.Equal(h.Estate.Vouch.Incs, previous.Vouch.Incs) ||
+			if h = t.h; h.Estate.Active != previous.Active || !slices.Equal(h.Estate.Origin.Incarnations, previous.Origin.Incarnations) ||
 				!continues(h.Estate.Chosen, h.Estate.Accepted, previous.Chosen, previous.Accepted) {
 				return nil, errors.New("the voter took over, or lost its disk, while it handed over its state")
 			}
@@ -327,18 +327,18 @@
 // voter set, unless too much is missing for one write. In that case it is marked as catching up until then, which costs others
 // nothing: the missing items are chosen, and a majority without this voter holds them. left are deletions to write first.
 func (s *voterState) installHandover(r messages.Roll, got []handedState, kept bool, left []storage.Put) {
-	estates, take := make([]reconfig.Estate, len(got)), make([]int, len(got))
+	estates, take := make([]reconfig.Handover, len(got)), make([]int, len(got))
 	acc := consensus.NewAcceptor()
 	for i, o := range got {
 		estates[i], take[i] = o.last.Estate, i
 		if c := o.last.Estate.Chosen; acc.Chosen.Less(c) {
-			acc.Chosen, acc.Stands = c, o.base
+			acc.Chosen, acc.Base = c, o.base
 		}
 	}
 	var at int
 	acc.Promised, acc.Accepted, _, at = reconfig.Inherit(estates, take)
-	delta := consensus.Since(got[at].base.With(got[at].last.Delta...), acc.Chosen)
-	acc.Value = acc.Stands.With(delta...)
+	delta := consensus.ChangedSince(got[at].base.With(got[at].last.Delta...), acc.Chosen)
+	acc.Value = acc.Base.With(delta...)
 	if !kept {
 		s.formerEpoch, s.seal, s.sealDurable = nil, reconfig.Seal{}, false
 		s.resetContent()
@@ -359,13 +359,13 @@
 		items = append(items, p)
 		size += len(p.Key) + len(p.Value)
 	}
-	for i := range acc.Stands.All() {
-		if old, ok := s.acceptor.Stands.Get(i.Key); !ok || old.Version != i.Version || old.Ballot != i.Ballot {
+	for i := range acc.Base.All() {
+		if old, ok := s.acceptor.Base.Get(i.Key); !ok || old.Version != i.Version || old.Ballot != i.Ballot {
 			put(putItem(i))
 		}
 	}
-	for i := range s.acceptor.Stands.All() {
-		if _, ok := acc.Stands.Get(i.Key); !ok {
+	for i := range s.acceptor.Base.All() {
+		if _, ok := acc.Base.Get(i.Key); !ok {
 			put(storage.Put{Table: tableItems, Key: itemKey(i.Key)})
 		}
 	}
@@ -374,7 +374,7 @@
 		put(p)
 	}
 	former := acc.Accepted
-	if e := estates[at]; e.Holds && !got[at].last.Former {
+	if e := estates[at]; e.Active && !got[at].last.Former {
 		former = configuration.Ballot{}
 	}
 	writeLast := func(s *voterState, puts []storage.Put) {
@@ -437,7 +437,7 @@
 							s.finishTakeover(r, cmp.Or(err, storage.ErrDisk))
 							return
 						}
-						for i := range acc.Stands.All() {
+						for i := range acc.Base.All() {
 							stale = append(stale, putItem(i))
 						}
 						for _, p := range deltaPuts {
--- a/internal/store/reconfig_test.go
+++ b/internal/store/reconfig_test.go
@@ -29,7 +29,7 @@
 	if k := claim(voter, "before"); k != errcode.OK {
 		t.Fatal(k)
 	}
-	next := messages.Roll{Epoch: 2, Voters: voters, Was: voters}
+	next := messages.Roll{Epoch: 2, Voters: voters, Previous: voters}
 	accept := voter.call(messages.Succeed, messages.SucceedCall{Epoch: 1, B: configuration.Ballot{N: 1, By: 1}, Next: &next})
 	hand := func(voter *testVoter) (h messages.Handed, k errcode.Kind) {
 		r := voter.call(messages.Handover, messages.HandoverCall{Epoch: 2})
@@ -48,7 +48,7 @@
 	}
 	voter.settle()
 	var a reconfig.Answer
-	if accept.count != 1 || rpc.Decode(accept.body, &a) != nil || !a.Given {
+	if accept.count != 1 || rpc.Decode(accept.body, &a) != nil || !a.Granted {
 		t.Fatalf("%d answers, %+v", accept.count, a)
 	}
 	again := newTestVoter(t, Options{})
@@ -68,7 +68,7 @@
 				t.Errorf("%s: the lease %s: %v", name, of, r.err)
 			}
 		}
-		if h, k := hand(voter); k != errcode.OK || h.Estate.Holds || len(h.Claims) != 1 {
+		if h, k := hand(voter); k != errcode.OK || h.Estate.Active || len(h.Claims) != 1 {
 			t.Errorf("%s: handed over %v, %+v", name, k, h)
 		}
 	}
@@ -90,7 +90,7 @@
 		voter.openDisk()
 		voter.settle()
 		voter.recovering = true // no test here needs a repair to run
-		voter.call(messages.Relieve, messages.RelieveCall{Roll: messages.Roll{Epoch: 2, Voters: c.next, Was: voters}})
+		voter.call(messages.Relieve, messages.RelieveCall{Roll: messages.Roll{Epoch: 2, Voters: c.next, Previous: voters}})
 		if r := voter.call(messages.Handover, messages.HandoverCall{Epoch: 2}); errcode.Of(r.err) != errcode.Gone {
 			t.Errorf("%s: handed over before it is on disk: %v", c.name, r.err)
 		}
--- a/internal/store/register_test.go
+++ b/internal/store/register_test.go
@@ -64,16 +64,16 @@
 		t.Helper()
 		return callAndSettle[messages.Accepted](t, voter, messages.Turn, messages.TurnCall{Page: p, Epoch: 1}).Taken
 	}
-	first := consensus.PageOf(nine, ballotOf(9), ballotOf(1))
-	if first.Upto != ballotOf(5) || turn(consensus.PageOf(nine, ballotOf(9), ballotOf(5))) {
-		t.Fatalf("the first page ends at %v, or a page that does not continue it was taken", first.Upto)
+	first := consensus.NewPage(nine, ballotOf(9), ballotOf(1))
+	if first.UpTo != ballotOf(5) || turn(consensus.NewPage(nine, ballotOf(9), ballotOf(5))) {
+		t.Fatalf("the first page ends at %v, or a page that does not continue it was taken", first.UpTo)
 	}
 	r := voter.call(messages.Turn, messages.TurnCall{Page: first, Epoch: 1})
 	voter.fake.sync(storage.ErrDisk)
-	if voter.settle(); errcode.Of(r.err) != errcode.DiskOut || voter.acceptor.Accepted != ballotOf(2) || voter.acceptor.CatchesUp() {
+	if voter.settle(); errcode.Of(r.err) != errcode.DiskOut || voter.acceptor.Accepted != ballotOf(2) || voter.acceptor.CatchingUp() {
 		t.Fatalf("a page that was not written: %v, accepted %v", r.err, voter.acceptor.Accepted)
 	}
-	for i, p := range []consensus.Page{first, consensus.PageOf(seven, ballotOf(7), ballotOf(5)), consensus.PageOf(nine, ballotOf(9), ballotOf(7))} {
+	for i, p := range []consensus.Page{first, consensus.NewPage(seven, ballotOf(7), ballotOf(5)), consensus.NewPage(nine, ballotOf(9), ballotOf(7))} {
 		if !turn(p) || turn(p) {
 			t.Fatalf("page %d: not taken, or twice", i)
 		}
@@ -82,13 +82,13 @@
 		m := voter.recoveryReply(messages.MusterCall{})
 		state := voter.reportedState()
 		if i == 2 {
-			if w.Chosen != ballotOf(9) || w.Known != ballotOf(9) || voter.acceptor.Accepted != ballotOf(9) || !sameItems(voter.acceptor.Stands, nine) || !sameItems(voter.acceptor.Value, nine) || state != "serving" {
-				t.Errorf("after the last page: %s, chosen %v of %v, %d items", state, w.Chosen, w.Known, voter.acceptor.Stands.Len())
+			if w.Chosen != ballotOf(9) || w.Known != ballotOf(9) || voter.acceptor.Accepted != ballotOf(9) || !sameItems(voter.acceptor.Base, nine) || !sameItems(voter.acceptor.Value, nine) || state != "serving" {
+				t.Errorf("after the last page: %s, chosen %v of %v, %d items", state, w.Chosen, w.Known, voter.acceptor.Base.Len())
 			}
 			break
 		}
 		p := callAndSettle[consensus.Promise](t, voter, messages.Prepare, messages.PrepareCall{B: ballotOf(20 + uint64(i)), Epoch: 1})
-		if w.Known != ballotOf(9) || w.Chosen != p.Chosen || len(w.Items) > 0 || !p.Given || !p.Accepted.IsZero() || len(p.Items) > 0 || p.Known != ballotOf(9) || state != "catching up" {
+		if w.Known != ballotOf(9) || w.Chosen != p.Chosen || len(w.Items) > 0 || !p.Granted || !p.Accepted.IsZero() || len(p.Items) > 0 || p.KnownChosen != ballotOf(9) || state != "catching up" {
 			t.Errorf("after page %d: %s, chosen %v of %v, %d items, promise %+v", i, state, w.Chosen, w.Known, len(w.Items), p)
 		}
 		if !m.Accepted.IsZero() || !m.Chosen.IsZero() || len(m.Items)+len(m.Delta) > 0 {
@@ -102,11 +102,11 @@
 	voter := newServingVoter(t)
 	nine := configuration.SetOf(itemsOf("r", ballotOf(5), 300, 1000)...).With(itemsOf("s", ballotOf(9), 3, 10)...)
 	next := nine.With(itemsOf("r", ballotOf(11), 1, 10)...)
-	if !callAndSettle[messages.Accepted](t, voter, messages.Turn, messages.TurnCall{Page: consensus.PageOf(nine, ballotOf(9), ballotOf(0)), Epoch: 1}).Taken || !voter.acceptor.CatchesUp() {
+	if !callAndSettle[messages.Accepted](t, voter, messages.Turn, messages.TurnCall{Page: consensus.NewPage(nine, ballotOf(9), ballotOf(0)), Epoch: 1}).Taken || !voter.acceptor.CatchingUp() {
 		t.Fatalf("complete up to %v of %v", voter.acceptor.Chosen, voter.acceptor.Target)
 	}
 	for base, want := range map[uint64]bool{9: false, 5: true} {
-		a := callAndSettle[messages.Accepted](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(11), Base: ballotOf(base), Changes: consensus.Since(next, ballotOf(base)), Epoch: 1})
+		a := callAndSettle[messages.Accepted](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(11), Base: ballotOf(base), Changes: consensus.ChangedSince(next, ballotOf(base)), Epoch: 1})
 		if a.Taken != want {
 			t.Errorf("changes after ballot %d taken: %v", base, a.Taken)
 		}
@@ -117,8 +117,8 @@
 	}
 	callAndSettle[messages.Accepted](t, voter, messages.Learn, messages.LearnCall{B: ballotOf(11)})
 	for _, voter := range []*testVoter{voter, restarted(t, voter)} {
-		if voter.acceptor.CatchesUp() || voter.acceptor.Chosen != ballotOf(11) || !sameItems(voter.acceptor.Stands, next) {
-			t.Errorf("chosen %v, %d items", voter.acceptor.Chosen, voter.acceptor.Stands.Len())
+		if voter.acceptor.CatchingUp() || voter.acceptor.Chosen != ballotOf(11) || !sameItems(voter.acceptor.Base, next) {
+			t.Errorf("chosen %v, %d items", voter.acceptor.Chosen, voter.acceptor.Base.Len())
 		}
 	}
 }
@@ -128,10 +128,10 @@
 func TestTakeoverOfLargeState(t *testing.T) {
 	stands := configuration.SetOf(itemsOf("r", ballotOf(5), 3000, 1000)...)
 	value := stands.With(itemsOf("s", ballotOf(6), 4, 10)...)
-	next := messages.Roll{Epoch: 2, Voters: voters, Was: voters}
+	next := messages.Roll{Epoch: 2, Voters: voters, Previous: voters}
 	got := func() []handedState {
-		e := reconfig.Estate{Promised: ballotOf(6), Accepted: ballotOf(6), Chosen: ballotOf(5)}
-		return []handedState{{last: messages.Handed{Estate: e, Delta: consensus.Since(value, ballotOf(5))}, base: stands}}
+		e := reconfig.Handover{Promised: ballotOf(6), Accepted: ballotOf(6), Chosen: ballotOf(5)}
+		return []handedState{{last: messages.Handed{Estate: e, Delta: consensus.ChangedSince(value, ballotOf(5))}, base: stands}}
 	}
 	for restartAt := range 4 {
 		voter := newServingVoter(t)
@@ -160,8 +160,8 @@
 		}
 		voter.settle()
 		for name, voter := range map[string]*testVoter{"": voter, ", restarted": restarted(t, voter)} {
-			if voter.state != Serving || voter.voterSet.Epoch != 2 || voter.acceptor.CatchesUp() || voter.acceptor.Chosen != ballotOf(5) || !sameItems(voter.acceptor.Stands, stands) || !sameItems(voter.acceptor.Value, value) {
-				t.Errorf("restarted after %d writes%s: %s in epoch %d, chosen %v, %d items of %d", 4*restartAt, name, voter.state, voter.voterSet.Epoch, voter.acceptor.Chosen, voter.acceptor.Stands.Len(), stands.Len())
+			if voter.state != Serving || voter.voterSet.Epoch != 2 || voter.acceptor.CatchingUp() || voter.acceptor.Chosen != ballotOf(5) || !sameItems(voter.acceptor.Base, stands) || !sameItems(voter.acceptor.Value, value) {
+				t.Errorf("restarted after %d writes%s: %s in epoch %d, chosen %v, %d items of %d", 4*restartAt, name, voter.state, voter.voterSet.Epoch, voter.acceptor.Chosen, voter.acceptor.Base.Len(), stands.Len())
 			}
 		}
 	}
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -39,7 +39,7 @@
 	if s.voterSet.Epoch == 0 {
 		return errcode.New(errcode.CoreOut, "%s", s.state)
 	}
-	member := s.voterSet.Place(m.Addr)
+	member := s.voterSet.IndexOf(m.Addr)
 	if m.Inc == 0 || member < 0 || s.index < 0 {
 		c.Reply(messages.Mustered{Vouch: s.vouch(), Roll: s.voterSet}, nil)
 		return nil
@@ -76,7 +76,7 @@
 	r := s.registerPart(m.Have)
 	t := messages.Mustered{Vouch: s.vouch(), Roll: s.voterSet, Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: r.chosen,
 		Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta, Former: s.valueInherited()}
-	if s.seal.Shut() || !s.seal.Promised.IsZero() {
+	if s.seal.Sealed() || !s.seal.Promised.IsZero() {
 		seal := s.seal
 		t.Seal = &seal
 	}
@@ -97,13 +97,13 @@
 
 // registerPart returns the part that follows ballot have. A member that catches up holds no chosen value.
 func (s *voterState) registerPart(have configuration.Ballot) (r registerPart) {
-	from := s.acceptor.Stands
-	if r.chosen, r.base = s.acceptor.Chosen, s.acceptor.Chosen; s.acceptor.CatchesUp() {
+	from := s.acceptor.Base
+	if r.chosen, r.base = s.acceptor.Chosen, s.acceptor.Chosen; s.acceptor.CatchingUp() {
 		r.chosen, r.base, from = configuration.Ballot{}, s.acceptor.Accepted, s.acceptor.Value
 	}
-	p := consensus.PageOf(from, r.base, have)
-	if r.items, r.upto = p.Items, p.Upto; r.upto == r.base {
-		r.delta = consensus.Since(s.acceptor.Value, r.base)
+	p := consensus.NewPage(from, r.base, have)
+	if r.items, r.upto = p.Items, p.UpTo; r.upto == r.base {
+		r.delta = consensus.ChangedSince(s.acceptor.Value, r.base)
 	}
 	return r
 }
@@ -250,8 +250,8 @@
 	}
 	var incarnation uint64
 	for _, k := range known {
-		if index < len(k.Vouch.Incs) {
-			incarnation = max(incarnation, k.Vouch.Incs[index])
+		if index < len(k.Vouch.Incarnations) {
+			incarnation = max(incarnation, k.Vouch.Incarnations[index])
 		}
 	}
 	incarnation++
@@ -277,7 +277,7 @@
 			state.last, state.claims, state.base = m, append(state.claims, m.Claims...), state.base.With(m.Items...)
 		}
 		c.Close()
-		if m.Vouch.By >= 0 && m.Roll.Epoch == voterSet.Epoch {
+		if m.Vouch.Voter >= 0 && m.Roll.Epoch == voterSet.Epoch {
 			got = append(got, state)
 		}
 	}
@@ -305,7 +305,7 @@
 	voted := false // a member accepted the value in this epoch
 	var value configuration.Set
 	for _, g := range got {
-		for i, k := range g.last.Vouch.Incs {
+		for i, k := range g.last.Vouch.Incarnations {
 			if i < len(incarnations) && i != s.index {
 				incarnations[i] = max(incarnations[i], k)
 			}
@@ -314,7 +314,7 @@
 			s.acceptor.Promised = g.last.Promised
 		}
 		if s.acceptor.Chosen.Less(g.last.Chosen) {
-			s.acceptor.Chosen, s.acceptor.Stands = g.last.Chosen, g.base
+			s.acceptor.Chosen, s.acceptor.Base = g.last.Chosen, g.base
 		}
 		if s.acceptor.Accepted.Less(g.last.Accepted) {
 			s.acceptor.Accepted, voted = g.last.Accepted, false
@@ -331,16 +331,16 @@
 	if !voted {
 		s.inheritedBallot = s.acceptor.Accepted
 	}
-	delta := consensus.Since(value, s.acceptor.Chosen)
-	s.acceptor.Value = s.acceptor.Stands.With(delta...)
+	delta := consensus.ChangedSince(value, s.acceptor.Chosen)
+	s.acceptor.Value = s.acceptor.Base.With(delta...)
 	puts, rows := s.putDelta(delta)
 	s.deltaRows = rows
 	puts = append(puts, putBallots(s.acceptor)...)
-	for i := range s.acceptor.Stands.All() {
+	for i := range s.acceptor.Base.All() {
 		puts = append(puts, putItem(i))
 	}
 	s.claims.All(func(key string, id idempotency.ID) { puts = append(puts, putClaim(key, id)) })
-	if s.voterSet.Epoch > 1 || s.seal.Shut() || !s.seal.Promised.IsZero() {
+	if s.voterSet.Epoch > 1 || s.seal.Sealed() || !s.seal.Promised.IsZero() {
 		puts = append(puts, s.putReconfig()...)
 	}
 	puts = append(left, puts...) // deletions first
@@ -354,7 +354,7 @@
 			s.srv.opts.Log("repair", err.Error())
 			return
 		}
-		s.incarnations, s.sealDurable = incarnations, s.seal.Shut()
+		s.incarnations, s.sealDurable = incarnations, s.seal.Sealed()
 		s.setState(Serving)
 		s.srv.opts.Log("repair", fmt.Sprintf("made up for by %d others: incarnation %d, %d items, %d keys", len(got), incarnation, s.acceptor.Value.Len(), s.claims.Len()))
 		s.notifyWatchers()
--- a/internal/store/report.go
+++ b/internal/store/report.go
@@ -24,7 +24,7 @@
 		own.Duties = append(own.Duties, messages.DutyReport{Duty: string(name), By: holder, LeftMs: uint32(left.Milliseconds())})
 	})
 	r.Purser = own
-	items := messages.ItemReports(s.acceptor.Stands)
+	items := messages.ItemReports(s.acceptor.Base)
 	go func() {
 		r.SetItems(items)
 		r.Counts, r.Traffic = Running{Server: srv}.Counts(), rpc.Totals()
@@ -35,7 +35,7 @@
 // reportedState returns the state as shown to operators. A member that catches up serves keys, but its register does not count
 // yet.
 func (s *voterState) reportedState() string {
-	if s.state == Serving && s.acceptor.CatchesUp() {
+	if s.state == Serving && s.acceptor.CatchingUp() {
 		return "catching up"
 	}
 	return string(s.state)
--- a/internal/store/server.go
+++ b/internal/store/server.go
@@ -153,14 +153,14 @@
 	srv.enqueue = func(f func(*voterState)) { go srv.owner.Send(f) }
 	srv.runAsync = func(f func() func(*voterState)) {
 		go func() {
-			if g := f(); !srv.owner.Ask(g) { // the owner has ended
+			if g := f(); !srv.owner.Do(g) { // the owner has ended
 				g(&voterState{srv: srv, closed: true})
 			}
 		}()
 	}
 	s := &voterState{srv: srv, startedAt: time.Now(), state: NoDisk, index: -1, leases: lease.NewGranter(0)}
 	s.resetContent()
-	srv.owner = rpc.Own(s, 1024)
+	srv.owner = rpc.StartOwner(s, 1024)
 	srv.rpcServer = rpc.Serve(l, srv.handle)
 	srv.owner.Send((*voterState).openDisk)
 	go srv.tick()
@@ -184,8 +184,8 @@
 	close(srv.stopped)
 	srv.rpcServer.Close()
 	var disk disk
-	srv.owner.Ask(func(s *voterState) { disk, s.closed = s.disk, true })
-	srv.owner.End()
+	srv.owner.Do(func(s *voterState) { disk, s.closed = s.disk, true })
+	srv.owner.Stop()
 	if disk != nil {
 		return disk.Close()
 	}
@@ -211,8 +211,8 @@
 
 // Status returns the current status.
 func (srv *Server) Status() (status Status) {
-	srv.owner.Ask(func(s *voterState) {
-		status = Status{State: s.state, Keys: s.claims.Len(), Chosen: s.acceptor.Chosen, VoterSet: s.voterSet, EpochEnded: s.seal.Shut()}
+	srv.owner.Do(func(s *voterState) {
+		status = Status{State: s.state, Keys: s.claims.Len(), Chosen: s.acceptor.Chosen, VoterSet: s.voterSet, EpochEnded: s.seal.Sealed()}
 		if s.disk != nil {
 			status.DiskStall = s.disk.Stalled()
 		}
@@ -304,7 +304,7 @@
 	s.diskError = ""
 	s.disk, s.acceptor, s.claims, s.voterSet, s.incarnations, s.index = read.disk, read.acceptor, read.claims, read.voterSet, read.incarnations, read.index
 	s.deltaRows = read.deltaRows
-	s.seal, s.sealDurable, s.inheritedBallot, s.diskID, s.formerEpoch = read.seal, read.seal.Shut() || read.formerEpoch != nil, read.inheritedBallot, read.diskID, read.formerEpoch
+	s.seal, s.sealDurable, s.inheritedBallot, s.diskID, s.formerEpoch = read.seal, read.seal.Sealed() || read.formerEpoch != nil, read.inheritedBallot, read.diskID, read.formerEpoch
 	s.mark, s.markedAt = read.mark, s.now()
 	s.srv.savedMark.Store(s.mark)
 	switch {
@@ -365,14 +365,14 @@
 
 // locate finds this store in the voter set.
 func (s *voterState) locate() {
-	s.index = s.voterSet.Place(s.srv.opts.Addr)
+	s.index = s.voterSet.IndexOf(s.srv.opts.Addr)
 	if len(s.incarnations) != len(s.voterSet.Voters) {
 		s.incarnations = make([]uint64, len(s.voterSet.Voters))
 	}
 }
 
-func (s *voterState) vouch() consensus.Vouch {
-	return consensus.Vouch{By: s.index, Incs: slices.Clone(s.incarnations)}
+func (s *voterState) vouch() consensus.Origin {
+	return consensus.Origin{Voter: s.index, Incarnations: slices.Clone(s.incarnations)}
 }
 
 // ---- On disk ----
@@ -389,7 +389,7 @@
 func putBallots(a *consensus.Acceptor) []storage.Put {
 	puts := []storage.Put{putBallot("promised", a.Promised), putBallot("accepted", a.Accepted), putBallot("chosen", a.Chosen),
 		{Table: tableMeta, Key: []byte("target")}, putLayout}
-	if a.CatchesUp() {
+	if a.CatchingUp() {
 		puts[3] = putBallot("target", a.Target)
 	}
 	return puts
@@ -417,7 +417,7 @@
 	for len(delta) > 0 {
 		n := 0
 		for size := 0; n < len(delta) && size < deltaRowBytes; n++ {
-			size += consensus.Size(delta[n])
+			size += consensus.ItemSize(delta[n])
 		}
 		puts = append(puts, storage.Put{Table: tableDelta, Key: binary.BigEndian.AppendUint16(nil, uint16(rows)), Value: rpc.Encode(delta[:n])})
 		delta, rows = delta[n:], rows+1
@@ -484,7 +484,7 @@
 		var i configuration.Item
 		err := rpc.Decode(v, &i)
 		if err == nil {
-			s.acceptor.Stands = s.acceptor.Stands.With(i)
+			s.acceptor.Base = s.acceptor.Base.With(i)
 		}
 		return err
 	}); err != nil {
@@ -500,7 +500,7 @@
 		return err
 	}
 	if !s.acceptor.Accepted.IsZero() {
-		s.acceptor.Value = s.acceptor.Stands.With(delta...)
+		s.acceptor.Value = s.acceptor.Base.With(delta...)
 	}
 	if !layout && s.acceptor.Accepted != s.acceptor.Chosen && len(s.incarnations) > 0 { // old layout, and it is unknown which items were chosen: repair
 		s.locate()
@@ -663,7 +663,7 @@
 	if err := s.requireMember(epoch); err != nil {
 		return err
 	}
-	if s.seal.Shut() || s.takingOver {
+	if s.seal.Sealed() || s.takingOver {
 		return errcode.New(errcode.Gone, "epoch %d has ended here", epoch)
 	}
 	return nil
@@ -696,7 +696,7 @@
 		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.replyError(c, s.prepare(c, m)) })
 		return nil
 	}
-	if s.acceptor.Learns(m.Have) { // first, so that the promise's items and the delta stay small
+	if s.acceptor.CanLearn(m.Have) { // first, so that the promise's items and the delta stay small
 		s.commitAccepted(m.Have, func(s *voterState, err error) {
 			if err == nil {
 				err = s.prepare(c, m)
@@ -708,11 +708,11 @@
 		return nil
 	}
 	if !s.acceptor.Prepare(m.B) {
-		c.Reply(consensus.Promise{Vouch: s.vouch(), Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted}, nil)
+		c.Reply(consensus.Promise{Origin: s.vouch(), Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted}, nil)
 		return nil
 	}
 	answer := s.acceptor.Promise(s.vouch(), m.Have)
-	answer.Former = s.valueInherited()
+	answer.Inherited = s.valueInherited()
 	s.write([]storage.Put{putBallot("promised", m.B)}, func(err error) { reply(c, answer, err) })
 	return nil
 }
@@ -742,7 +742,7 @@
 		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.replyError(c, s.accept(c, m)) })
 		return nil
 	}
-	if !s.acceptor.May(m.B, m.Base) {
+	if !s.acceptor.CanAccept(m.B, m.Base) {
 		c.Reply(s.accepted(false), nil)
 		return nil
 	}
@@ -790,7 +790,7 @@
 	for i := range s.acceptor.Value.Since(s.acceptor.Chosen) {
 		puts = append(puts, putItem(i))
 	}
-	wasCatchingUp := s.acceptor.CatchesUp() // the proposal may have brought what was missing
+	wasCatchingUp := s.acceptor.CatchingUp() // the proposal may have brought what was missing
 	puts = append(puts, putBallot("chosen", of), storage.Put{Table: tableMeta, Key: []byte("target")})
 	s.writeRegister(puts, func(s *voterState, err error) {
 		if err == nil && s.acceptor.Learn(of) { // if the write fails, the next proposer reports the choice again
@@ -808,7 +808,7 @@
 		return nil
 	}
 	c.Reply(s.accepted(s.acceptor.Accepted == m.B), nil)
-	if s.acceptor.Learns(m.B) && s.state == Serving && !s.takingOver { // otherwise the register is being replaced
+	if s.acceptor.CanLearn(m.B) && s.state == Serving && !s.takingOver { // otherwise the register is being replaced
 		s.commitAccepted(m.B, func(*voterState, error) {})
 	}
 	return nil
@@ -823,21 +823,21 @@
 		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.replyError(c, s.applyPage(c, m)) })
 		return nil
 	}
-	if !s.acceptor.Turns(m.Page) {
+	if !s.acceptor.CanApplyPage(m.Page) {
 		c.Reply(s.accepted(false), nil)
 		return nil
 	}
-	wasCatchingUp := s.acceptor.CatchesUp()
+	wasCatchingUp := s.acceptor.CatchingUp()
 	next := *s.acceptor
-	next.Turn(m.Page)
+	next.ApplyPage(m.Page)
 	puts, _ := s.putDelta(nil)
-	for _, i := range m.Page.News(s.acceptor.Stands) {
+	for _, i := range m.Page.NewerThan(s.acceptor.Base) {
 		puts = append(puts, putItem(i))
 	}
 	puts = append(puts, putBallots(&next)...)
 	s.writeRegister(puts, func(s *voterState, err error) {
 		if err == nil {
-			s.acceptor.Turn(m.Page)
+			s.acceptor.ApplyPage(m.Page)
 			s.deltaRows = 0
 			s.logCatchUp(wasCatchingUp)
 			s.notifyWatchers()
@@ -849,17 +849,17 @@
 
 // logCatchUp logs when catching up begins or ends. wasCatchingUp is the state before the change.
 func (s *voterState) logCatchUp(wasCatchingUp bool) {
-	if catchingUp := s.acceptor.CatchesUp(); catchingUp != wasCatchingUp {
+	if catchingUp := s.acceptor.CatchingUp(); catchingUp != wasCatchingUp {
 		s.srv.opts.Log("register", fmt.Sprintf("catching up %v: complete up to ballot %d of %d", catchingUp, s.acceptor.Chosen.N, s.acceptor.Target.N))
 	}
 }
 
 func (s *voterState) watchReply(have configuration.Ballot) messages.Watched {
 	w := messages.Watched{Vouch: s.vouch(), Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: s.acceptor.Chosen,
-		Known: s.acceptor.Known(), Roll: s.voterSet, State: string(s.state), Keys: s.claims.Len(), Shut: s.seal.Shut(), Mark: s.srv.savedMark.Load()}
-	if have.Less(s.acceptor.Chosen) && !s.acceptor.CatchesUp() {
-		p := consensus.PageOf(s.acceptor.Stands, s.acceptor.Chosen, have)
-		w.Items, w.From, w.Upto = p.Items, p.From, p.Upto
+		Known: s.acceptor.KnownChosen(), Roll: s.voterSet, State: string(s.state), Keys: s.claims.Len(), Shut: s.seal.Sealed(), Mark: s.srv.savedMark.Load()}
+	if have.Less(s.acceptor.Chosen) && !s.acceptor.CatchingUp() {
+		p := consensus.NewPage(s.acceptor.Base, s.acceptor.Chosen, have)
+		w.Items, w.From, w.Upto = p.Items, p.From, p.UpTo
 	}
 	return w
 }
@@ -881,7 +881,7 @@
 }
 
 func (s *voterState) hasNews(w *watcher) bool {
-	return w.request.Have.Less(s.acceptor.Chosen) && !s.acceptor.CatchesUp() || w.request.Epoch < s.voterSet.Epoch || w.request.Open && s.sealDurable
+	return w.request.Have.Less(s.acceptor.Chosen) && !s.acceptor.CatchingUp() || w.request.Epoch < s.voterSet.Epoch || w.request.Open && s.sealDurable
 }
 
 func (s *voterState) answerWatcher(w *watcher) {
--- a/internal/store/server_test.go
+++ b/internal/store/server_test.go
@@ -101,8 +101,8 @@
 	srv.openStorage = func(storage.Options) (disk, storage.Condition, error) { return voter.fake, voter.condition, nil }
 	srv.runAsync = func(f func() func(*voterState)) { f()(voter.voterState) }
 	srv.fetchMarks = func(messages.Roll) []messages.Mark { return voter.marks }
-	srv.owner = rpc.Own(&voterState{}, 64) // receives the results of repairs, which no test here uses
-	t.Cleanup(srv.owner.End)
+	srv.owner = rpc.StartOwner(&voterState{}, 64) // receives the results of repairs, which no test here uses
+	t.Cleanup(srv.owner.Stop)
 	voter.voterState = &voterState{srv: srv, startedAt: time.Now(), state: NoDisk, index: -1}
 	voter.resetContent()
 	return voter
@@ -145,7 +145,7 @@
 
 func (voter *testVoter) call(kind uint8, v any) *callResult {
 	r := &callResult{}
-	c := rpc.Local(kind, v, func(body []byte, err error) { r.body, r.err = body, err; r.count++ })
+	c := rpc.LocalCall(kind, v, func(body []byte, err error) { r.body, r.err = body, err; r.count++ })
 	if err := voter.dispatch(c); err != nil {
 		c.Reply(nil, err)
 	}
@@ -218,7 +218,7 @@
 	voter.locate()
 	voter.setState(Repairing)
 	recovered := func(by int, inc uint64, claims ...messages.ClaimCall) recoveredState {
-		return recoveredState{last: messages.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{inc, 1, 1}}}, claims: claims}
+		return recoveredState{last: messages.Mustered{Vouch: consensus.Origin{Voter: by, Incarnations: []uint64{inc, 1, 1}}}, claims: claims}
 	}
 	voter.recovering = true // as set when the repair began
 	voter.restore(2, []recoveredState{recovered(1, 2), recovered(2, 2)}, voter.staleRows(t))
@@ -242,7 +242,7 @@
 	voter.locate()
 	voter.setState(Repairing)
 	one := configuration.Ballot{N: 1}
-	m := recoveredState{last: messages.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: one, Chosen: one, Base: one, Upto: one}}
+	m := recoveredState{last: messages.Mustered{Vouch: consensus.Origin{Voter: 1, Incarnations: []uint64{2, 1, 1}}, Accepted: one, Chosen: one, Base: one, Upto: one}}
 	const keys, items = 60000, 1500
 	for i := range keys {
 		m.claims = append(m.claims, messages.ClaimCall{Key: fmt.Sprintf("key-of-some-length-%040d", i), ID: id(uint64(i + 1))})
@@ -332,7 +332,7 @@
 		if err := errors.Join(prep.err, learn.err, must.err, rpc.Decode(prep.body, &p), rpc.Decode(must.body, &m)); err != nil {
 			t.Fatal(err)
 		}
-		if (acc.err != nil) != fails || !p.Given || p.Accepted != want || m.Accepted != want || m.Promised != b2 || m.Vouch.Incs[1] != 2 || voter.acceptor.Chosen != want {
+		if (acc.err != nil) != fails || !p.Granted || p.Accepted != want || m.Accepted != want || m.Promised != b2 || m.Vouch.Incarnations[1] != 2 || voter.acceptor.Chosen != want {
 			t.Errorf("fails %v: %v, promise %+v, muster %+v", fails, acc.err, p, m)
 		}
 		if voter.registerBusy || len(voter.queuedCalls) > 0 {
@@ -350,7 +350,7 @@
 	voter.locate()
 	voter.setState(Repairing)
 	recovered := func(by int, n uint64) recoveredState {
-		return recoveredState{last: messages.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{2, 1, 1}}}, claims: []messages.ClaimCall{{Key: "k", ID: id(n)}}}
+		return recoveredState{last: messages.Mustered{Vouch: consensus.Origin{Voter: by, Incarnations: []uint64{2, 1, 1}}}, claims: []messages.ClaimCall{{Key: "k", ID: id(n)}}}
 	}
 	voter.restore(2, []recoveredState{recovered(1, 1), recovered(2, 2)}, voter.staleRows(t))
 	voter.writeInParts([]storage.Put{voter.putVoterSet()}, func(*voterState, error) {})
@@ -385,7 +385,7 @@
 		changes := []configuration.Item{item(configuration.Version(b), b)}
 		kind, v := messages.Accept, any(messages.AcceptCall{B: x, Changes: changes, Epoch: 1})
 		if chosen {
-			kind, v = messages.Turn, messages.TurnCall{Page: consensus.Page{Upto: x, Target: x, Items: changes}, Epoch: 1}
+			kind, v = messages.Turn, messages.TurnCall{Page: consensus.Page{UpTo: x, Target: x, Items: changes}, Epoch: 1}
 		}
 		r := voter.call(kind, v)
 		voter.settle()
@@ -505,7 +505,7 @@
 		var inc uint64
 		change := func(b configuration.Ballot) {
 			var p consensus.Promise
-			if call(messages.Prepare, messages.PrepareCall{B: b, Epoch: 1}, &p) && p.Given {
+			if call(messages.Prepare, messages.PrepareCall{B: b, Epoch: 1}, &p) && p.Granted {
 				promised = b
 			}
 			var a messages.Accepted
