--- a/internal/console/ask.go
+++ b/internal/console/ask.go
@@ -68,14 +68,14 @@
 
 	known   map[target]bool
 	clients map[string]*rpc.Client
-	tugs    *dataplane.Asker
+	tugs    *dataplane.ReportClient
 	brief   bool
 }
 
 // Look asks all that can be found. Each is waited for as long as Wait; what an answer names further is asked at once.
 func (k *Asker) Look() *Look {
 	if k.tugs == nil {
-		k.tugs, k.clients = dataplane.NewAsker(k.Net), map[string]*rpc.Client{}
+		k.tugs, k.clients = dataplane.NewReportClient(k.Net), map[string]*rpc.Client{}
 	}
 	l := &Look{At: time.Now()}
 	named := map[target]bool{}
--- a/internal/dataplane/admission.go
+++ b/internal/dataplane/admission.go
@@ -13,70 +13,71 @@
 )
 
 const (
-	queuePart  = 1.0         // asks that may wait, of the capacity
-	keepMost   = 0.34        // of the capacity, that is kept free for those that rank before at the most
-	keepHalf   = time.Second // after which half of that is given back
-	behindPart = 6           // one place in so many is for those that rank behind, while they wait: nobody starves
+	queueFraction       = 1.0         // maximum queue length relative to capacity
+	maxReservedFraction = 0.34        // of capacity: limit of the places reserved for higher priorities
+	reservationHalfLife = time.Second // time after which half of a reservation has expired
+	lowPriorityDivisor  = 6           // one in this many places is for lower priorities while they wait, so that they don't starve
 )
 
-// wait is one ask that waits for a place.
-type wait struct {
-	rank, order int
-	ready       chan errcode.Kind // OK: it has a place; else why not
-	at          int
+// waiter is a request that waits for a place. Lower numbers are higher priorities.
+type waiter struct {
+	priority, order int
+	ready           chan errcode.Kind // OK: it has a place; otherwise the reason why not
+	index           int
 }
 
-type waits []*wait
+type waitQueue []*waiter
 
-func (w waits) Len() int { return len(w) }
-func (w waits) Less(i, j int) bool {
-	if w[i].rank != w[j].rank {
-		return w[i].rank < w[j].rank
+func (w waitQueue) Len() int { return len(w) }
+func (w waitQueue) Less(i, j int) bool {
+	if w[i].priority != w[j].priority {
+		return w[i].priority < w[j].priority
 	}
 	return w[i].order < w[j].order
 }
-func (w waits) Swap(i, j int) { w[i], w[j] = w[j], w[i]; w[i].at, w[j].at = i, j }
-func (w *waits) Push(x any)   { e := x.(*wait); e.at = len(*w); *w = append(*w, e) }
-func (w *waits) Pop() any {
+func (w waitQueue) Swap(i, j int) { w[i], w[j] = w[j], w[i]; w[i].index, w[j].index = i, j }
+func (w *waitQueue) Push(x any)   { e := x.(*waiter); e.index = len(*w); *w = append(*w, e) }
+func (w *waitQueue) Pop() any {
 	old := *w
 	e := old[len(old)-1]
 	*w = old[:len(old)-1]
-	e.at = -1
+	e.index = -1
 	return e
 }
 
-// turnOut turns away all that wait. The caller holds g.mu.
-func (g *Gate) turnOut() {
-	for len(g.queue) > 0 {
-		heap.Pop(&g.queue).(*wait).ready <- errcode.Leaving
+// rejectQueued rejects all waiting requests. The caller holds ib.mu.
+func (ib *Inbound) rejectQueued() {
+	for len(ib.queue) > 0 {
+		heap.Pop(&ib.queue).(*waiter).ready <- errcode.Leaving
 	}
 }
 
-// admit gives places to those that wait. The caller holds g.mu.
-func (g *Gate) admit() {
-	for len(g.queue) > 0 && g.running < g.berth.Capacity {
-		w := g.queue[0]
-		if first, n := g.behind(); n > 0 && g.runBehind(w.rank) < g.berth.Capacity/behindPart {
+// admit gives free places to waiting requests. The caller holds ib.mu.
+func (ib *Inbound) admit() {
+	for len(ib.queue) > 0 && ib.running < ib.backend.Capacity {
+		w := ib.queue[0]
+		if first, n := ib.lowerPriorityWaiting(); n > 0 && ib.runningBelow(w.priority) < ib.backend.Capacity/lowPriorityDivisor {
 			w = first
-		} else if g.running >= g.limit(w.rank) {
+		} else if ib.running >= ib.runningLimit(w.priority) {
 			return
 		}
-		heap.Remove(&g.queue, w.at)
-		g.begin(w.rank)
+		heap.Remove(&ib.queue, w.index)
+		ib.startRunning(w.priority)
 		w.ready <- errcode.OK
 	}
 }
 
-// begin counts one of a rank as running. The caller holds g.mu.
-func (g *Gate) begin(rank int) {
-	g.running++
-	g.ranks[min(max(rank, 0), len(g.ranks)-1)]++
+// startRunning counts a request as running. The caller holds ib.mu.
+func (ib *Inbound) startRunning(priority int) {
+	ib.running++
+	ib.runningByPriority[min(max(priority, 0), len(ib.runningByPriority)-1)]++
 }
 
-// behind is the first that waits and ranks behind the one whose turn it is, and how many do. The caller holds g.mu.
-func (g *Gate) behind() (first *wait, n int) {
-	for _, w := range g.queue {
-		if w.rank <= g.queue[0].rank {
+// lowerPriorityWaiting returns the first waiting request with a lower priority than the head of the queue, and how many
+// there are. The caller holds ib.mu.
+func (ib *Inbound) lowerPriorityWaiting() (first *waiter, n int) {
+	for _, w := range ib.queue {
+		if w.priority <= ib.queue[0].priority {
 			continue
 		}
 		if n++; first == nil || w.order < first.order {
@@ -86,60 +87,60 @@
 	return first, n
 }
 
-// runBehind is how many run that rank behind. The caller holds g.mu.
-func (g *Gate) runBehind(rank int) (n int) {
-	for r := max(rank, 0) + 1; r < len(g.ranks); r++ {
-		n += g.ranks[r]
+// runningBelow returns how many requests of a lower priority are running. The caller holds ib.mu.
+func (ib *Inbound) runningBelow(priority int) (n int) {
+	for p := max(priority, 0) + 1; p < len(ib.runningByPriority); p++ {
+		n += ib.runningByPriority[p]
 	}
 	return n
 }
 
-// crowded says whether no more of a rank may wait. One that ranks behind all others waits beside the line, where a place may come to it.
-// The caller holds g.mu.
-func (g *Gate) crowded(rank int) bool {
-	_, behind := g.behind()
-	line, beside := len(g.queue), g.berth.Capacity >= behindPart
-	if beside && behind == 1 {
-		line--
+// queueFull reports whether no more requests of a priority may wait. One request with a lower priority than the rest
+// may wait beyond the queue length, for the places that are left to low priorities. The caller holds ib.mu.
+func (ib *Inbound) queueFull(priority int) bool {
+	_, lower := ib.lowerPriorityWaiting()
+	queued, extraPlace := len(ib.queue), ib.backend.Capacity >= lowPriorityDivisor
+	if extraPlace && lower == 1 {
+		queued--
 	}
 	switch {
-	case float64(line) < queuePart*float64(g.berth.Capacity):
+	case float64(queued) < queueFraction*float64(ib.backend.Capacity):
 		return false
-	case beside && behind == 0 && len(g.queue) > 0 && rank > g.queue[0].rank:
+	case extraPlace && lower == 0 && len(ib.queue) > 0 && priority > ib.queue[0].priority:
 		return false
-	case beside && behind == 1 && rank == g.queue[0].rank:
+	case extraPlace && lower == 1 && priority == ib.queue[0].priority:
 		return true
 	}
-	return !g.makeRoom(rank)
+	return !ib.evictLowerPriority(priority)
 }
 
-// enter asks for a place at the backend, and waits for it for at most hold, or until ctx ends.
-func (g *Gate) enter(ctx context.Context, a *ask) errcode.Kind {
-	g.mu.Lock()
+// acquire gets a place at the backend, and waits for it for at most MaxQueueMs or until ctx is canceled.
+func (ib *Inbound) acquire(ctx context.Context, a *peerRequest) errcode.Kind {
+	ib.mu.Lock()
 	switch {
-	case g.ended:
-		g.mu.Unlock()
+	case ib.withdrawn:
+		ib.mu.Unlock()
 		return errcode.Leaving
-	case g.berth.Instance != a.Instance || g.berth.Service != a.Service:
-		g.mu.Unlock()
+	case ib.backend.Instance != a.Instance || ib.backend.Service != a.Service:
+		ib.mu.Unlock()
 		return errcode.Elsewhere
-	case g.berth.State != backends.Serving:
-		g.mu.Unlock()
+	case ib.backend.State != backends.Serving:
+		ib.mu.Unlock()
 		return errcode.Leaving
-	case g.running < g.limit(a.Rank):
-		g.begin(a.Rank)
-		g.mu.Unlock()
+	case ib.running < ib.runningLimit(a.Priority):
+		ib.startRunning(a.Priority)
+		ib.mu.Unlock()
 		return errcode.OK
-	case a.Hold == 0 || g.crowded(a.Rank):
-		g.keep(a.Rank)
-		g.mu.Unlock()
+	case a.MaxQueueMs == 0 || ib.queueFull(a.Priority):
+		ib.reserve(a.Priority)
+		ib.mu.Unlock()
 		return errcode.Full
 	}
-	g.order++
-	w := &wait{rank: a.Rank, order: g.order, ready: make(chan errcode.Kind, 1)}
-	heap.Push(&g.queue, w)
-	g.mu.Unlock()
-	t := time.NewTimer(time.Duration(a.Hold) * time.Millisecond)
+	ib.lastOrder++
+	w := &waiter{priority: a.Priority, order: ib.lastOrder, ready: make(chan errcode.Kind, 1)}
+	heap.Push(&ib.queue, w)
+	ib.mu.Unlock()
+	t := time.NewTimer(time.Duration(a.MaxQueueMs) * time.Millisecond)
 	defer t.Stop()
 	select {
 	case k := <-w.ready:
@@ -147,85 +148,85 @@
 	case <-t.C:
 	case <-ctx.Done():
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if w.at >= 0 {
-		heap.Remove(&g.queue, w.at)
+	ib.mu.Lock()
+	defer ib.mu.Unlock()
+	if w.index >= 0 {
+		heap.Remove(&ib.queue, w.index)
 		if ctx.Err() != nil {
 			return errcode.ClientLeft
 		}
-		g.keep(a.Rank)
+		ib.reserve(a.Priority)
 		return errcode.Full
 	}
-	return <-w.ready // it was decided in the same moment
+	return <-w.ready // it was decided at the same moment
 }
 
-// makeRoom turns away the last of those that wait, if it ranks behind, and reports whether it did: it is told at once, while
-// there is time to go elsewhere. The caller holds g.mu.
-func (g *Gate) makeRoom(rank int) bool {
-	if len(g.queue) == 0 {
+// evictLowerPriority rejects the last waiting request if it has a lower priority, and reports whether it did. The
+// rejection is immediate, while there is time to try another backend. The caller holds ib.mu.
+func (ib *Inbound) evictLowerPriority(priority int) bool {
+	if len(ib.queue) == 0 {
 		return false
 	}
-	last := slices.MaxFunc(g.queue, func(a, b *wait) int {
-		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.order, b.order))
+	last := slices.MaxFunc(ib.queue, func(a, b *waiter) int {
+		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.order, b.order))
 	})
-	if last.rank <= rank {
+	if last.priority <= priority {
 		return false
 	}
-	heap.Remove(&g.queue, last.at)
+	heap.Remove(&ib.queue, last.index)
 	last.ready <- errcode.Full
 	return true
 }
 
-// keep takes note that one of a rank found no place: from now on one more is kept free from those that rank behind. The caller
-// holds g.mu.
-func (g *Gate) keep(rank int) {
-	if rank < 0 || rank >= len(g.kept) {
+// reserve records that a request found no place: one more place is reserved from lower priorities from now on. The
+// caller holds ib.mu.
+func (ib *Inbound) reserve(priority int) {
+	if priority < 0 || priority >= len(ib.reservations) {
 		return
 	}
-	now := time.Since(g.o.Begun)
-	g.kept[rank] = kept{min(g.kept[rank].at(now)+1, keepMost*float64(g.berth.Capacity)), now}
+	now := time.Since(ib.options.Started)
+	ib.reservations[priority] = reservation{min(ib.reservations[priority].remaining(now)+1, maxReservedFraction*float64(ib.backend.Capacity)), now}
 }
 
-// limit is how many may run before one of a rank has to wait. The caller holds g.mu.
-func (g *Gate) limit(rank int) int {
-	sum := 0.0
-	now := time.Since(g.o.Begun)
-	for r := 0; r < min(rank, len(g.kept)); r++ {
-		sum += g.kept[r].at(now)
+// runningLimit returns how many requests may run before one of a priority has to wait. The caller holds ib.mu.
+func (ib *Inbound) runningLimit(priority int) int {
+	reserved := 0.0
+	now := time.Since(ib.options.Started)
+	for p := 0; p < min(priority, len(ib.reservations)); p++ {
+		reserved += ib.reservations[p].remaining(now)
 	}
-	return g.berth.Capacity - int(min(sum, keepMost*float64(g.berth.Capacity)))
+	return ib.backend.Capacity - int(min(reserved, maxReservedFraction*float64(ib.backend.Capacity)))
 }
 
-// kept are places that are kept free for those of one rank: so many at a time.
-type kept struct {
-	places float64
-	since  time.Duration
+// reservation is the number of places reserved for a priority, which decays exponentially.
+type reservation struct {
+	slots   float64
+	updated time.Duration
 }
 
-// at is what is left of them: half after keepHalf, none below one.
-func (k kept) at(now time.Duration) float64 {
-	if k.places == 0 {
+// remaining returns the reserved places at a time: halved every reservationHalfLife, none below one half.
+func (k reservation) remaining(now time.Duration) float64 {
+	if k.slots == 0 {
 		return 0
 	}
-	if p := k.places * math.Exp2(-float64(now-k.since)/float64(keepHalf)); p >= 0.5 {
+	if p := k.slots * math.Exp2(-float64(now-k.updated)/float64(reservationHalfLife)); p >= 0.5 {
 		return p
 	}
 	return 0
 }
 
-// exit gives back a place of one of a rank, and tells what is there then.
-func (g *Gate) exit(rank int) (running, waiting int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.running--
-	g.ranks[min(max(rank, 0), len(g.ranks)-1)]--
-	g.admit()
-	return g.running, len(g.queue)
+// release returns a place, and returns the load after that.
+func (ib *Inbound) release(priority int) (running, waiting int) {
+	ib.mu.Lock()
+	defer ib.mu.Unlock()
+	ib.running--
+	ib.runningByPriority[min(max(priority, 0), len(ib.runningByPriority)-1)]--
+	ib.admit()
+	return ib.running, len(ib.queue)
 }
 
-func (g *Gate) load() (running, waiting int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.running, len(g.queue)
+func (ib *Inbound) load() (running, waiting int) {
+	ib.mu.Lock()
+	defer ib.mu.Unlock()
+	return ib.running, len(ib.queue)
 }
--- a/internal/dataplane/backend.go
+++ b/internal/dataplane/backend.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	backendIdle = 9 * time.Second
-	backendDial = 500 * time.Millisecond
-	lateBy      = 40 * time.Millisecond
-	maxStrange  = 4  // answers to others that may come before the one that is wanted
-	maxEarly    = 32 // heads of status 1xx that may come ahead of it
-	maxAnswer   = 1 << 40
-	// maxAnswerHead bounds the head of an answer, which has to have room in a hop's.
-	maxAnswerHead = maxHopHead / 2
-	keepAliveOff  = 300 * time.Millisecond // a connection is let go so long before its backend would
+	backendIdleTimeout   = 9 * time.Second
+	backendDialTimeout   = 500 * time.Millisecond
+	backendResponseGrace = 40 * time.Millisecond
+	maxUnmatched         = 4  // limit of responses to other requests that precede the expected one
+	maxInterimResponses  = 32 // limit of 1xx responses that precede the final one
+	maxResponseBytes     = 1 << 40
+	// maxResponseHead bounds the head of a response, which has to fit into the head of a peer response.
+	maxResponseHead = maxPeerHead / 2
+	keepAliveMargin = 300 * time.Millisecond // how much earlier than the backend a connection is closed
 )
 
-// exchange sends a request to the backend and reads its answer. The end of ctx closes the connection to the backend.
-func (g *Gate) exchange(ctx context.Context, a *ask, body []byte, rest io.Reader, cut time.Time) outcome {
-	end := cut.Add(lateBy)
+// exchange sends a request to the backend and reads its response. Canceling ctx closes the connection to the backend.
+func (ib *Inbound) exchange(ctx context.Context, a *peerRequest, body []byte, rest io.Reader, deadline time.Time) outcome {
+	ioDeadline := deadline.Add(backendResponseGrace)
 	var c *links.Conn
 	var err error
 	for {
 		var o *outcome
-		if c, o = g.connect(ctx, a, cut); o != nil {
+		if c, o = ib.connect(ctx, a, deadline); o != nil {
 			return *o
 		}
 		c.CloseOn(ctx)
-		c.SetDeadline(end)
+		c.SetDeadline(ioDeadline)
 		buf := getBuf()
-		msg := appendRequest((*buf)[:0], a, g.o.Service, time.Until(cut))
+		msg := appendRequest((*buf)[:0], a, ib.options.Service, time.Until(deadline))
 		head := len(msg)
 		if rest == nil {
 			msg = append(msg, body...)
@@ -54,181 +54,182 @@
 		if n >= head {
 			break
 		}
-		g.pool.Close(c) // not even its head can be there: nothing ran
-		if c.Since().IsZero() || !time.Now().Before(cut) || ctx.Err() != nil {
-			g.Counts.Away.Add(1)
-			return outcome{told: told{Code: errcode.Away}, err: err}
+		ib.pool.Close(c) // the head was not sent completely, so nothing ran
+		if c.Since().IsZero() || !time.Now().Before(deadline) || ctx.Err() != nil {
+			ib.Counts.Unreachable.Add(1)
+			return outcome{peerResponse: peerResponse{Code: errcode.Away}, err: err}
 		}
 	}
-	g.Counts.Sent.Add(1)
+	ib.Counts.Sent.Add(1)
 	if err == nil && rest != nil {
-		err = passBody(c, a.Length, body, rest)
-		c.SetDeadline(end)
+		err = forwardBody(c, a.Length, body, rest)
+		c.SetDeadline(ioDeadline)
 	}
-	if errors.Is(err, errClient) {
-		g.pool.Close(c)
-		return outcome{told: told{Code: errcode.Broken, Sent: true}, err: err}
+	if errors.Is(err, errClientBody) {
+		ib.pool.Close(c)
+		return outcome{peerResponse: peerResponse{Code: errcode.Broken, Sent: true}, err: err}
 	}
-	most := &headBound{r: c}
-	in := getReader(most)
-	o, again, rested := g.answer(c, in, most, a, end)
+	limited := &headLimitReader{r: c}
+	in := getReader(limited)
+	o, reusable, idleFor := ib.readResponse(c, in, limited, a, ioDeadline)
 	if err != nil {
-		again = false
+		reusable = false
 	}
 	c.Last = a.ID
-	if o.answer != nil && o.answer.Rest != nil {
-		o.answer.end = func(whole bool) { g.giveBack(c, in, whole && again, rested) }
+	if o.response != nil && o.response.Stream != nil {
+		o.response.onClose = func(whole bool) { ib.returnConn(c, in, whole && reusable, idleFor) }
 		return o
 	}
-	g.giveBack(c, in, again, rested)
+	ib.returnConn(c, in, reusable, idleFor)
 	return o
 }
 
-// connect gives a connection to the backend that an ask is meant for; else the outcome.
-func (g *Gate) connect(ctx context.Context, a *ask, cut time.Time) (*links.Conn, *outcome) {
+// connect returns a connection to the requested backend instance, or the outcome of the failure.
+func (ib *Inbound) connect(ctx context.Context, a *peerRequest, deadline time.Time) (*links.Conn, *outcome) {
 	for {
-		c := g.pool.Take(a.Instance)
+		c := ib.pool.Take(a.Instance)
 		if c == nil {
 			break
 		}
 		if c.Last != a.ID || a.ID == "" {
 			return c, nil
 		}
-		g.pool.Close(c) // a second copy of that answer may come, and could be taken for the answer to this
+		ib.pool.Close(c) // a duplicate of that response may arrive, and could be mistaken for the response to this request
 	}
-	g.mu.Lock()
-	addr := g.addr
-	g.mu.Unlock()
+	ib.mu.Lock()
+	addr := ib.backendAddr
+	ib.mu.Unlock()
 	if addr == "" {
-		addr = g.o.App
+		addr = ib.options.App
 	}
-	c, err := g.pool.Dial(ctx, a.Instance, addr, cut)
+	c, err := ib.pool.Dial(ctx, a.Instance, addr, deadline)
 	if err != nil {
-		g.Counts.Away.Add(1)
+		ib.Counts.Unreachable.Add(1)
 		if !isTimeout(err) && ctx.Err() == nil {
-			g.refused(a.Instance)
+			ib.connectionRefused(a.Instance)
 		}
-		return nil, &outcome{told: told{Code: errcode.Away}, err: err}
+		return nil, &outcome{peerResponse: peerResponse{Code: errcode.Away}, err: err}
 	}
 	return c, nil
 }
 
-func (g *Gate) giveBack(c *links.Conn, in *bufio.Reader, again bool, rest time.Duration) {
-	again = again && in.Buffered() == 0
+func (ib *Inbound) returnConn(c *links.Conn, in *bufio.Reader, reusable bool, idleFor time.Duration) {
+	reusable = reusable && in.Buffered() == 0
 	putReader(in)
-	if !again {
-		g.pool.Close(c)
+	if !reusable {
+		ib.pool.Close(c)
 		return
 	}
-	g.pool.ReleaseFor(c, rest)
+	ib.pool.ReleaseFor(c, idleFor)
 }
 
-// answer reads the answer to an ask. again: another request may follow on the connection, which may rest for so long.
-func (g *Gate) answer(c *links.Conn, in *bufio.Reader, most *headBound, a *ask, end time.Time) (o outcome, again bool, rest time.Duration) {
+// readResponse reads the response to a request. again: the connection can be reused, and may stay idle for the duration
+// rest.
+func (ib *Inbound) readResponse(c *links.Conn, in *bufio.Reader, limited *headLimitReader, a *peerRequest, ioDeadline time.Time) (o outcome, reusable bool, idleFor time.Duration) {
 	fail := func(err error) (outcome, bool, time.Duration) {
 		k := errcode.Broken
 		var ne net.Error
 		switch {
 		case isTimeout(err):
 			k = errcode.TimedOut
-			g.Counts.TimedOut.Add(1)
+			ib.Counts.TimedOut.Add(1)
 		case errors.As(err, &ne), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-			g.Counts.Broken.Add(1)
+			ib.Counts.Broken.Add(1)
 		default:
 			k = errcode.Failed
-			g.Counts.Failed.Add(1)
+			ib.Counts.Failed.Add(1)
 		}
-		return outcome{told: told{Code: k, Sent: true}, err: err}, false, 0
+		return outcome{peerResponse: peerResponse{Code: k, Sent: true}, err: err}, false, 0
 	}
-	first := c.Since().IsZero() // nothing was asked on it before
-	for strange, early := 0, 0; strange < maxStrange && early < maxEarly; {
-		most.left = maxAnswerHead
-		status, h, last, err := http1.ReadAnswer(in)
+	first := c.Since().IsZero() // nothing was sent on it before
+	for unmatched, interim := 0, 0; unmatched < maxUnmatched && interim < maxInterimResponses; {
+		limited.remaining = maxResponseHead
+		status, h, closing, err := http1.ReadAnswer(in)
 		if err != nil {
 			return fail(err)
 		}
-		most.left = -1
+		limited.remaining = -1
 		if status >= 100 && status < 200 {
 			if status == 101 {
-				return fail(errors.New("a change of protocol that nobody asked for"))
+				return fail(errors.New("unexpected status 101: no upgrade was requested"))
 			}
-			early++
+			interim++
 			continue
 		}
 		length := int64(0)
 		if a.Method != "HEAD" {
-			if length, err = http1.AnswerLength(status, h, maxAnswer); err != nil {
+			if length, err = http1.AnswerLength(status, h, maxResponseBytes); err != nil {
 				return fail(err)
 			}
 		}
 		body := http1.AnswerBody(in, length)
-		id := h.Get(HeaderID)
-		declined := h.Get(HeaderNotRun) != "" || status == 421
-		if len(h[HeaderID]) > 1 {
-			return fail(errors.New("an answer with two ids"))
+		id := h.Get(HeaderAttemptID)
+		declined := h.Get(HeaderNotExecuted) != "" || status == 421
+		if len(h[HeaderAttemptID]) > 1 {
+			return fail(errors.New("response with more than one attempt id"))
 		}
-		if id != a.ID && !(id == "" && declined && first) { // an answer to another, which came late
+		if id != a.ID && !(id == "" && declined && first) { // a late response to another request
 			first = false
-			strange++
-			g.Counts.Strange.Add(1)
-			if id == "" || last || length == http1.UntilClose {
-				return fail(errors.New("an answer to no request of ours"))
+			unmatched++
+			ib.Counts.Unmatched.Add(1)
+			if id == "" || closing || length == http1.UntilClose {
+				return fail(errors.New("response with an unexpected attempt id"))
 			}
 			if _, err := io.Copy(io.Discard, body); err != nil {
 				return fail(err)
 			}
 			continue
 		}
-		rest = backendIdle
-		if s := keepAlive(h.Get("Keep-Alive")); s > 0 {
-			rest = min(rest, s-keepAliveOff)
+		idleFor = backendIdleTimeout
+		if s := keepAliveTimeout(h.Get("Keep-Alive")); s > 0 {
+			idleFor = min(idleFor, s-keepAliveMargin)
 		}
-		again = !last && length != http1.UntilClose
-		whole, all, err := readSome(body, length)
+		reusable = !closing && length != http1.UntilClose
+		buffered, complete, err := readBuffered(body, length)
 		if err != nil {
 			return fail(err)
 		}
 		if declined {
-			if !all {
-				again = false
+			if !complete {
+				reusable = false
 			}
-			g.Counts.TurnedAway.Add(1)
-			return outcome{told: told{Code: errcode.TurnedAway, Sent: true, Status: status}}, again, rest
+			ib.Counts.Declined.Add(1)
+			return outcome{peerResponse: peerResponse{Code: errcode.TurnedAway, Sent: true, Status: status}}, reusable, idleFor
 		}
-		if status/100 == 2 && (h.Get(HeaderSeal) == "" || h.Get("Content-Encoding") != "") {
-			return fail(fmt.Errorf("a %d that is not the backend's", status))
+		if status/100 == 2 && (h.Get(HeaderServerSeal) == "" || h.Get("Content-Encoding") != "") {
+			return fail(fmt.Errorf("response with status %d lacks the backend's seal or is encoded", status))
 		}
-		ans := &Answer{Status: status, Header: fields(h), Body: whole, Length: int64(len(whole))}
-		if !all {
-			ans.Length = length
+		resp := &Response{Status: status, Header: forwardedFields(h), Body: buffered, Length: int64(len(buffered))}
+		if !complete {
+			resp.Length = length
 			if length < 0 {
-				ans.Length = pieces
+				resp.Length = unknownLength
 			}
 			c.SetDeadline(time.Time{})
-			ans.Rest = &stalling{c, body, end}
+			resp.Stream = &stallReader{c, body, ioDeadline}
 		}
-		return outcome{told: told{Sent: true, Status: status}, answer: ans}, again, rest
+		return outcome{peerResponse: peerResponse{Sent: true, Status: status}, response: resp}, reusable, idleFor
 	}
-	return fail(errors.New("no end of answers to others"))
+	return fail(errors.New("too many responses without the attempt id of the request"))
 }
 
-// headBound bounds what is read of a head, beyond what a buffer has of it; left below 0: nothing is.
-type headBound struct {
-	r    io.Reader
-	left int
+// headLimitReader limits how much is read of a head, beyond what its buffer already holds. remaining < 0: no limit.
+type headLimitReader struct {
+	r         io.Reader
+	remaining int
 }
 
-var errLongHead = errors.New("too long a head")
+var errHeadTooLong = errors.New("response head too long")
 
-func (h *headBound) Read(b []byte) (int, error) {
-	if h.left < 0 {
+func (h *headLimitReader) Read(b []byte) (int, error) {
+	if h.remaining < 0 {
 		return h.r.Read(b)
 	}
-	if h.left == 0 {
-		return 0, errLongHead
+	if h.remaining == 0 {
+		return 0, errHeadTooLong
 	}
-	n, err := h.r.Read(b[:min(len(b), h.left)])
-	h.left -= n
+	n, err := h.r.Read(b[:min(len(b), h.remaining)])
+	h.remaining -= n
 	return n, err
 }
 
@@ -237,8 +238,8 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// keepAlive reads how long a server keeps a connection that rests; 0: it does not say.
-func keepAlive(v string) time.Duration {
+// keepAliveTimeout returns how long a server keeps an idle connection; 0: not stated.
+func keepAliveTimeout(v string) time.Duration {
 	for part := range strings.SplitSeq(v, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if s, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") && s > 0 && s < 1<<20 {
@@ -248,11 +249,11 @@
 	return 0
 }
 
-// fields are the headers that go on, without those that concern one connection.
-func fields(h textproto.MIMEHeader) []Field {
+// forwardedFields returns the headers to forward, without hop-by-hop ones.
+func forwardedFields(h textproto.MIMEHeader) []Field {
 	out := make([]Field, 0, len(h))
 	for name, values := range h {
-		if dropped(name, h) {
+		if hopByHop(name, h) {
 			continue
 		}
 		for _, v := range values {
@@ -262,9 +263,10 @@
 	return out
 }
 
-// dropped reports whether a header concerns one connection. What the mesh's protocol and the content hang on is for all on its way,
-// so a Connection that names it takes nothing out (RFC 9110, 7.6.1: a sender must not name such a field).
-func dropped(name string, h map[string][]string) bool {
+// hopByHop reports whether a header concerns one connection only. Headers that the mesh's protocol or the content
+// depend on are always end-to-end, so a Connection header that names one of them doesn't remove it (RFC 9110, 7.6.1: a
+// sender must not name such a field).
+func hopByHop(name string, h map[string][]string) bool {
 	if name == "Content-Length" || http1.SingleHop(name) {
 		return true
 	}
@@ -281,8 +283,8 @@
 	return false
 }
 
-// appendRequest appends a request's head as the backend gets it.
-func appendRequest(buf []byte, a *ask, service string, left time.Duration) []byte {
+// appendRequest appends the head of a request to the backend.
+func appendRequest(buf []byte, a *peerRequest, service string, left time.Duration) []byte {
 	add := func(parts ...string) {
 		for _, p := range parts {
 			buf = append(buf, p...)
@@ -292,7 +294,7 @@
 	for _, f := range a.Header {
 		add(f.Name, ": ", f.Value, "\r\n")
 	}
-	add(HeaderTarget, ": ", a.Instance, "\r\n", HeaderLeft, ": ")
+	add(HeaderTargetInstance, ": ", a.Instance, "\r\n", HeaderDeadlineRemaining, ": ")
 	buf = strconv.AppendInt(buf, max(1, left.Milliseconds()), 10)
 	add("\r\n")
 	switch {
@@ -307,26 +309,26 @@
 	return buf
 }
 
-// passBody writes a body that comes as it goes.
-func passBody(c net.Conn, length int64, first []byte, rest io.Reader) error {
-	b := make([]byte, pieceBytes)
-	put := func(p []byte) error {
+// forwardBody streams a body to the backend.
+func forwardBody(c net.Conn, length int64, first []byte, rest io.Reader) error {
+	b := make([]byte, chunkBytes)
+	writeChunk := func(p []byte) error {
 		if len(p) == 0 {
 			return nil
 		}
-		c.SetWriteDeadline(time.Now().Add(stallTime))
+		c.SetWriteDeadline(time.Now().Add(stallTimeout))
 		if length < 0 {
 			p = fmt.Appendf(nil, "%x\r\n%s\r\n", len(p), p)
 		}
 		_, err := c.Write(p)
 		return err
 	}
-	if err := put(first); err != nil {
+	if err := writeChunk(first); err != nil {
 		return err
 	}
 	for {
 		n, err := rest.Read(b)
-		if werr := put(b[:n]); werr != nil {
+		if werr := writeChunk(b[:n]); werr != nil {
 			return werr
 		}
 		if err == io.EOF {
@@ -337,7 +339,7 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("%w: %w", errClient, err)
+			return fmt.Errorf("%w: %w", errClientBody, err)
 		}
 	}
 }
--- a/internal/dataplane/balancer.go
+++ b/internal/dataplane/balancer.go
@@ -11,205 +11,206 @@
 	"saltmast/internal/retrybudget"
 )
 
-// Balancer decides for one proxy, without I/O: which backend gets an attempt, whether there is another one and after what wait.
-// It follows the design: one private bucket, first attempts regardless of it, full jitter under a ceiling, idle first. Time
-// and randomness are passed in; one goroutine owns it.
+// Balancer picks a backend for each attempt of one proxy, and decides whether to retry and after what backoff. It does
+// no I/O. Retries draw on one private token bucket that first attempts ignore; backoff has full jitter under a ceiling;
+// idle backends are preferred. Time and randomness are passed in. It is owned by one goroutine.
 type Balancer struct {
-	Node, Zone string
-	Rand       *rand.Rand
-	Ratio      float64
-	Allowance  float64
-	Window     time.Duration
+	Node, Zone     string
+	Rand           *rand.Rand
+	RetryRatio     float64
+	RetryAllowance float64
+	RetryWindow    time.Duration
 
-	bucket  retry.Bucket
-	rows    map[string]*row   // by node
-	of      map[string][]*row // by service
-	rations map[string]*retrybudget.Ration
-	nodes   int             // the most that were known
-	silent  map[string]bool // addresses of proxies that the roster says don't answer
-	scratch []retry.Candidate
-	among   []*row
+	bucket       retry.Bucket
+	byNode       map[string]*backendState
+	byService    map[string][]*backendState
+	retryBudgets map[string]*retrybudget.Ration
+	maxNodes     int             // largest number of nodes ever known
+	unresponsive map[string]bool // addresses of proxies that the membership layer reports as unresponsive
+	candidates   []retry.Candidate
+	eligible     []*backendState
 }
 
 const (
-	bucketTokens = 500.0
-	retryCost    = 5.0
-	timeoutCost  = 10.0
-	maxRetries   = 5
-	idleBelow    = 3.0                    // a backend with fewer attempts of this proxy counts as idle
-	backoffUnit  = time.Second            // doubled with each retry ...
-	ceilingPart  = 16                     // ... up to this part of the route's target
-	ceilingLow   = 5 * time.Millisecond   // but no less
-	awayLow      = 100 * time.Millisecond // a proxy that can't be reached is left alone for so long, doubled ...
-	awayHigh     = 1600 * time.Millisecond
-	crossBias    = 0.35 // what another zone counts among equals, in loads
-	coldBias     = 0.5  // and a backend that is still slow
-	loadFor      = time.Second
+	bucketTokens          = 500.0
+	retryCost             = 5.0
+	timeoutCost           = 10.0
+	maxRetries            = 5
+	idleThreshold         = 3.0                    // a backend with fewer attempts of this proxy in flight counts as idle
+	backoffBase           = time.Second            // doubled with each retry ...
+	backoffCeilingDivisor = 16                     // ... up to this fraction of the route's target
+	minBackoffCeiling     = 5 * time.Millisecond   // lower bound of the ceiling
+	minAvoidPause         = 100 * time.Millisecond // how long an unreachable proxy is avoided, doubled with each failure ...
+	maxAvoidPause         = 1600 * time.Millisecond
+	otherZoneBias         = 0.35 // penalty of a backend in another zone, in units of load
+	warmupBias            = 0.5  // penalty of a backend that is still warming up
+	loadLifetime          = time.Second
 )
 
-// row is what is known of one backend.
-type row struct {
+// backendState is what is known of one backend.
+type backendState struct {
 	backends.Berth
-	inFlight int
-	used     bool
-	warmAt   time.Duration
-	awayTill time.Duration
-	away     time.Duration // its last pause
-	silent   bool          // by the roster, and nothing came from there since
-	load     float64       // requests at it and before it, of its capacity, as its gate told last
-	loadAt   time.Duration
+	inFlight     int
+	used         bool
+	warmUntil    time.Duration
+	avoidUntil   time.Duration
+	avoidPause   time.Duration // length of the last pause
+	unresponsive bool          // reported by the membership layer, with no response since
+	load         float64       // requests running and queued relative to capacity, as last reported by its proxy
+	loadTime     time.Duration
 }
 
-// NewBalancer returns one that knows of no backends.
+// NewBalancer returns a Balancer that knows no backends.
 func NewBalancer() *Balancer {
-	return &Balancer{bucket: retry.NewBucket(bucketTokens), rows: map[string]*row{}, of: map[string][]*row{}, rations: map[string]*retrybudget.Ration{}, nodes: 1}
+	return &Balancer{bucket: retry.NewBucket(bucketTokens), byNode: map[string]*backendState{}, byService: map[string][]*backendState{}, retryBudgets: map[string]*retrybudget.Ration{}, maxNodes: 1}
 }
 
-// Learn takes entries of the table of berths.
-func (h *Balancer) Learn(now time.Duration, news []backends.Berth) {
-	for _, b := range news {
-		if b.Addr == "" { // of a node that is gone, the version is all that is left
-			delete(h.rows, b.Node)
+// UpdateBackends applies changed entries of the backend table.
+func (b *Balancer) UpdateBackends(now time.Duration, changed []backends.Berth) {
+	for _, entry := range changed {
+		if entry.Addr == "" { // the node is gone; only its version is left
+			delete(b.byNode, entry.Node)
 			continue
 		}
-		r := h.rows[b.Node]
+		r := b.byNode[entry.Node]
 		if r == nil {
-			r = &row{}
-			h.rows[b.Node] = r
+			r = &backendState{}
+			b.byNode[entry.Node] = r
 		}
-		if r.Instance != b.Instance {
-			*r = row{inFlight: r.inFlight}
+		if r.Instance != entry.Instance {
+			*r = backendState{inFlight: r.inFlight}
 		}
-		r.Berth = b
-		r.warmAt = now + time.Duration(b.WarmMs)*time.Millisecond
-		r.awayTill, r.away = 0, 0
-		r.silent = h.silent[b.Addr]
+		r.Berth = entry
+		r.warmUntil = now + time.Duration(entry.WarmMs)*time.Millisecond
+		r.avoidUntil, r.avoidPause = 0, 0
+		r.unresponsive = b.unresponsive[entry.Addr]
 	}
-	h.nodes = max(h.nodes, len(h.rows))
-	h.sort()
-	for _, r := range h.rations {
-		r.Machines = h.nodes
+	b.maxNodes = max(b.maxNodes, len(b.byNode))
+	b.indexByService()
+	for _, r := range b.retryBudgets {
+		r.Machines = b.maxNodes
 	}
 }
 
-// sort puts the backends that serve under their services.
-func (h *Balancer) sort() {
-	clear(h.of)
-	for _, r := range h.rows {
+// indexByService rebuilds the index of serving backends by service.
+func (b *Balancer) indexByService() {
+	clear(b.byService)
+	for _, r := range b.byNode {
 		if r.State == backends.Serving && r.Instance != "" {
-			h.of[r.Service] = append(h.of[r.Service], r)
+			b.byService[r.Service] = append(b.byService[r.Service], r)
 		}
 	}
 }
 
-// Silence takes the addresses of the proxies that the roster says don't answer: those are set aside, and tried where all are.
-// One that answers again is taken back at once.
-func (h *Balancer) Silence(addrs map[string]bool) {
-	for _, r := range h.rows {
-		switch is, was := addrs[r.Addr], h.silent[r.Addr]; {
-		case is && !was:
-			r.silent = true
-		case was && !is:
-			r.silent, r.awayTill, r.away = false, 0, 0
+// SetUnresponsive replaces the set of proxy addresses that the membership layer reports as unresponsive. Their backends
+// are avoided, unless all backends of a service are. A proxy that is no longer reported is used again at once.
+func (b *Balancer) SetUnresponsive(addrs map[string]bool) {
+	for _, r := range b.byNode {
+		switch reported, reportedBefore := addrs[r.Addr], b.unresponsive[r.Addr]; {
+		case reported && !reportedBefore:
+			r.unresponsive = true
+		case reportedBefore && !reported:
+			r.unresponsive, r.avoidUntil, r.avoidPause = false, 0, 0
 		}
 	}
-	h.silent = addrs
+	b.unresponsive = addrs
 }
 
-// Drop forgets nodes that are gone for good.
-func (h *Balancer) Drop(nodes []string) {
+// RemoveNodes forgets nodes that have left for good.
+func (b *Balancer) RemoveNodes(nodes []string) {
 	for _, n := range nodes {
-		delete(h.rows, n)
+		delete(b.byNode, n)
 	}
-	h.sort()
+	b.indexByService()
 }
 
-// aside says whether a backend is left alone while there are others.
-func (r *row) aside(now time.Duration) bool { return r.silent || now < r.awayTill }
+// avoided reports whether the backend is used only if there is no other.
+func (r *backendState) avoided(now time.Duration) bool { return r.unresponsive || now < r.avoidUntil }
 
-// choice is where an attempt goes.
+// choice is the backend that was picked for an attempt.
 type choice struct {
 	node, addr, instance, service string
 	ok                            bool
-	cold                          bool // still warming up, by its own word
+	warmingUp                     bool // still warming up, as reported by the backend
 }
 
-func (h *Balancer) ration(service string) *retrybudget.Ration {
-	r := h.rations[service]
+func (b *Balancer) retryBudget(service string) *retrybudget.Ration {
+	r := b.retryBudgets[service]
 	if r == nil {
-		r = &retrybudget.Ration{Window: h.Window, Ratio: h.Ratio, Allowance: h.Allowance, Machines: h.nodes}
-		h.rations[service] = r
+		r = &retrybudget.Ration{Window: b.RetryWindow, Ratio: b.RetryRatio, Allowance: b.RetryAllowance, Machines: b.maxNodes}
+		b.retryBudgets[service] = r
 	}
 	return r
 }
 
-// Service draws the service of a request by the weights of its route, among those that have a backend where some have.
-func (h *Balancer) Service(r *configuration.Route) string {
-	sum, all := 0, 0
+// PickService picks the service of a request at random by the weights of its route. Services without a backend are
+// skipped if another one has a backend.
+func (b *Balancer) PickService(r *configuration.Route) string {
+	weight, totalWeight := 0, 0
 	for _, s := range r.Split {
-		all += s.Weight
-		if len(h.of[s.Service]) > 0 {
-			sum += s.Weight
+		totalWeight += s.Weight
+		if len(b.byService[s.Service]) > 0 {
+			weight += s.Weight
 		}
 	}
-	known := sum > 0
-	if !known {
-		sum = all
+	anyServing := weight > 0
+	if !anyServing {
+		weight = totalWeight
 	}
-	at := h.Rand.IntN(max(1, sum))
+	draw := b.Rand.IntN(max(1, weight))
 	for _, s := range r.Split {
-		if known && len(h.of[s.Service]) == 0 {
+		if anyServing && len(b.byService[s.Service]) == 0 {
 			continue
 		}
-		if at -= s.Weight; at < 0 {
+		if draw -= s.Weight; draw < 0 {
 			return s.Service
 		}
 	}
 	return r.Split[0].Service
 }
 
-// First counts a request for a service.
-func (h *Balancer) First(now time.Duration, service string) { h.ration(service).First(now) }
+// CountRequest counts a request to a service towards its retry budget.
+func (b *Balancer) CountRequest(now time.Duration, service string) { b.retryBudget(service).First(now) }
 
-// Pick chooses a backend: a random one where this proxy has little in flight, of its own zone and the least loaded first,
-// else the one with the fewest; not the one that just failed.
-func (h *Balancer) Pick(now time.Duration, service, failed string) choice {
-	h.scratch, h.among = h.scratch[:0], h.among[:0]
-	for pass := 0; pass < 2 && len(h.among) == 0; pass++ {
-		for _, r := range h.of[service] {
-			if pass == 0 && r.aside(now) { // those that can't be reached come last
+// Pick picks a backend at random among those with few attempts of this proxy in flight, preferring the same zone and
+// the least load, or else the one with the fewest attempts. The backend that just failed is avoided.
+func (b *Balancer) Pick(now time.Duration, service, failed string) choice {
+	b.candidates, b.eligible = b.candidates[:0], b.eligible[:0]
+	for pass := 0; pass < 2 && len(b.eligible) == 0; pass++ {
+		for _, r := range b.byService[service] {
+			if pass == 0 && r.avoided(now) { // unreachable backends only in the second pass
 				continue
 			}
 			bias := 0.0
-			if r.Zone != h.Zone {
-				bias += crossBias
+			if r.Zone != b.Zone {
+				bias += otherZoneBias
 			}
-			if now < r.warmAt {
-				bias += coldBias
+			if now < r.warmUntil {
+				bias += warmupBias
 			}
-			if now-r.loadAt < loadFor {
+			if now-r.loadTime < loadLifetime {
 				bias += r.load
 			}
-			h.among = append(h.among, r)
-			h.scratch = append(h.scratch, retry.Candidate{InFlight: float64(r.inFlight) / idleBelow, Used: r.used, Skip: r.Node == failed, Bias: bias})
+			b.eligible = append(b.eligible, r)
+			b.candidates = append(b.candidates, retry.Candidate{InFlight: float64(r.inFlight) / idleThreshold, Used: r.used, Skip: r.Node == failed, Bias: bias})
 		}
 	}
-	i := retry.Pick(h.scratch, h.Rand.Float64)
+	i := retry.Pick(b.candidates, b.Rand.Float64)
 	if i < 0 {
 		return choice{}
 	}
-	r := h.among[i]
+	r := b.eligible[i]
 	r.inFlight++
 	r.used = true
-	if now < r.awayTill {
-		r.awayTill = now + awayHigh // one looks whether it is back
+	if now < r.avoidUntil {
+		r.avoidUntil = now + maxAvoidPause // this attempt probes whether it is back
 	}
-	return choice{node: r.Node, addr: r.Addr, instance: r.Instance, service: service, ok: true, cold: now < r.warmAt}
+	return choice{node: r.Node, addr: r.Addr, instance: r.Instance, service: service, ok: true, warmingUp: now < r.warmUntil}
 }
 
-// Over takes the outcome of an attempt.
-func (h *Balancer) Over(now time.Duration, c choice, o *outcome) {
-	r := h.rows[c.node]
+// RecordOutcome records the outcome of an attempt.
+func (b *Balancer) RecordOutcome(now time.Duration, c choice, o *outcome) {
+	r := b.byNode[c.node]
 	if r == nil {
 		return
 	}
@@ -217,74 +218,75 @@
 	if o.canceled {
 		return
 	}
-	if !o.hop {
-		r.awayTill, r.away, r.silent = 0, 0, false
+	if !o.transportFailed {
+		r.avoidUntil, r.avoidPause, r.unresponsive = 0, 0, false
 		if r.Capacity > 0 && (o.Running > 0 || o.Waiting > 0 || o.Code == errcode.OK) {
-			r.load, r.loadAt = float64(o.Running+o.Waiting)/float64(r.Capacity), now
+			r.load, r.loadTime = float64(o.Running+o.Waiting)/float64(r.Capacity), now
 		}
 	}
 	switch {
-	case o.hop: // its proxy can't be reached, or is frozen
-		r.away = min(max(awayLow, 2*r.away), awayHigh)
-		r.awayTill = now + r.away
+	case o.transportFailed: // the backend's proxy is unreachable or frozen
+		r.avoidPause = min(max(minAvoidPause, 2*r.avoidPause), maxAvoidPause)
+		r.avoidUntil = now + r.avoidPause
 	case o.Code == errcode.OK && o.Status/100 == 2:
-		h.bucket.Refill(1)
+		b.bucket.Refill(1)
 	case o.Code == errcode.Leaving, o.Code == errcode.Elsewhere, o.Code == errcode.Away:
-		if r.Instance == c.instance { // its own word comes soon
-			r.awayTill = now + awayHigh
+		if r.Instance == c.instance { // its own update will follow soon
+			r.avoidUntil = now + maxAvoidPause
 		}
 	}
 }
 
-// denial says why there is no further attempt. Zero is no yes: it is what a balancer that has ended leaves.
+// denial is the reason why there is no further attempt. The zero value is a denial, since it is what a stopped Balancer
+// returns.
 type denial uint8
 
 const (
-	undecided denial = iota // nobody was there to say
+	undecided denial = iota // the balancer has stopped
 	granted
-	enough   // its attempts or its time are used up
-	noTokens // the bucket is low
-	noRation // the service got as many further arrivals as it may
+	retryLimitReached // no attempts or no time left
+	noTokens          // the token bucket is low
+	noRetryBudget     // the retry budget of the service is used up
 )
 
-// Again decides whether a request that failed gets another attempt, and after what wait. sent: an attempt may have reached a
-// backend; then the next is one more arrival, which the ration must allow.
-func (h *Balancer) Again(now time.Duration, r *configuration.Route, service string, retries int, last errcode.Kind, sent bool, left time.Duration) (wait time.Duration, no denial) {
+// AllowRetry decides whether a failed request is retried, and after what backoff. sent: an attempt may have reached a
+// backend, so the next one counts against the retry budget.
+func (b *Balancer) AllowRetry(now time.Duration, r *configuration.Route, service string, retries int, lastError errcode.Kind, sent bool, remaining time.Duration) (backoff time.Duration, reason denial) {
 	if retries >= maxRetries {
-		return 0, enough
+		return 0, retryLimitReached
 	}
-	ceiling := max(ceilingLow, r.Target/ceilingPart)
-	wait = retry.Wait(h.Rand.Float64(), retries, backoffUnit, ceiling)
-	if wait >= left {
-		return 0, enough
+	ceiling := max(minBackoffCeiling, r.Target/backoffCeilingDivisor)
+	backoff = retry.Wait(b.Rand.Float64(), retries, backoffBase, ceiling)
+	if backoff >= remaining {
+		return 0, retryLimitReached
 	}
 	cost := retryCost
-	if last == errcode.TimedOut {
+	if lastError == errcode.TimedOut {
 		cost = timeoutCost
 	}
-	if h.bucket.Tokens() < cost {
+	if b.bucket.Tokens() < cost {
 		return 0, noTokens
 	}
-	if sent && !h.ration(service).Further(now) {
-		return 0, noRation
+	if sent && !b.retryBudget(service).Further(now) {
+		return 0, noRetryBudget
 	}
-	h.bucket.Spend(cost)
-	return wait, granted
+	b.bucket.Spend(cost)
+	return backoff, granted
 }
 
-// Relays draws up to n other proxies that can be reached, as far as is known.
-func (h *Balancer) Relays(now time.Duration, n int) (at []string) {
+// RandomPeers returns up to n random proxies that are reachable, as far as is known.
+func (b *Balancer) RandomPeers(now time.Duration, n int) (addrs []string) {
 	seen := 0
-	for _, r := range h.rows {
-		if r.Node == h.Node || r.aside(now) {
+	for _, r := range b.byNode {
+		if r.Node == b.Node || r.avoided(now) {
 			continue
 		}
 		seen++
-		if len(at) < n {
-			at = append(at, r.Addr)
-		} else if i := h.Rand.IntN(seen); i < n {
-			at[i] = r.Addr
+		if len(addrs) < n {
+			addrs = append(addrs, r.Addr)
+		} else if i := b.Rand.IntN(seen); i < n {
+			addrs[i] = r.Addr
 		}
 	}
-	return at
+	return addrs
 }
--- a/internal/dataplane/buffers.go
+++ b/internal/dataplane/buffers.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// stallTime is how long a transfer may bring nothing.
-const stallTime = 5 * time.Second
+// stallTimeout is how long a transfer may make no progress.
+const stallTimeout = 5 * time.Second
 
 var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4<<10) }}
 
@@ -23,12 +23,12 @@
 	readers.Put(in)
 }
 
-var bufs = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
+var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
 
-func getBuf() *[]byte { return bufs.Get().(*[]byte) }
+func getBuf() *[]byte { return buffers.Get().(*[]byte) }
 
 func putBuf(b *[]byte) {
-	if cap(*b) <= 2*keepBytes {
-		bufs.Put(b)
+	if cap(*b) <= 2*bufferedBodyBytes {
+		buffers.Put(b)
 	}
 }
--- a/internal/dataplane/client_left_test.go
+++ b/internal/dataplane/client_left_test.go
@@ -14,39 +14,39 @@
 )
 
 const (
-	workTime   = 3 * time.Second        // of a run that nobody ends
-	leaveAfter = 430 * time.Millisecond // of the request, its client closes the connection
-	noticeTime = 400 * time.Millisecond // for the backend to hear of it
+	runTime     = 3 * time.Second        // of a run that nobody ends
+	leaveDelay  = 430 * time.Millisecond // of the request, its client closes the connection
+	cancelLimit = 400 * time.Millisecond // for the backend to hear of it
 )
 
-// worker is a backend that drops a run when its connection closes, as most do.
-type worker struct {
-	began, ended chan time.Time // of each run; ended early or by itself
-	head         string         // sent at once, ahead of the work
+// slowBackend is a backend that drops a run when its connection closes, as most do.
+type slowBackend struct {
+	started, ended chan time.Time // of each run; ended early or by itself
+	head           string         // sent at once, ahead of the work
 }
 
-func newWorker() *worker {
-	return &worker{began: make(chan time.Time, 8), ended: make(chan time.Time, 8)}
+func newSlowBackend() *slowBackend {
+	return &slowBackend{started: make(chan time.Time, 8), ended: make(chan time.Time, 8)}
 }
 
-func (b *worker) answer(o io.Writer, r *http.Request) {
+func (b *slowBackend) answer(o io.Writer, r *http.Request) {
 	c := o.(net.Conn)
-	b.began <- time.Now()
+	b.started <- time.Now()
 	io.WriteString(c, b.head)
-	c.SetReadDeadline(time.Now().Add(workTime))
+	c.SetReadDeadline(time.Now().Add(runTime))
 	c.Read(make([]byte, 1))
 	b.ended <- time.Now()
 	c.SetReadDeadline(time.Time{})
 	if b.head == "" {
-		says(o, r)
+		respondWithID(o, r)
 	}
 }
 
-// other starts a second proxy, on a machine of its own, that knows the first one's backend, and gives its address for clients.
-func (w *way) other(t *testing.T, route string) *way {
+// secondProxy starts a second proxy, on a machine of its own, that knows the first one's backend, and gives its address for clients.
+func (w *testProxy) secondProxy(t *testing.T, route string) *testProxy {
 	t.Helper()
 	const ip = "10.0.0.2"
-	p := w.sea.Machine(ip, "north").Start()
+	p := w.network.Machine(ip, "north").Start()
 	listen := func(on interface {
 		Listen(string, time.Duration) (net.Listener, error)
 	}, addr string) net.Listener {
@@ -56,78 +56,78 @@
 		}
 		return l
 	}
-	second := &way{sea: w.sea, p: p, front: ip + ":81"}
-	second.DataPlane = New(Options{Node: "m", Zone: "north", Service: "caller", App: ip + ":80", GateAddr: ip + ":82", Life: 8, Begun: time.Now(),
-		Heartbeat: time.Hour, Ratio: 1, Allowance: 100, Window: 10 * time.Second, KeyWindow: time.Minute, AnswerBytes: 1 << 20,
-		LinkMbps: narrowMbps, Net: p, Council: quorum.New(p), Log: func(event, text string) { t.Log(event, text) }})
-	second.limit(t, route, "{}")
-	second.Learn([]backends.Berth{w.Gate.Berth()})
-	go w.ServeGate(listen(w.p, "10.0.0.1:82"))
-	go second.Serve(listen(p, second.front))
+	second := &testProxy{network: w.network, process: p, clientAddr: ip + ":81"}
+	second.DataPlane = New(Options{Node: "m", Zone: "north", Service: "caller", App: ip + ":80", InboundAddr: ip + ":82", Incarnation: 8, Started: time.Now(),
+		Heartbeat: time.Hour, RetryRatio: 1, RetryAllowance: 100, RetryWindow: 10 * time.Second, OperationWindow: time.Minute, ResponseBytes: 1 << 20,
+		LinkMbps: linkMbps, Net: p, Quorum: quorum.New(p), Log: func(event, text string) { t.Log(event, text) }})
+	second.applyConfiguration(t, route, "{}")
+	second.UpdateBackends([]backends.Berth{w.Inbound.Backend()})
+	go w.ServePeers(listen(w.process, "10.0.0.1:82"))
+	go second.Serve(listen(p, second.clientAddr))
 	t.Cleanup(func() {
 		p.End()
 		second.Stop(0)
-		second.End()
+		second.Close()
 	})
 	return second
 }
 
-// leave sends a request and closes its connection after a while; the answer is when.
-func (w *way) leave(t *testing.T, method, id string) time.Time {
+// sendAndLeave sends a request and closes its connection after a while; the answer is when.
+func (w *testProxy) sendAndLeave(t *testing.T, method, id string) time.Time {
 	t.Helper()
-	c := w.keep(t, w.front)
-	fmt.Fprintf(c, "%s /a/%s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s: 5000\r\nContent-Length: 0\r\n\r\n", method, id, HeaderID, id, HeaderLeft)
-	time.Sleep(leaveAfter)
+	c := w.dial(t, w.clientAddr)
+	fmt.Fprintf(c, "%s /a/%s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s: 5000\r\nContent-Length: 0\r\n\r\n", method, id, HeaderAttemptID, id, HeaderDeadlineRemaining)
+	time.Sleep(leaveDelay)
 	c.Close()
 	return time.Now()
 }
 
 const (
-	slowLookup = `{"host":"h","path-prefix":"/a/","route-kind":"idempotent","deadline-s":5,"target-s":0.3,"service":"ledger","max-attempts":2}`
-	slowChange = `{"host":"h","path-prefix":"/a/","route-kind":"mutating","deadline-s":5,"target-s":0.3,"service":"ledger","max-attempts":2}`
-	slowStream = `{"host":"h","path-prefix":"/a/","route-kind":"egress","deadline-s":5,"target-s":0.3,"service":"ledger","max-attempts":2}`
+	slowIdempotentRoute = `{"host":"h","path-prefix":"/a/","route-kind":"idempotent","deadline-s":5,"target-s":0.3,"service":"ledger","max-attempts":2}`
+	slowMutatingRoute   = `{"host":"h","path-prefix":"/a/","route-kind":"mutating","deadline-s":5,"target-s":0.3,"service":"ledger","max-attempts":2}`
+	slowEgressRoute     = `{"host":"h","path-prefix":"/a/","route-kind":"egress","deadline-s":5,"target-s":0.3,"service":"ledger","max-attempts":2}`
 )
 
 // A run that may be repeated ends soon after its client has left, beside the proxy that took the request or behind a hop, before its
 // answer begins or amid it; its place is free again. One that may not be repeated goes on: its effect may have begun.
 func TestRunOfAClientThatLeft(t *testing.T) {
-	half := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: q\r\n%s: s\r\nContent-Length: 1000000\r\n\r\n%070000d", HeaderID, HeaderSeal, 0)
+	half := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: q\r\n%s: s\r\nContent-Length: 1000000\r\n\r\n%070000d", HeaderAttemptID, HeaderServerSeal, 0)
 	for _, x := range []struct {
 		name, route, method, head string
 		hop, dies, goesOn         bool
 	}{
-		{name: "beside", route: slowLookup, method: "GET"},
-		{name: "behind a hop", route: slowLookup, method: "GET", hop: true},
-		{name: "behind a hop whose proxy ends", route: slowLookup, method: "GET", hop: true, dies: true},
-		{name: "amid its answer", route: slowStream, method: "GET", head: half},
-		{name: "amid its answer, behind a hop", route: slowStream, method: "GET", head: half, hop: true},
-		{name: "not repeatable", route: slowChange, method: "POST", goesOn: true},
-		{name: "not repeatable, behind a hop", route: slowChange, method: "POST", hop: true, goesOn: true},
+		{name: "beside", route: slowIdempotentRoute, method: "GET"},
+		{name: "behind a hop", route: slowIdempotentRoute, method: "GET", hop: true},
+		{name: "behind a hop whose proxy ends", route: slowIdempotentRoute, method: "GET", hop: true, dies: true},
+		{name: "amid its answer", route: slowEgressRoute, method: "GET", head: half},
+		{name: "amid its answer, behind a hop", route: slowEgressRoute, method: "GET", head: half, hop: true},
+		{name: "not repeatable", route: slowMutatingRoute, method: "POST", goesOn: true},
+		{name: "not repeatable, behind a hop", route: slowMutatingRoute, method: "POST", hop: true, goesOn: true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newWorker()
+				b := newSlowBackend()
 				b.head = x.head
-				w := newWay(t, x.route, b.answer)
+				w := newTestProxy(t, x.route, b.answer)
 				by := w
 				if x.hop {
-					by = w.other(t, x.route)
+					by = w.secondProxy(t, x.route)
 				}
 				if x.dies {
-					time.AfterFunc(leaveAfter, by.p.End)
+					time.AfterFunc(leaveDelay, by.process.End)
 				}
-				left := by.leave(t, x.method, "q")
-				began, ended := <-b.began, <-b.ended
+				left := by.sendAndLeave(t, x.method, "q")
+				began, ended := <-b.started, <-b.ended
 				took := ended.Sub(left)
 				switch {
-				case x.goesOn && ended.Sub(began) < workTime:
+				case x.goesOn && ended.Sub(began) < runTime:
 					t.Errorf("it was broken off %v after its client had left", took)
-				case !x.goesOn && took > noticeTime:
+				case !x.goesOn && took > cancelLimit:
 					t.Errorf("it went on for %v after its client had left", took)
 				}
 				time.Sleep(time.Second)
-				t.Logf("client_left %d, gate_canceled %d", by.Counts.ClientLeft.Load(), w.Gate.Counts.Canceled.Load())
-				if running, waiting := w.Gate.load(); running+waiting != 0 {
+				t.Logf("client_left %d, gate_canceled %d", by.Counts.ClientLeft.Load(), w.Inbound.Counts.Canceled.Load())
+				if running, waiting := w.Inbound.load(); running+waiting != 0 {
 					t.Errorf("%d run and %d wait", running, waiting)
 				}
 			})
@@ -142,19 +142,19 @@
 			t.Run(fmt.Sprintf("%s, hop %v", kind, hop), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					route := `{"host":"h","path-prefix":"/a/","route-kind":"` + kind + `","deadline-s":20,"target-s":10,"service":"ledger","max-attempts":2}`
-					b := newWorker()
-					w := newWay(t, route, b.answer)
+					b := newSlowBackend()
+					w := newTestProxy(t, route, b.answer)
 					by := w
 					if hop {
-						by = w.other(t, route)
+						by = w.secondProxy(t, route)
 					}
 					for i := range 2 { // both places
-						fmt.Fprintf(w.keep(t, w.front), "GET /a/%d HTTP/1.1\r\nHost: h\r\n%s: %d\r\n\r\n", i, HeaderID, i)
-						<-b.began
+						fmt.Fprintf(w.dial(t, w.clientAddr), "GET /a/%d HTTP/1.1\r\nHost: h\r\n%s: %d\r\n\r\n", i, HeaderAttemptID, i)
+						<-b.started
 					}
-					by.leave(t, "POST", "q")
-					time.Sleep(3 * workTime)
-					if len(b.began) > 0 {
+					by.sendAndLeave(t, "POST", "q")
+					time.Sleep(3 * runTime)
+					if len(b.started) > 0 {
 						t.Error("it was sent to the backend")
 					}
 				})
@@ -166,20 +166,20 @@
 // A request that is read only after its client has left is not sent: the proxy was busy, or stood still.
 func TestRequestReadAfterItsClientLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newWorker()
-		w := newWay(t, slowChange, b.answer)
-		l, err := w.p.Listen("10.0.0.1:83", 0)
+		b := newSlowBackend()
+		w := newTestProxy(t, slowMutatingRoute, b.answer)
+		l, err := w.process.Listen("10.0.0.1:83", 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := w.keep(t, "10.0.0.1:83")
-		fmt.Fprintf(c, "POST /a/q HTTP/1.1\r\nHost: h\r\n%s: q\r\nContent-Length: 0\r\n\r\n", HeaderID)
+		c := w.dial(t, "10.0.0.1:83")
+		fmt.Fprintf(c, "POST /a/q HTTP/1.1\r\nHost: h\r\n%s: q\r\nContent-Length: 0\r\n\r\n", HeaderAttemptID)
 		c.Close()
 		time.Sleep(time.Second)
 		go w.Serve(l)
-		time.Sleep(workTime)
-		if len(b.began) > 0 || w.Counts.ClientLeft.Load() != 1 {
-			t.Errorf("%d runs began; %d clients left", len(b.began), w.Counts.ClientLeft.Load())
+		time.Sleep(runTime)
+		if len(b.started) > 0 || w.Counts.ClientLeft.Load() != 1 {
+			t.Errorf("%d runs began; %d clients left", len(b.started), w.Counts.ClientLeft.Load())
 		}
 	})
 }
@@ -189,15 +189,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		var last time.Time
 		runs := 0
-		w := newWay(t, `{"host":"h","path-prefix":"/a/","route-kind":"idempotent","deadline-s":120,"target-s":100,"service":"ledger","max-attempts":6}`,
+		w := newTestProxy(t, `{"host":"h","path-prefix":"/a/","route-kind":"idempotent","deadline-s":120,"target-s":100,"service":"ledger","max-attempts":6}`,
 			func(o io.Writer, r *http.Request) {
 				last = time.Now()
 				runs++
-				serves(o, r, 500, 3)
+				respondWithSize(o, r, 500, 3)
 			})
-		left := w.leave(t, "GET", "q")
+		left := w.sendAndLeave(t, "GET", "q")
 		time.Sleep(time.Minute)
-		if runs == 0 || last.After(left.Add(noticeTime)) {
+		if runs == 0 || last.After(left.Add(cancelLimit)) {
 			t.Errorf("%d runs, the last %v after the client had left", runs, last.Sub(left))
 		}
 	})
@@ -206,24 +206,24 @@
 // The end of one client's work takes no connection from another, and its backend is not set aside: the next request is served.
 func TestNextRequestAfterAClientLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		slow := newWorker()
-		w := newWay(t, slowLookup, func(o io.Writer, r *http.Request) {
-			if r.Header.Get(HeaderID) == "q" {
+		slow := newSlowBackend()
+		w := newTestProxy(t, slowIdempotentRoute, func(o io.Writer, r *http.Request) {
+			if r.Header.Get(HeaderAttemptID) == "q" {
 				slow.answer(o, r)
 			} else {
-				says(o, r)
+				respondWithID(o, r)
 			}
 		})
-		by := w.other(t, slowLookup)
-		kept := by.keep(t, by.front)
+		by := w.secondProxy(t, slowIdempotentRoute)
+		kept := by.dial(t, by.clientAddr)
 		for i := range 5 {
-			by.leave(t, "GET", "q")
-			if r, err := kept.ask(fmt.Sprint("n", i)); err != nil || r.StatusCode != http.StatusOK {
+			by.sendAndLeave(t, "GET", "q")
+			if r, err := kept.request(fmt.Sprint("n", i)); err != nil || r.StatusCode != http.StatusOK {
 				t.Errorf("request %d: %v, %v", i, r, err)
 			}
 		}
-		time.Sleep(noticeTime)
-		if n := w.Gate.Counts.Canceled.Load(); n != 5 {
+		time.Sleep(cancelLimit)
+		if n := w.Inbound.Counts.Canceled.Load(); n != 5 {
 			t.Errorf("%d runs were broken off", n)
 		}
 	})
--- /dev/null
+++ b/internal/dataplane/client_walk_test.go
@@ -0,0 +1,375 @@
+package dataplane
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"saltmast/internal/modelcheck"
+	"saltmast/internal/sock"
+)
+
+// The walk of a client's connection: three things that a client may do on it, one behind the other, and what its backend does by
+// the request's path. Answers come in the order of the requests, each whole or seen to be cut; only what was sent whole runs, once
+// at the most; and what is answered by a promise never runs.
+
+const mutatingRoute = `{"host":"h","path-prefix":"/a/","route-kind":"mutating","deadline-s":1,"target-s":0.5,"service":"ledger","max-attempts":2}`
+
+// scriptedClient is a client of the walk.
+type scriptedClient struct {
+	net.Conn
+	requests   int
+	complete   []string // ids of the requests that went whole, and must be answered in this order if they are
+	method     map[string]string
+	mustNotRun map[string]bool
+	closed     bool // it ended its connection
+	finished   bool // it sends no more
+}
+
+func (p *scriptedClient) id() string { p.requests++; return fmt.Sprint("q", p.requests) }
+
+func (p *scriptedClient) head(method, path, id, more string) string {
+	return fmt.Sprintf("%s /a/%s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s\r\n", method, path, HeaderAttemptID, id, more)
+}
+
+func (p *scriptedClient) completeRequest(method, path, more, body string) string {
+	id := p.id()
+	p.complete = append(p.complete, id)
+	p.method[id] = method
+	return p.head(method, path, id, more) + body
+}
+
+// invalidRequest is a request that must not run.
+func (p *scriptedClient) invalidRequest(method, path, more, body string) string {
+	id := p.id()
+	p.mustNotRun[id] = true
+	return p.head(method, path, id, more) + body
+}
+
+var clientActions = []struct {
+	name string
+	do   func(p *scriptedClient)
+}{
+	{"a request", func(p *scriptedClient) { io.WriteString(p, p.completeRequest("GET", "ok", "", "")) }},
+	{"a body", func(p *scriptedClient) {
+		io.WriteString(p, p.completeRequest("PUT", "ok", "Content-Length: 3\r\n", "abc"))
+	}},
+	{"a body in chunks", func(p *scriptedClient) {
+		io.WriteString(p, p.completeRequest("PUT", "ok", "Transfer-Encoding: chunked\r\n", "2\r\nab\r\n1\r\nc\r\n0\r\nA: b\r\n\r\n"))
+	}},
+	{"a long body", func(p *scriptedClient) {
+		io.WriteString(p, p.completeRequest("PUT", "ok", "Content-Length: 100000\r\n", strings.Repeat("x", 100000)))
+	}},
+	{"two requests at once", func(p *scriptedClient) {
+		io.WriteString(p, p.completeRequest("GET", "ok", "", "")+p.completeRequest("GET", "ok", "", ""))
+	}},
+	{"three at once, the first fails", func(p *scriptedClient) {
+		io.WriteString(p, p.completeRequest("GET", "none", "", "")+p.completeRequest("GET", "ok", "", "")+p.completeRequest("HEAD", "ok", "", ""))
+	}},
+	{"a request, and its half closed", func(p *scriptedClient) {
+		io.WriteString(p, p.completeRequest("GET", "ok", "", ""))
+		p.Conn.(interface{ CloseWrite() error }).CloseWrite()
+		p.finished = true
+	}},
+	{"a request, and gone", func(p *scriptedClient) {
+		io.WriteString(p, p.completeRequest("GET", "ok", "", ""))
+		p.Close()
+		p.closed = true
+	}},
+	{"a request, and gone amid its answer", func(p *scriptedClient) {
+		io.WriteString(p, p.completeRequest("GET", "long", "", ""))
+		time.Sleep(3 * time.Millisecond)
+		p.Close()
+		p.closed = true
+	}},
+	{"the last request, and one behind it", func(p *scriptedClient) {
+		io.WriteString(p, p.completeRequest("GET", "ok", "Connection: close\r\n", "")+p.invalidRequest("GET", "ok", "", ""))
+		p.finished = true
+	}},
+	{"a head cut off", func(p *scriptedClient) {
+		s := p.invalidRequest("GET", "ok", "", "")
+		io.WriteString(p, s[:len(s)-1])
+		p.Close()
+		p.closed = true
+	}},
+	{"a body cut off", func(p *scriptedClient) {
+		io.WriteString(p, p.invalidRequest("PUT", "ok", "Content-Length: 9\r\n", "abc"))
+		p.Close()
+		p.closed = true
+	}},
+	{"a long body cut off", func(p *scriptedClient) {
+		io.WriteString(p, p.invalidRequest("PUT", "ok", "Content-Length: 100000\r\n", strings.Repeat("x", 99999)))
+		p.Close()
+		p.closed = true
+	}},
+	{"a head that may be read in two ways, and one behind it", func(p *scriptedClient) {
+		io.WriteString(p, p.invalidRequest("PUT", "ok", "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n")+p.invalidRequest("GET", "ok", "", ""))
+		p.finished = true
+	}},
+	{"noise", func(p *scriptedClient) {
+		io.WriteString(p, "\x00\r\n\r\n"+p.invalidRequest("GET", "ok", "", ""))
+		p.finished = true
+	}},
+	{"a request behind a rest", func(p *scriptedClient) {
+		time.Sleep(12 * time.Second)
+		io.WriteString(p, p.completeRequest("GET", "ok", "", ""))
+	}},
+	{"a request whose answer is cut", func(p *scriptedClient) { io.WriteString(p, p.completeRequest("GET", "cut", "", "")) }},
+	{"a request whose long answer is cut", func(p *scriptedClient) { io.WriteString(p, p.completeRequest("GET", "longcut", "", "")) }},
+	{"a long answer", func(p *scriptedClient) { io.WriteString(p, p.completeRequest("GET", "long", "", "")) }},
+	{"a request that is declined", func(p *scriptedClient) { io.WriteString(p, p.completeRequest("GET", "full", "", "")) }},
+	{"a request whose backend is silent", func(p *scriptedClient) { io.WriteString(p, p.completeRequest("GET", "silent", "", "")) }},
+	{"a route that is none", func(p *scriptedClient) {
+		s := p.completeRequest("GET", "ok", "", "")
+		io.WriteString(p, strings.Replace(s, "/a/", "/b/", 1))
+	}},
+	{"the heads of what is declined, and one behind them", func(p *scriptedClient) {
+		io.WriteString(p, p.completeRequest("HEAD", "full", "", "")+strings.Replace(p.completeRequest("HEAD", "ok", "", ""), "/a/", "/b/", 1)+p.completeRequest("GET", "ok", "", ""))
+	}},
+	{"a request with a Connection that names what is the mesh's", func(p *scriptedClient) {
+		io.WriteString(p, p.completeRequest("GET", "ok", "Connection: "+HeaderAttemptID+", host, x-own\r\nX-Own: 1\r\n", ""))
+	}},
+	{"a request with two ids", func(p *scriptedClient) {
+		io.WriteString(p, p.completeRequest("GET", "ok", HeaderAttemptID+": z\r\n", ""))
+		p.mustNotRun[p.complete[len(p.complete)-1]] = true
+	}},
+}
+
+const longBody = 150 << 10
+
+type clientWalk struct {
+	*testProxy
+	mu     sync.Mutex
+	runs   map[string]int
+	addr   string
+	worlds int
+}
+
+func newClientWalk(t *testing.T) *clientWalk {
+	w := &clientWalk{runs: map[string]int{}}
+	w.testProxy = newTestProxy(t, mutatingRoute, func(o io.Writer, r *http.Request) {
+		if _, err := io.ReadAll(r.Body); err != nil {
+			return
+		}
+		id := r.Header.Get(HeaderAttemptID)
+		if _, path, _ := strings.Cut(r.URL.Path, "/a/"); path == "full" {
+			fmt.Fprintf(o, "HTTP/1.1 503 x\r\n%s: %s\r\n%sContent-Length: 0\r\n\r\n", HeaderAttemptID, id, declines)
+			return
+		}
+		w.mu.Lock()
+		w.runs[id]++
+		w.mu.Unlock()
+		time.Sleep(time.Millisecond)
+		head := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\n", HeaderAttemptID, id, HeaderServerSeal)
+		long := "of " + id + strings.Repeat("x", longBody)
+		switch strings.TrimPrefix(r.URL.Path, "/a/") {
+		case "ok":
+			if r.Method == "HEAD" {
+				io.WriteString(o, head+"Content-Length: 99\r\n\r\n")
+				return
+			}
+			respondWithID(o, r)
+		case "long":
+			fmt.Fprintf(o, "%sContent-Length: %d\r\n\r\n%s", head, len(long), long)
+		case "cut":
+			io.WriteString(o, head+"Content-Length: 30\r\n\r\nof ")
+			o.(io.Closer).Close()
+		case "longcut":
+			fmt.Fprintf(o, "%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s", head, len(long), long[:longBody/2])
+			o.(io.Closer).Close()
+		case "none":
+			o.(io.Closer).Close()
+		case "silent":
+			time.Sleep(3 * time.Second)
+		}
+	})
+	w.addr = w.clientAddr
+	return w
+}
+
+// runWorld has a client do all of a script, and reads what it gets.
+func (w *clientWalk) runWorld(t *testing.T, script []int) string {
+	w.worlds++
+	c, err := w.process.Dial(t.Context(), w.addr, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := &scriptedClient{Conn: c, requests: w.worlds * 100, mustNotRun: map[string]bool{}, method: map[string]string{}}
+	in := bufio.NewReader(c)
+	at, over := 0, false // over: an answer said that it is the last, or was cut
+	read := func() string {
+		for ; at < len(p.complete) && !over; at++ {
+			id := p.complete[at]
+			r, err := http.ReadResponse(in, &http.Request{Method: p.method[id]})
+			if err != nil {
+				return fmt.Sprintf("request %d got no answer: %v", at, err)
+			}
+			over = r.Close
+			b, err := io.ReadAll(r.Body)
+			if got := r.Header.Get(HeaderAttemptID); got != id && (r.StatusCode != 400 || got != "") {
+				return fmt.Sprintf("request %d got the answer of %q", at, got)
+			}
+			w.mu.Lock()
+			ran := w.runs[id]
+			w.mu.Unlock()
+			switch s := r.StatusCode; {
+			case err != nil:
+				over = true
+			case s == 200 && p.method[id] != "HEAD" && string(b) != "of "+id && string(b) != "of "+id+strings.Repeat("x", longBody):
+				return fmt.Sprintf("request %d got %d bytes that pass for all: %.20q", at, len(b), b)
+			case (s == 200) != (ran == 1) && s != 502 && s != 504, s == 503 && ran > 0:
+				return fmt.Sprintf("request %d is answered %d and ran %d times", at, s, ran)
+			}
+		}
+		return ""
+	}
+	for _, d := range script {
+		clientActions[d].do(p)
+		if p.closed {
+			break
+		}
+		if d%2 == 0 { // of half of them the answers are read at once, of the others with the next
+			c.SetReadDeadline(time.Now().Add(20 * time.Second))
+			if why := read(); why != "" {
+				return why
+			}
+		}
+		if p.finished {
+			break
+		}
+	}
+	if !p.closed {
+		c.SetReadDeadline(time.Now().Add(5 * time.Second))
+		if why := read(); why != "" {
+			return why
+		}
+		c.SetReadDeadline(time.Now().Add(time.Second))
+		if b, err := io.ReadAll(in); at >= len(p.complete) && len(p.mustNotRun) == 0 && len(b) > 0 && !p.finished {
+			return fmt.Sprintf("%.30q came behind the last answer, %v", b, err)
+		}
+		c.Close()
+	}
+	time.Sleep(100 * time.Millisecond)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for id, n := range w.runs {
+		if n > 1 || p.mustNotRun[id] {
+			return fmt.Sprintf("%s ran %d times", id, n)
+		}
+	}
+	clear(w.runs)
+	return ""
+}
+
+// The last deed of each script is a request, two at once, or the last request with one behind it.
+var clientWalks = modelcheck.Walk[*clientWalk]{Deeds: len(clientActions), Deed: func(i int) string { return clientActions[i].name }, Length: 2,
+	Ways: []string{"a request", "two at once", "the last"}, Begin: newClientWalk,
+	World: func(t *testing.T, w *clientWalk, script []int, way int) string {
+		return w.runWorld(t, append(script, [...]int{0, 4, 9}[way]))
+	},
+	End: func(*clientWalk) {}}
+
+// Whatever a client does on its connection, and its backend with a request, no answer goes to another request, and nothing runs
+// that was not sent whole.
+func TestClientWalk(t *testing.T) { clientWalks.Holds(t) }
+
+// reorderingConn holds the answer to the first of requests that came at once back until the next one has gone.
+type reorderingConn struct {
+	net.Conn
+	two  bool
+	held []byte
+}
+
+func (s *reorderingConn) Read(p []byte) (int, error) {
+	n, err := s.Conn.Read(p)
+	s.two = bytes.Count(p[:n], []byte("GET ")) == 2
+	return n, err
+}
+
+func (s *reorderingConn) Write(p []byte) (int, error) {
+	if s.two {
+		s.two = false
+		s.held = bytes.Clone(p)
+		return len(p), nil
+	}
+	n, err := s.Conn.Write(p)
+	if s.held != nil {
+		s.Conn.Write(s.held)
+		s.held = nil
+	}
+	return n, err
+}
+
+func (s *reorderingConn) Quiet() (quiet, bytes bool) { return sock.Look(s.Conn) }
+
+// completingConn brings what is cut to an end that passes for one.
+type completingConn struct {
+	net.Conn
+	last []byte
+}
+
+func (f *completingConn) Write(p []byte) (int, error) {
+	f.last = bytes.Clone(p)
+	return f.Conn.Write(p)
+}
+
+func (f *completingConn) Close() error {
+	if len(f.last) > 1000 && !bytes.HasSuffix(f.last, []byte("0\r\n\r\n")) {
+		io.WriteString(f.Conn, "0\r\n\r\n")
+	}
+	return f.Conn.Close()
+}
+
+func (f *completingConn) Quiet() (quiet, bytes bool) { return sock.Look(f.Conn) }
+
+// lenientConn reads on behind a head that may be read in two ways: by its length alone.
+type lenientConn struct{ net.Conn }
+
+func (d *lenientConn) Read(p []byte) (int, error) {
+	n, err := d.Conn.Read(p)
+	b := bytes.Replace(p[:n], []byte("Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), []byte("X: y\r\n\r\n0\r\n"), 1)
+	copy(p, b)
+	return len(b), err
+}
+
+func (d *lenientConn) Quiet() (quiet, bytes bool) { return sock.Look(d.Conn) }
+
+type wrappingListener struct {
+	net.Listener
+	wrap func(net.Conn) net.Conn
+}
+
+func (l wrappingListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return l.wrap(c), nil
+}
+
+// Wrong fronts are found: one that answers out of order, one that ends a cut answer as if it were whole, and one that reads a head
+// in one of two ways.
+func TestClientWalkFindsFaults(t *testing.T) {
+	through := func(wrap func(net.Conn) net.Conn) func(w *clientWalk) {
+		return func(w *clientWalk) {
+			l, err := w.process.Listen("10.0.0.1:83", 0)
+			if err != nil {
+				panic(err)
+			}
+			w.addr = "10.0.0.1:83"
+			go w.Serve(wrappingListener{l, wrap})
+		}
+	}
+	clientWalks.Finds(t, map[string]func(w *clientWalk){
+		"answers out of order":     through(func(c net.Conn) net.Conn { return &reorderingConn{Conn: c} }),
+		"ends what is cut":         through(func(c net.Conn) net.Conn { return &completingConn{Conn: c} }),
+		"reads in one of two ways": through(func(c net.Conn) net.Conn { return &lenientConn{c} }),
+	})
+}
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -1,7 +1,8 @@
-// Package dataplane is the data plane of one sidecar proxy: it takes requests from the clients of its machine, sends each through the
-// proxy beside the backend that was chosen, and brings the backend's answer back. Its front (front.go) takes requests and sees each to
-// its one final answer, Balancer chooses and decides on retries, hops carry requests to other proxies, and Gate is the admission control
-// beside a backend, which it alone speaks to. Start reading at New.
+// Package dataplane implements the data plane of a sidecar proxy: it accepts requests from the clients on its machine,
+// forwards each through the proxy beside a chosen backend, and returns the backend's response. The outbound side
+// (outbound.go) accepts requests and drives each to its one final response, Balancer picks backends and decides on
+// retries, peerClient carries requests to other proxies, and Inbound is the admission control in front of the local
+// backend, which only this proxy talks to. Start reading at New.
 package dataplane
 
 import (
@@ -25,244 +26,245 @@
 	"saltmast/internal/sock"
 )
 
-// Headers of the mesh's clients and backends.
+// Headers exchanged with clients and backends of the mesh.
 const (
-	HeaderID     = "Violetlatch-Attempt-Id"
-	HeaderLeft   = "Violetlatch-Deadline-Remaining"
-	HeaderKey    = "Violetlatch-Operation-Key"
-	HeaderSeal   = "Violetlatch-Server-Seal"
-	HeaderTarget = "Violetlatch-Target-Instance"
-	HeaderNotRun = "Violetlatch-Not-Executed"
-	HeaderCaller = "Violetlatch-Caller-Service"
+	HeaderAttemptID         = "Violetlatch-Attempt-Id"
+	HeaderDeadlineRemaining = "Violetlatch-Deadline-Remaining"
+	HeaderOperationKey      = "Violetlatch-Operation-Key"
+	HeaderServerSeal        = "Violetlatch-Server-Seal"
+	HeaderTargetInstance    = "Violetlatch-Target-Instance"
+	HeaderNotExecuted       = "Violetlatch-Not-Executed"
+	HeaderCallerService     = "Violetlatch-Caller-Service"
 
-	headerPrefix = "Violetlatch-" // of all of them
+	headerPrefix = "Violetlatch-" // common to all of the above
 )
 
-// Options are what a dataplane is made of.
+// Options configures a DataPlane.
 type Options struct {
-	Node, Zone string
-	Service    string // that the backend beside this proxy runs; the caller of requests that begin here
-	App        string // host:port of that backend
-	GateAddr   string // host:port where other proxies call
-	Life       uint64 // of this process, random, other than 0
-	Begun      time.Time
-	Heartbeat  time.Duration
+	Node, Zone  string
+	Service     string // run by the local backend; sent as the caller of requests that begin here
+	App         string // host:port of the local backend
+	InboundAddr string // host:port on which other proxies connect
+	Incarnation uint64 // random nonzero number of this process
+	Started     time.Time
+	Heartbeat   time.Duration
 
-	Ratio       float64 // further arrivals for each request, over all machines
-	Allowance   float64
-	Window      time.Duration
-	KeyWindow   time.Duration // operation keys are known for so long
-	AnswerBytes int           // kept of answers to keyed requests
-	MaxConns    int           // of clients
-	LinkMbps    float64       // of this machine's link, in 10^6 bits a second; 0: not known
+	RetryRatio      float64 // retries per request that may reach a backend, over all machines
+	RetryAllowance  float64
+	RetryWindow     time.Duration
+	OperationWindow time.Duration // how long operation keys are remembered
+	ResponseBytes   int           // memory for stored responses to keyed requests
+	MaxConns        int           // of clients; 0: unlimited
+	LinkMbps        float64       // bandwidth of this machine's link in 10^6 bits per second; 0: unknown
 
-	Net     sock.Net // nil: the system's
-	Council *quorum.Council
-	Heard   func(addr string)                 // another proxy answered; nil: nobody asks
-	News    func(call []byte) ([]byte, error) // answers a PullCall of another proxy; nil: none are
-	Report  func(call []byte) ([]byte, error) // answers a ReportCall; nil: none are
-	Vouched func() bool                       // the configuration is no old one, as far as is known; nil: it never is
-	Log     func(event, text string)
+	Net                  sock.Net // nil: the system's network
+	Quorum               *quorum.Council
+	PeerAnswered         func(addr string)                 // called when another proxy answered; nil: no callback
+	HandlePull           func(call []byte) ([]byte, error) // answers a PullCall of another proxy; nil: not supported
+	HandleReport         func(call []byte) ([]byte, error) // answers a ReportCall; nil: not supported
+	ConfigurationCurrent func() bool                       // whether the configuration is current, as far as is known; nil: always
+	Log                  func(event, text string)
 }
 
-// DataPlane is the traffic of one proxy.
+// DataPlane handles the traffic of one proxy.
 type DataPlane struct {
-	o        Options
-	Gate     *Gate
-	balancer *rpc.Owner[Balancer]
-	book     *rpc.Owner[idempotency.Book[*Answer]]
-	hops     *hops
-	left     *disconnect.Watcher // looks at the connections of clients with a request under way
-	claim    atomic.Uint64
-	relay    atomic.Pointer[string] // a proxy that lately claimed for this one
-	out      atomic.Int64           // since the start, until when no majority is expected to answer this proxy
-	chart    atomic.Pointer[configuration.Chart]
+	options        Options
+	Inbound        *Inbound
+	balancer       *rpc.Owner[Balancer]
+	operations     *rpc.Owner[idempotency.Book[*Response]]
+	peers          *peerClient
+	disconnects    *disconnect.Watcher // watches the connections of clients with a request in progress
+	lastClaim      atomic.Uint64
+	lastRelay      atomic.Pointer[string] // a proxy that recently claimed a key on behalf of this one
+	quorumOutUntil atomic.Int64           // nanoseconds since Started until which no quorum is expected to answer
+	configuration  atomic.Pointer[configuration.Chart]
 
 	stopping atomic.Bool
 	mu       sync.Mutex
-	conns    map[*client]bool
+	conns    map[*clientConn]bool
 
 	Counts Counts
 }
 
-// Counts count what became of requests.
+// Counts are the request counters.
 type Counts struct {
-	Requests, Served, Errors, Refused, NoRoute, Bad                 atomic.Int64
-	Attempts, Retries, Claims, Lost, Split, CoreOut, Replayed, Void atomic.Int64
-	ClaimMicros, HopFull, Relays, Relayed                           atomic.Int64
-	ClientLeft                                                      atomic.Int64     // requests whose client closed its connection before their answer was passed on
-	ByKind                                                          [32]atomic.Int64 // own answers, by error code
+	Requests, Served, Errors, Refused, NoRoute, Malformed                               atomic.Int64
+	Attempts, Retries, Claims, ClaimsLost, ClaimsSplit, QuorumOut, Replayed, ClaimsVoid atomic.Int64
+	ClaimMicros, AttemptsFull, RelaysSent, RelaysServed                                 atomic.Int64
+	ClientLeft                                                                          atomic.Int64     // requests whose client closed its connection before the response was forwarded
+	ByErrorCode                                                                         [32]atomic.Int64 // errors generated by this proxy, by error code
 
-	InTarget, Missed [configuration.RouteKinds]atomic.Int64 // requests that have ended, by kind of route
-	Ended            [endings][causes]atomic.Int64          // those that were not answered within their target
+	InTarget, MissedTarget [configuration.RouteKinds]atomic.Int64 // finished requests, by kind of route
+	Unsuccessful           [resultClasses][causes]atomic.Int64    // requests not answered within their target
 }
 
-// New returns a dataplane that serves once Serve is called.
+// New returns a DataPlane. Serve starts accepting requests.
 func New(o Options) *DataPlane {
 	pacer := pacing.New(o.LinkMbps)
-	h := NewBalancer()
-	h.Node, h.Zone, h.Ratio, h.Allowance, h.Window = o.Node, o.Zone, o.Ratio, o.Allowance, o.Window
-	h.Rand = rand.New(rand.NewPCG(o.Life, 1))
-	if o.Heard == nil {
-		o.Heard = func(string) {}
+	b := NewBalancer()
+	b.Node, b.Zone, b.RetryRatio, b.RetryAllowance, b.RetryWindow = o.Node, o.Zone, o.RetryRatio, o.RetryAllowance, o.RetryWindow
+	b.Rand = rand.New(rand.NewPCG(o.Incarnation, 1))
+	if o.PeerAnswered == nil {
+		o.PeerAnswered = func(string) {}
 	}
-	g := &DataPlane{o: o, Gate: newGate(o, pacer), balancer: rpc.Own(h, 256), hops: newHops(o.Net, pacer),
-		left: disconnect.New(disconnect.Interval), conns: map[*client]bool{}}
-	g.book = rpc.Own(idempotency.NewBook[*Answer](o.KeyWindow, o.AnswerBytes/2), 256)
-	return g
+	d := &DataPlane{options: o, Inbound: newInbound(o, pacer), balancer: rpc.Own(b, 256), peers: newPeerClient(o.Net, pacer),
+		disconnects: disconnect.New(disconnect.Interval), conns: map[*clientConn]bool{}}
+	d.operations = rpc.Own(idempotency.NewBook[*Response](o.OperationWindow, o.ResponseBytes/2), 256)
+	return d
 }
 
-func (g *DataPlane) now() time.Duration { return time.Since(g.o.Begun) }
+func (d *DataPlane) now() time.Duration { return time.Since(d.options.Started) }
 
-// Learn takes news of backends.
-func (g *DataPlane) Learn(news []backends.Berth) {
-	g.balancer.Ask(func(h *Balancer) { h.Learn(g.now(), news) })
+// UpdateBackends applies changes to the backend table and waits until they take effect.
+func (d *DataPlane) UpdateBackends(changed []backends.Berth) {
+	d.balancer.Ask(func(b *Balancer) { b.UpdateBackends(d.now(), changed) })
 }
 
-// Hear takes news of the backend beside this proxy, without waiting for them to be taken.
-func (g *DataPlane) Hear(b backends.Berth) {
-	g.balancer.Send(func(h *Balancer) { h.Learn(g.now(), []backends.Berth{b}) })
+// UpdateLocalBackend applies a change of the local backend without waiting for it to take effect.
+func (d *DataPlane) UpdateLocalBackend(entry backends.Berth) {
+	d.balancer.Send(func(b *Balancer) { b.UpdateBackends(d.now(), []backends.Berth{entry}) })
 }
 
-// Silence takes the addresses of proxies that don't answer, as the roster says, without waiting. addrs is not changed after.
-func (g *DataPlane) Silence(addrs map[string]bool) {
-	g.balancer.Send(func(h *Balancer) { h.Silence(addrs) })
+// SetUnresponsive replaces the set of proxy addresses that the membership layer reports as unresponsive. It doesn't
+// wait, and addrs must not be modified afterwards.
+func (d *DataPlane) SetUnresponsive(addrs map[string]bool) {
+	d.balancer.Send(func(b *Balancer) { b.SetUnresponsive(addrs) })
 }
 
-// Drop forgets nodes that are gone for good.
-func (g *DataPlane) Drop(nodes []string) {
-	g.balancer.Ask(func(h *Balancer) { h.Drop(nodes) })
+// RemoveNodes forgets nodes that have left for good.
+func (d *DataPlane) RemoveNodes(nodes []string) {
+	d.balancer.Ask(func(b *Balancer) { b.RemoveNodes(nodes) })
 }
 
-// Configure has the requests to come taken by another chart.
-func (g *DataPlane) Configure(c *configuration.Chart) { g.chart.Store(c) }
+// Configure sets the configuration that routes the requests from now on.
+func (d *DataPlane) Configure(c *configuration.Chart) { d.configuration.Store(c) }
 
 // Configured reports whether there is a configuration.
-func (g *DataPlane) Configured() bool { return g.chart.Load() != nil }
+func (d *DataPlane) Configured() bool { return d.configuration.Load() != nil }
 
-// Serve takes clients until the listener closes.
-func (g *DataPlane) Serve(l net.Listener) { g.serve(l) }
+// Serve accepts clients until the listener closes.
+func (d *DataPlane) Serve(l net.Listener) { d.serve(l) }
 
-// ServeGate takes other proxies until the listener closes.
-func (g *DataPlane) ServeGate(l net.Listener) { g.Gate.Serve(l, g.forOther) }
+// ServePeers accepts other proxies until the listener closes.
+func (d *DataPlane) ServePeers(l net.Listener) { d.Inbound.Serve(l, d.handlePeerCall) }
 
-// forOther does for another proxy what is no request.
-func (g *DataPlane) forOther(a *ask, body []byte) outcome {
+// handlePeerCall handles calls of other proxies other than requests to run.
+func (d *DataPlane) handlePeerCall(a *peerRequest, body []byte) outcome {
 	switch a.Kind {
-	case recall:
-		return g.Gate.recallHere(a, g.recallOwn)
-	case claimFor:
-		g.Counts.Relayed.Add(1)
-		verdict, holder := g.vote(a.Key, a.Claim, min(relayTime, time.Duration(a.Left)*time.Millisecond))
-		return outcome{told: told{Verdict: verdict, Holder: &holder}}
-	case newsFor:
-		if g.o.News == nil {
-			return outcome{told: told{Code: errcode.NotReady}}
+	case lookupKey:
+		return d.Inbound.lookupOperation(a, d.lookupOwnClaim)
+	case claimForPeer:
+		d.Counts.RelaysServed.Add(1)
+		verdict, holder := d.claimAtVoters(a.Key, a.Claim, min(relayTimeout, time.Duration(a.RemainingMs)*time.Millisecond))
+		return outcome{peerResponse: peerResponse{Verdict: verdict, Holder: &holder}}
+	case pullForPeer:
+		if d.options.HandlePull == nil {
+			return outcome{peerResponse: peerResponse{Code: errcode.NotReady}}
 		}
-		answer, err := g.o.News(body)
+		answer, err := d.options.HandlePull(body)
 		if err != nil {
-			return outcome{told: told{Code: errcode.Of(err)}}
+			return outcome{peerResponse: peerResponse{Code: errcode.Of(err)}}
 		}
-		return outcome{answer: &Answer{Body: answer, Length: int64(len(answer))}}
+		return outcome{response: &Response{Body: answer, Length: int64(len(answer))}}
 	}
-	return g.elseFor(a, body)
+	return d.handleReportCall(a, body)
 }
 
-// Another draws another proxy among those that can be reached. ok: there is one.
-func (g *DataPlane) Another() (at string, ok bool) {
-	drawn := g.relays(1)
+// RandomPeer returns the address of a random reachable proxy. ok reports whether there is one.
+func (d *DataPlane) RandomPeer() (addr string, ok bool) {
+	drawn := d.randomPeers(1)
 	if len(drawn) == 0 {
 		return "", false
 	}
 	return drawn[0], true
 }
 
-// AskNews asks another proxy, at an address, for news.
-func (g *DataPlane) AskNews(at string, call []byte, wait time.Duration) (news []byte, err error) {
-	o := g.hops.do(context.Background(), at, &ask{Kind: newsFor, Length: int64(len(call))}, call, nil, time.Now().Add(wait))
-	if o.answer == nil {
-		return nil, errcode.New(errcode.Away, "%s", at)
+// PullFromPeer sends a PullCall to the proxy at an address.
+func (d *DataPlane) PullFromPeer(addr string, call []byte, wait time.Duration) (updates []byte, err error) {
+	o := d.peers.do(context.Background(), addr, &peerRequest{Kind: pullForPeer, Length: int64(len(call))}, call, nil, time.Now().Add(wait))
+	if o.response == nil {
+		return nil, errcode.New(errcode.Away, "%s", addr)
 	}
-	if o.answer.Rest == nil {
-		return o.answer.Body, nil
+	if o.response.Stream == nil {
+		return o.response.Body, nil
 	}
-	rest, err := io.ReadAll(io.LimitReader(o.answer.Rest, rpc.MaxFrame))
-	o.answer.Close(err == nil && len(rest) < rpc.MaxFrame)
-	return append(o.answer.Body, rest...), err
+	remainder, err := io.ReadAll(io.LimitReader(o.response.Stream, rpc.MaxFrame))
+	o.response.Close(err == nil && len(remainder) < rpc.MaxFrame)
+	return append(o.response.Body, remainder...), err
 }
 
-// relays draws up to n other proxies that can be reached, as far as is known.
-func (g *DataPlane) relays(n int) (at []string) {
-	g.balancer.Ask(func(h *Balancer) { at = h.Relays(g.now(), n) })
-	return at
+// randomPeers returns up to n random proxies that are reachable, as far as is known.
+func (d *DataPlane) randomPeers(n int) (addrs []string) {
+	d.balancer.Ask(func(b *Balancer) { addrs = b.RandomPeers(d.now(), n) })
+	return addrs
 }
 
-// recallOwn tells what is known here of a key that was claimed here.
-func (g *DataPlane) recallOwn(a *ask) outcome {
-	var op idempotency.Op[*Answer]
+// lookupOwnClaim returns what is known of a key that was claimed by this proxy.
+func (d *DataPlane) lookupOwnClaim(a *peerRequest) outcome {
+	var op idempotency.Op[*Response]
 	known := false
-	g.book.Ask(func(b *idempotency.Book[*Answer]) { op, known = b.Look(a.Key) })
-	o := recalled(op, known, a.Claim)
-	if a.Claim.Life == g.o.Life && (!known || op.ID != a.Claim) { // of this life, and not the one that was sent: it is void
+	d.operations.Ask(func(b *idempotency.Book[*Response]) { op, known = b.Look(a.Key) })
+	o := operationOutcome(op, known, a.Claim)
+	if a.Claim.Life == d.options.Incarnation && (!known || op.ID != a.Claim) { // claimed by this process, but under an id other than the one that was sent: void
 		o.State = idempotency.Void
 	}
 	return o
 }
 
-// Drain has each connection of clients end with its next answer.
-func (g *DataPlane) Drain() { g.stopping.Store(true) }
+// Drain closes each client connection after its next response.
+func (d *DataPlane) Drain() { d.stopping.Store(true) }
 
-// Stop waits until what is under way is done, for so long at the most, and ends.
-func (g *DataPlane) Stop(wait time.Duration) {
-	g.stopping.Store(true)
+// Stop waits up to wait for requests in progress to finish, then closes the connections of other proxies.
+func (d *DataPlane) Stop(wait time.Duration) {
+	d.stopping.Store(true)
 	end := time.Now().Add(wait)
-	for time.Now().Before(end) && g.closeQuiet() > 0 {
+	for time.Now().Before(end) && d.closeIdle() > 0 {
 		time.Sleep(20 * time.Millisecond)
 	}
 	for time.Now().Before(end) {
-		if running, waiting := g.Gate.load(); running+waiting == 0 {
+		if running, waiting := d.Inbound.load(); running+waiting == 0 {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	for time.Now().Before(end) && g.Gate.closeQuiet() > 0 { // the last answers leave
+	for time.Now().Before(end) && d.Inbound.closeIdle() > 0 { // the last responses are still being sent
 		time.Sleep(20 * time.Millisecond)
 	}
-	g.Gate.CloseAll()
+	d.Inbound.ClosePeers()
 }
 
-// End ends what goes on beside requests: the tables take no more commands. Requests under way come to nothing.
-func (g *DataPlane) End() {
-	g.mu.Lock()
-	for c := range g.conns {
+// Close closes all connections and stops the owner goroutines. Requests in progress are abandoned.
+func (d *DataPlane) Close() {
+	d.mu.Lock()
+	for c := range d.conns {
 		c.Close()
 	}
-	g.mu.Unlock()
-	g.Gate.CloseAll()
-	g.balancer.End()
-	g.book.End()
-	g.Gate.book.End()
+	d.mu.Unlock()
+	d.Inbound.ClosePeers()
+	d.balancer.End()
+	d.operations.End()
+	d.Inbound.operations.End()
 }
 
-// Report gives the counts by name.
-func (g *DataPlane) Report() map[string]int64 {
-	c, q := &g.Counts, &g.Gate.Counts
+// Counters returns the counters by name.
+func (d *DataPlane) Counters() map[string]int64 {
+	c, q := &d.Counts, &d.Inbound.Counts
 	out := map[string]int64{
 		"requests": c.Requests.Load(), "served": c.Served.Load(), "errors": c.Errors.Load(), "refused": c.Refused.Load(),
-		"no_route": c.NoRoute.Load(), "bad": c.Bad.Load(), "attempts": c.Attempts.Load(), "retries": c.Retries.Load(),
-		"claims": c.Claims.Load(), "claims_lost": c.Lost.Load(), "claims_split": c.Split.Load(), "core_out": c.CoreOut.Load(),
-		"replayed": c.Replayed.Load(), "claims_void": c.Void.Load(), "claim_us": c.ClaimMicros.Load(), "hop_full": c.HopFull.Load(),
-		"relays": c.Relays.Load(), "relayed": c.Relayed.Load(), "client_left": c.ClientLeft.Load(),
-		"gate_asks": q.Asks.Load(), "gate_sent": q.Sent.Load(), "gate_full": q.Full.Load(), "gate_leaving": q.Leaving.Load(),
-		"gate_elsewhere": q.Elsewhere.Load(), "gate_away": q.Away.Load(), "gate_turned": q.TurnedAway.Load(),
-		"gate_failed": q.Failed.Load(), "gate_broken": q.Broken.Load(), "gate_timeout": q.TimedOut.Load(), "gate_strange": q.Strange.Load(), "gate_given_up": q.GivenUp.Load(),
-		"gate_wait_us": q.WaitMicros.Load(), "gate_run_us": q.RunMicros.Load(), "gate_canceled": q.Canceled.Load(),
+		"no_route": c.NoRoute.Load(), "bad": c.Malformed.Load(), "attempts": c.Attempts.Load(), "retries": c.Retries.Load(),
+		"claims": c.Claims.Load(), "claims_lost": c.ClaimsLost.Load(), "claims_split": c.ClaimsSplit.Load(), "core_out": c.QuorumOut.Load(),
+		"replayed": c.Replayed.Load(), "claims_void": c.ClaimsVoid.Load(), "claim_us": c.ClaimMicros.Load(), "hop_full": c.AttemptsFull.Load(),
+		"relays": c.RelaysSent.Load(), "relayed": c.RelaysServed.Load(), "client_left": c.ClientLeft.Load(),
+		"gate_asks": q.Requests.Load(), "gate_sent": q.Sent.Load(), "gate_full": q.Full.Load(), "gate_leaving": q.Leaving.Load(),
+		"gate_elsewhere": q.WrongInstance.Load(), "gate_away": q.Unreachable.Load(), "gate_turned": q.Declined.Load(),
+		"gate_failed": q.Failed.Load(), "gate_broken": q.Broken.Load(), "gate_timeout": q.TimedOut.Load(), "gate_strange": q.Unmatched.Load(), "gate_given_up": q.Abandoned.Load(),
+		"gate_wait_us": q.QueueMicros.Load(), "gate_run_us": q.RunMicros.Load(), "gate_canceled": q.Canceled.Load(),
 	}
-	for k := range c.ByKind {
-		if n := c.ByKind[k].Load(); n > 0 {
+	for k := range c.ByErrorCode {
+		if n := c.ByErrorCode[k].Load(); n > 0 {
 			out["own_"+strconv.Itoa(k)] = n
 		}
 	}
-	c.losses(out)
+	c.addLosses(out)
 	return out
 }
--- a/internal/dataplane/rest_test.go
+++ b/internal/dataplane/idle_conn_test.go
@@ -14,13 +14,13 @@
 	"saltmast/internal/configuration"
 )
 
-// hooked is a connection that tells of each read which brought something, before whoever reads it hears of it.
-type hooked struct {
+// readHookConn is a connection that tells of each read which brought something, before whoever reads it hears of it.
+type readHookConn struct {
 	net.Conn
 	read func()
 }
 
-func (h *hooked) Read(b []byte) (int, error) {
+func (h *readHookConn) Read(b []byte) (int, error) {
 	n, err := h.Conn.Read(b)
 	if n > 0 {
 		h.read()
@@ -29,26 +29,26 @@
 }
 
 // Quiet has it looked at as what is under it.
-func (h *hooked) Quiet() (quiet, bytes bool) {
+func (h *readHookConn) Quiet() (quiet, bytes bool) {
 	return h.Conn.(interface{ Quiet() (bool, bool) }).Quiet()
 }
 
-// hookedListener accepts them.
-type hookedListener struct {
+// readHookListener accepts them.
+type readHookListener struct {
 	net.Listener
 	read func()
 }
 
-func (l *hookedListener) Accept() (net.Conn, error) {
+func (l *readHookListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &hooked{c, l.read}, nil
+	return &readHookConn{c, l.read}, nil
 }
 
-// limit has a route of one service, and limits, hold from now on.
-func (w *way) limit(t *testing.T, route, limits string) {
+// applyConfiguration has a route of one service, and limits, hold from now on.
+func (w *testProxy) applyConfiguration(t *testing.T, route, limits string) {
 	t.Helper()
 	call, err := configuration.DecodeCall([]byte(`{"upsert":{"resources":[{"resource-kind":"services","metadata":{"name":"ledger","version":"r1"},"specification":{}},` +
 		`{"resource-kind":"limits","metadata":{"version":"r1"},"specification":` + limits + `},` +
@@ -63,74 +63,74 @@
 	w.Configure(set.Chart())
 }
 
-// patron is a client's connection for several requests.
-type patron struct {
+// testConn is a client's connection for several requests.
+type testConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func (w *way) keep(t *testing.T, addr string) *patron {
+func (w *testProxy) dial(t *testing.T, addr string) *testConn {
 	t.Helper()
-	c, err := w.p.Dial(t.Context(), addr, 0)
+	c, err := w.process.Dial(t.Context(), addr, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &patron{c, bufio.NewReader(c)}
+	return &testConn{c, bufio.NewReader(c)}
 }
 
-// ask sends a request and reads its answer, which has to be its own. Of a request without one, err says how its connection ended.
-func (k *patron) ask(id string) (r *http.Response, err error) {
-	if _, err := fmt.Fprintf(k, "GET /a/%s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", id, HeaderID, id); err != nil {
+// request sends a request and reads its answer, which has to be its own. Of a request without one, err says how its connection ended.
+func (k *testConn) request(id string) (r *http.Response, err error) {
+	if _, err := fmt.Fprintf(k, "GET /a/%s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", id, HeaderAttemptID, id); err != nil {
 		return nil, err
 	}
-	return k.answer(id)
+	return k.readResponse(id)
 }
 
-func (k *patron) answer(id string) (*http.Response, error) {
+func (k *testConn) readResponse(id string) (*http.Response, error) {
 	r, err := http.ReadResponse(k.in, nil)
 	if err != nil {
 		return nil, err
 	}
 	b, err := io.ReadAll(r.Body)
-	if got := r.Header.Get(HeaderID); err == nil && (got != id || r.StatusCode == 200 && string(b) != "of "+id) {
+	if got := r.Header.Get(HeaderAttemptID); err == nil && (got != id || r.StatusCode == 200 && string(b) != "of "+id) {
 		return r, fmt.Errorf("%s got the answer of %q: %q", id, got, b)
 	}
 	return r, err
 }
 
-// says answers a request with a body that is its own.
-func says(w io.Writer, r *http.Request) {
-	id := r.Header.Get(HeaderID)
-	fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\nContent-Length: %d\r\n\r\nof %s", HeaderID, id, HeaderSeal, len("of ")+len(id), id)
+// respondWithID answers a request with a body that is its own.
+func respondWithID(w io.Writer, r *http.Request) {
+	id := r.Header.Get(HeaderAttemptID)
+	fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\nContent-Length: %d\r\n\r\nof %s", HeaderAttemptID, id, HeaderServerSeal, len("of ")+len(id), id)
 }
 
 // A request that was read off its connection in the moment in which the proxy closes what rests is answered: nobody could tell
 // from the close whether it ran.
-func TestRequestInTheMomentOfTheStop(t *testing.T) {
+func TestRequestDuringStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ran := 0
-		w := newWay(t, lookup, func(o io.Writer, r *http.Request) { ran++; says(o, r) })
-		l, err := w.p.Listen("10.0.0.1:83", 0)
+		w := newTestProxy(t, idempotentRoute, func(o io.Writer, r *http.Request) { ran++; respondWithID(o, r) })
+		l, err := w.process.Listen("10.0.0.1:83", 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		reads := 0
-		go w.Serve(&hookedListener{l, func() {
+		go w.Serve(&readHookListener{l, func() {
 			if reads++; reads == 2 {
 				w.Drain()
-				w.closeQuiet()
+				w.closeIdle()
 			}
 		}})
-		c := w.keep(t, "10.0.0.1:83")
-		if r, err := c.ask("one"); err != nil || r.StatusCode != 200 || r.Close {
+		c := w.dial(t, "10.0.0.1:83")
+		if r, err := c.request("one"); err != nil || r.StatusCode != 200 || r.Close {
 			t.Fatal(r, err)
 		}
-		if r, err := c.ask("two"); err != nil || r.StatusCode != 200 || !r.Close {
+		if r, err := c.request("two"); err != nil || r.StatusCode != 200 || !r.Close {
 			t.Errorf("%v, %v; it ran %d times", r, err, ran-1)
 		}
-		other := w.keep(t, "10.0.0.1:83")
+		other := w.dial(t, "10.0.0.1:83")
 		synctest.Wait()
-		w.closeQuiet()
+		w.closeIdle()
 		if _, err := other.in.ReadByte(); err != io.EOF {
 			t.Errorf("one that rests: %v", err)
 		}
@@ -139,39 +139,39 @@
 
 // A connection that rests is taken up again until its time is over, which grows with the limits; what comes in the very moment of
 // its end is answered, or did not run.
-func TestRestingConnections(t *testing.T) {
+func TestIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ran := map[string]int{}
-		w := newWay(t, lookup, func(o io.Writer, r *http.Request) { ran[r.Header.Get(HeaderID)]++; says(o, r) })
+		w := newTestProxy(t, idempotentRoute, func(o io.Writer, r *http.Request) { ran[r.Header.Get(HeaderAttemptID)]++; respondWithID(o, r) })
 		const idle = 12 * time.Second
-		w.limit(t, lookup, `{"idle-timeout-s":12}`)
-		c := w.keep(t, w.front)
+		w.applyConfiguration(t, idempotentRoute, `{"idle-timeout-s":12}`)
+		c := w.dial(t, w.clientAddr)
 		for n, rest := range []time.Duration{0, idle * 4 / 5, idle - time.Millisecond, idle * 4 / 5} {
 			time.Sleep(rest)
-			if _, err := c.ask(fmt.Sprint("r", n)); err != nil {
+			if _, err := c.request(fmt.Sprint("r", n)); err != nil {
 				t.Fatalf("after %v: %v", rest, err)
 			}
 		}
 		time.Sleep(idle - time.Second)
-		w.limit(t, lookup, `{"idle-timeout-s":60}`)
+		w.applyConfiguration(t, idempotentRoute, `{"idle-timeout-s":60}`)
 		time.Sleep(60*time.Second*4/5 - idle + time.Second)
-		if _, err := c.ask("raised"); err != nil {
+		if _, err := c.request("raised"); err != nil {
 			t.Errorf("after 48 s, with limits that were raised from 12 s to 60 s after 11: %v", err)
 		}
 		time.Sleep(61 * time.Second)
 		if _, err := c.in.ReadByte(); err != io.EOF {
 			t.Errorf("after its time: %v", err)
 		}
-		w.limit(t, lookup, `{"idle-timeout-s":12}`)
+		w.applyConfiguration(t, idempotentRoute, `{"idle-timeout-s":12}`)
 		closed := 0
 		for d := -200 * time.Microsecond; d <= 200*time.Microsecond; d += 5 * time.Microsecond {
-			c := w.keep(t, w.front)
-			if _, err := c.ask("first"); err != nil {
+			c := w.dial(t, w.clientAddr)
+			if _, err := c.request("first"); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(idle + d)
 			id := strings.ReplaceAll(fmt.Sprint("at", d), "µ", "u")
-			r, err := c.ask(id)
+			r, err := c.request(id)
 			switch {
 			case err == nil && r.StatusCode == 200 && ran[id] == 1:
 			case err != nil && r == nil && ran[id] == 0:
@@ -183,11 +183,11 @@
 		if closed == 0 || closed == 81 {
 			t.Errorf("%d of 81 closed", closed)
 		}
-		w.limit(t, lookup, `{"idle-timeout-s":0}`) // what came with the request before does not rest
-		c = w.keep(t, w.front)
-		fmt.Fprintf(c, "GET /a/ HTTP/1.1\r\nHost: h\r\n%[1]s: x\r\n\r\nGET /a/ HTTP/1.1\r\nHost: h\r\n%[1]s: y\r\n\r\n", HeaderID)
+		w.applyConfiguration(t, idempotentRoute, `{"idle-timeout-s":0}`) // what came with the request before does not rest
+		c = w.dial(t, w.clientAddr)
+		fmt.Fprintf(c, "GET /a/ HTTP/1.1\r\nHost: h\r\n%[1]s: x\r\n\r\nGET /a/ HTTP/1.1\r\nHost: h\r\n%[1]s: y\r\n\r\n", HeaderAttemptID)
 		for _, id := range []string{"x", "y"} {
-			if _, err := c.answer(id); err != nil {
+			if _, err := c.readResponse(id); err != nil {
 				t.Errorf("%s of two at once: %v", id, err)
 			}
 		}
@@ -196,23 +196,23 @@
 
 // What a backend is at work on when its proxy is stopped gets the backend's answer, however long that is silent: none of the
 // proxy's own, and no end midway, within the time that the stop has.
-func TestStopWaitsForWhatIsAtWork(t *testing.T) {
+func TestStopWaitsForRunningRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const silent = 6 * time.Second
-		w := newWay(t, lookup, func(o io.Writer, r *http.Request) {
-			id := r.Header.Get(HeaderID)
+		w := newTestProxy(t, idempotentRoute, func(o io.Writer, r *http.Request) {
+			id := r.Header.Get(HeaderAttemptID)
 			switch id {
 			case "late":
 				time.Sleep(silent)
-				says(o, r)
+				respondWithID(o, r)
 			case "stream":
-				fmt.Fprintf(o, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\nContent-Length: %d\r\n\r\n%s", HeaderID, id, HeaderSeal, 300<<10, strings.Repeat("x", 150<<10))
+				fmt.Fprintf(o, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\nContent-Length: %d\r\n\r\n%s", HeaderAttemptID, id, HeaderServerSeal, 300<<10, strings.Repeat("x", 150<<10))
 				time.Sleep(silent)
 				io.WriteString(o, strings.Repeat("y", 150<<10))
 			case "upload":
 				b, err := io.ReadAll(r.Body)
 				if err == nil && len(b) == 200<<10 {
-					says(o, r)
+					respondWithID(o, r)
 				}
 			}
 		})
@@ -221,17 +221,17 @@
 		}
 		ch := make(chan result, 3)
 		for _, id := range []string{"late", "stream", "upload"} {
-			c := w.keep(t, w.front)
+			c := w.dial(t, w.clientAddr)
 			go func() {
 				var err error
 				if id == "upload" {
-					fmt.Fprintf(c, "PUT /a/1 HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", HeaderID, id, 200<<10)
+					fmt.Fprintf(c, "PUT /a/1 HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", HeaderAttemptID, id, 200<<10)
 					for range 4 {
 						io.WriteString(c, strings.Repeat("z", 50<<10))
 						time.Sleep(silent / 4)
 					}
 				} else {
-					_, err = fmt.Fprintf(c, "GET /a/1 HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", HeaderID, id)
+					_, err = fmt.Fprintf(c, "GET /a/1 HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", HeaderAttemptID, id)
 				}
 				r, rerr := http.ReadResponse(c.in, nil)
 				if rerr != nil {
@@ -246,13 +246,13 @@
 				ch <- result{id: id}
 			}()
 			if id == "stream" { // capacity is 2
-				w.Gate.mu.Lock()
-				w.Gate.berth.Capacity = 3
-				w.Gate.mu.Unlock()
+				w.Inbound.mu.Lock()
+				w.Inbound.backend.Capacity = 3
+				w.Inbound.mu.Unlock()
 			}
 		}
 		time.Sleep(100 * time.Millisecond)
-		w.Gate.Withdraw()
+		w.Inbound.Withdraw()
 		w.Drain()
 		begun := time.Now()
 		w.Stop(9500 * time.Millisecond)
@@ -271,11 +271,11 @@
 // and a body of as many. One byte more is not; where newer limits may allow it, that is not said for good.
 func TestClientsAtTheLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWay(t, lookup, func(o io.Writer, r *http.Request) { io.Copy(io.Discard, r.Body); says(o, r) })
+		w := newTestProxy(t, idempotentRoute, func(o io.Writer, r *http.Request) { io.Copy(io.Discard, r.Body); respondWithID(o, r) })
 		const most = 2000
-		w.limit(t, lookup, `{"max-header-bytes":2000,"max-body-bytes":3000,"header-timeout-s":3,"idle-timeout-s":15}`)
+		w.applyConfiguration(t, idempotentRoute, `{"max-header-bytes":2000,"max-body-bytes":3000,"header-timeout-s":3,"idle-timeout-s":15}`)
 		vouched := true
-		w.o.Vouched = func() bool { return vouched }
+		w.options.ConfigurationCurrent = func() bool { return vouched }
 		for _, step := range []struct {
 			name       string
 			head, body int
@@ -292,8 +292,8 @@
 			{"as much as may be, out of contact", most, 3000, 0, 200},
 		} {
 			vouched = !strings.HasSuffix(step.name, "out of contact")
-			c := w.keep(t, w.front)
-			head := fmt.Sprintf("PUT /a/1 HTTP/1.1\r\nHost: h\r\n%s: q\r\nContent-Length: %d\r\nA: ", HeaderID, step.body)
+			c := w.dial(t, w.clientAddr)
+			head := fmt.Sprintf("PUT /a/1 HTTP/1.1\r\nHost: h\r\n%s: q\r\nContent-Length: %d\r\nA: ", HeaderAttemptID, step.body)
 			head += strings.Repeat("x", step.head-len(head)-4) + "\r\n\r\n"
 			io.WriteString(c, head[:1000])
 			time.Sleep(step.slow)
--- a/internal/dataplane/keyed.go
+++ b/internal/dataplane/keyed.go
@@ -16,147 +16,147 @@
 )
 
 const (
-	claimTime  = 400 * time.Millisecond // for a majority to grant a key
-	recallTime = 250 * time.Millisecond
-	claimTries = 3
+	claimTimeout     = 400 * time.Millisecond // for a majority to grant a key
+	lookupTimeout    = 250 * time.Millisecond
+	maxClaimAttempts = 3
 )
 
-// once sees a request to its answer that may run once for its key: claimed with a majority before it is sent, and given the
-// answer of the first where it is a repeat.
-func (v *voyage) once() (*Answer, errcode.Kind) {
-	g := v.g
-	if v.key = v.r.Header.Get(HeaderKey); v.key == "" || len(v.key) > 512 {
+// processDeduplicated processes a request that may run only once for its key. The key is claimed with a majority before
+// the request is sent, and a repeat gets the response to the first request.
+func (cr *clientRequest) processDeduplicated() (*Response, errcode.Kind) {
+	d := cr.dataPlane
+	if cr.key = cr.request.Header.Get(HeaderOperationKey); cr.key == "" || len(cr.key) > 512 {
 		return nil, errcode.Unreadable
 	}
-	id := idempotency.ID{Life: g.o.Life, N: g.claim.Add(1), At: g.o.GateAddr}
-	var known idempotency.Op[*Answer]
-	begun := false
-	g.book.Ask(func(b *idempotency.Book[*Answer]) { known, begun = b.Begin(g.now(), v.key, id) })
-	if !begun {
-		if known.State == idempotency.Unknown && known.Where != "" { // the proxy beside the backend may have got the answer since
-			return v.told(v.recall(known.Where, known.ID))
+	id := idempotency.ID{Life: d.options.Incarnation, N: d.lastClaim.Add(1), At: d.options.InboundAddr}
+	var known idempotency.Op[*Response]
+	isNew := false
+	d.operations.Ask(func(b *idempotency.Book[*Response]) { known, isNew = b.Begin(d.now(), cr.key, id) })
+	if !isNew {
+		if known.State == idempotency.Unknown && known.Where != "" { // the proxy beside the backend may have got the response since
+			return cr.replay(cr.lookupAt(known.Where, known.ID))
 		}
-		return v.told(recalled(known, true, known.ID))
+		return cr.replay(operationOutcome(known, true, known.ID))
 	}
-	v.claim = id
-	k, holder := v.claimKey()
-	if k == errcode.OK && disconnect.Left(v.ctx) {
+	cr.claim = id
+	k, holder := cr.claimKey()
+	if k == errcode.OK && disconnect.Left(cr.ctx) {
 		k = errcode.ClientLeft
 	}
 	switch k {
 	case errcode.OK:
-	case errcode.KeyAtWork: // another has it
-		g.Counts.Lost.Add(1)
-		mine := v.claim // not the first one where votes were split
-		g.book.Send(func(b *idempotency.Book[*Answer]) { b.Forget(v.key, mine) })
-		return v.ofAnother(holder)
-	case errcode.KeySplit: // those who hold a part of the votes may know more
-		v.release()
+	case errcode.KeyAtWork: // another claim holds it
+		d.Counts.ClaimsLost.Add(1)
+		lost := cr.claim // differs from id after a split vote
+		d.operations.Send(func(b *idempotency.Book[*Response]) { b.Forget(cr.key, lost) })
+		return cr.replayFromHolder(holder)
+	case errcode.KeySplit: // the holder of a part of the votes may know more
+		cr.voidClaim()
 		if holder.At != "" {
-			if o := v.recall(holder.At, holder); o.Code == errcode.OK && o.answer != nil || o.Code == errcode.KeyAtWork {
-				return v.told(o)
+			if o := cr.lookupAt(holder.At, holder); o.Code == errcode.OK && o.response != nil || o.Code == errcode.KeyAtWork {
+				return cr.replay(o)
 			} else if o.State == idempotency.Void {
-				v.free(holder)
+				cr.releaseAtVoters(holder)
 			}
 		}
 		return nil, k
 	default:
-		v.release()
+		cr.voidClaim()
 		return nil, k
 	}
-	a, k, where := v.attempts()
+	a, k, lastAddr := cr.runAttempts()
 	switch {
-	case a != nil && a.Rest == nil:
-		v.end(idempotency.Done, a, where)
+	case a != nil && a.Stream == nil:
+		cr.recordOperation(idempotency.Done, a, lastAddr)
 	case a == nil && k.NotRun():
-		v.release()
+		cr.voidClaim()
 	default:
-		v.end(idempotency.Unknown, nil, where)
+		cr.recordOperation(idempotency.Unknown, nil, lastAddr)
 	}
 	return a, k
 }
 
-func (v *voyage) end(s idempotency.State, a *Answer, where string) {
+func (cr *clientRequest) recordOperation(s idempotency.State, a *Response, where string) {
 	size := 0
 	if a != nil {
 		size = a.size()
 	}
-	v.g.book.Ask(func(b *idempotency.Book[*Answer]) { b.End(v.key, v.claim, s, a, size, where) })
+	cr.dataPlane.operations.Ask(func(b *idempotency.Book[*Response]) { b.End(cr.key, cr.claim, s, a, size, where) })
 }
 
-// release gives the claim back: nothing ran under it, and nothing will.
-func (v *voyage) release() {
-	v.g.Counts.Void.Add(1)
-	v.end(idempotency.Void, nil, "")
-	v.free(v.claim)
+// voidClaim gives the claim back: nothing ran under it, and nothing will.
+func (cr *clientRequest) voidClaim() {
+	cr.dataPlane.Counts.ClaimsVoid.Add(1)
+	cr.recordOperation(idempotency.Void, nil, "")
+	cr.releaseAtVoters(cr.claim)
 }
 
-// free tells all members that a claim is void.
-func (v *voyage) free(id idempotency.ID) {
-	msg := rpc.Encode(messages.ReleaseCall{Key: v.key, ID: id})
-	roll := v.g.o.Council.Roll()
-	for i := range roll.Voters {
-		if c := v.g.o.Council.Client(i); c != nil {
+// releaseAtVoters tells all voters that a claim is void.
+func (cr *clientRequest) releaseAtVoters(id idempotency.ID) {
+	msg := rpc.Encode(messages.ReleaseCall{Key: cr.key, ID: id})
+	voterSet := cr.dataPlane.options.Quorum.Roll()
+	for i := range voterSet.Voters {
+		if c := cr.dataPlane.options.Quorum.Client(i); c != nil {
 			c.Go(messages.Release, msg, func([]byte, error) {})
 		}
 	}
 }
 
 // claimKey claims the key. KeyAtWork: holder has it.
-func (v *voyage) claimKey() (k errcode.Kind, holder idempotency.ID) {
-	g := v.g
-	g.Counts.Claims.Add(1)
-	begun := time.Now()
-	end := begun.Add(min(claimTime, time.Until(v.cut)))
+func (cr *clientRequest) claimKey() (k errcode.Kind, holder idempotency.ID) {
+	d := cr.dataPlane
+	d.Counts.Claims.Add(1)
+	started := time.Now()
+	end := started.Add(min(claimTimeout, time.Until(cr.deadline)))
 	for try := 0; ; try++ {
 		var verdict idempotency.Verdict
-		verdict, holder = g.claimAnyhow(v.key, v.claim, time.Until(end))
-		v.log.claim = time.Since(begun)
-		g.Counts.ClaimMicros.Add(v.log.claim.Microseconds())
+		verdict, holder = d.claimWithRelays(cr.key, cr.claim, time.Until(end))
+		cr.stats.claim = time.Since(started)
+		d.Counts.ClaimMicros.Add(cr.stats.claim.Microseconds())
 		switch verdict {
 		case idempotency.Won:
 			return errcode.OK, holder
 		case idempotency.Lost:
-			v.free(v.claim)
+			cr.releaseAtVoters(cr.claim)
 			return errcode.KeyAtWork, holder
 		case idempotency.Split:
-			g.Counts.Split.Add(1)
-			v.free(v.claim)
-			// Whoever is told may have had a majority with a member that is silent now: it knows.
-			switch o := v.recall(holder.At, holder); {
+			d.Counts.ClaimsSplit.Add(1)
+			cr.releaseAtVoters(cr.claim)
+			// The reported holder may have won with the vote of a voter that is silent now; if so, it knows.
+			switch o := cr.lookupAt(holder.At, holder); {
 			case o.Code == errcode.KeyAtWork:
 			case o.State == idempotency.Void && o.Code != errcode.OK:
-				v.free(holder)
+				cr.releaseAtVoters(holder)
 			default:
 				return errcode.KeyAtWork, holder
 			}
-			if try+1 >= claimTries || time.Now().After(end) || disconnect.Left(v.ctx) {
+			if try+1 >= maxClaimAttempts || time.Now().After(end) || disconnect.Left(cr.ctx) {
 				return errcode.KeySplit, holder
 			}
 			time.Sleep(5*time.Millisecond + rand.N(20*time.Millisecond))
-			old := v.claim // void for good
-			v.claim = idempotency.ID{Life: g.o.Life, N: g.claim.Add(1), At: g.o.GateAddr}
-			g.book.Ask(func(b *idempotency.Book[*Answer]) {
-				b.Forget(v.key, old)
-				b.Begin(g.now(), v.key, v.claim)
+			voided := cr.claim // void for good
+			cr.claim = idempotency.ID{Life: d.options.Incarnation, N: d.lastClaim.Add(1), At: d.options.InboundAddr}
+			d.operations.Ask(func(b *idempotency.Book[*Response]) {
+				b.Forget(cr.key, voided)
+				b.Begin(d.now(), cr.key, cr.claim)
 			})
 			continue
 		}
-		g.Counts.CoreOut.Add(1)
+		d.Counts.QuorumOut.Add(1)
 		return errcode.CoreOut, holder
 	}
 }
 
 const (
-	relayAfter = 60 * time.Millisecond // without a verdict, another proxy is asked to claim as well
-	relayTime  = 250 * time.Millisecond
-	outFor     = time.Second // after a claim that no majority answered, others are asked at once
+	relayDelay      = 60 * time.Millisecond // without a verdict for this long, other proxies are asked to claim as well
+	relayTimeout    = 250 * time.Millisecond
+	quorumOutPeriod = time.Second // for this long after a claim that no majority answered, relays are asked at once
 )
 
-// claimAnyhow claims a key with the members, and by another proxy beside where they are slow to answer this one: a machine
-// that is cut off from the core often still reaches its neighbours. One id may be claimed along several ways: members grant
-// it again.
-func (g *DataPlane) claimAnyhow(key string, id idempotency.ID, wait time.Duration) (idempotency.Verdict, idempotency.ID) {
+// claimWithRelays claims a key with the voters, and through other proxies as well if the voters are slow to answer this
+// one: a machine that is partitioned from the voters often still reaches its neighbours. The same id may be claimed
+// along several paths, since voters grant it again.
+func (d *DataPlane) claimWithRelays(key string, id idempotency.ID, wait time.Duration) (idempotency.Verdict, idempotency.ID) {
 	type result struct {
 		verdict idempotency.Verdict
 		holder  idempotency.ID
@@ -164,25 +164,25 @@
 	}
 	ch := make(chan result, 3)
 	go func() {
-		v, h := g.vote(key, id, wait)
+		v, h := d.claimAtVoters(key, id, wait)
 		ch <- result{v, h, true}
 	}()
-	after := relayAfter
-	if g.now() < time.Duration(g.out.Load()) {
-		after = 0
+	delay := relayDelay
+	if d.now() < time.Duration(d.quorumOutUntil.Load()) {
+		delay = 0
 	}
-	t := time.NewTimer(after)
+	t := time.NewTimer(delay)
 	defer t.Stop()
-	under, relayed := 1, false
-	for under > 0 || !relayed {
+	pending, relayed := 1, false
+	for pending > 0 || !relayed {
 		select {
 		case r := <-ch:
-			under--
+			pending--
 			if r.direct {
 				if r.verdict != idempotency.Open {
-					g.out.Store(0)
-				} else { // at once, where connections are refused or were given up a moment ago
-					g.out.Store(int64(g.now() + outFor))
+					d.quorumOutUntil.Store(0)
+				} else { // at once if connections are refused or failed a moment ago
+					d.quorumOutUntil.Store(int64(d.now() + quorumOutPeriod))
 					if !relayed {
 						t.Reset(0)
 					}
@@ -193,16 +193,16 @@
 			}
 		case <-t.C:
 			relayed = true
-			at := g.relays(2) // one of them may be cut off as well
-			if good := g.relay.Load(); good != nil {
-				at = []string{*good}
+			addrs := d.randomPeers(2) // two, as one of them may be partitioned as well
+			if relay := d.lastRelay.Load(); relay != nil {
+				addrs = []string{*relay}
 			}
-			for _, addr := range at {
-				g.Counts.Relays.Add(1)
-				under++
+			for _, addr := range addrs {
+				d.Counts.RelaysSent.Add(1)
+				pending++
 				go func() {
-					a := &ask{Kind: claimFor, Key: key, Claim: id, Left: uint32(wait.Milliseconds())}
-					o := g.hops.do(context.Background(), addr, a, nil, nil, time.Now().Add(wait))
+					a := &peerRequest{Kind: claimForPeer, Key: key, Claim: id, RemainingMs: uint32(wait.Milliseconds())}
+					o := d.peers.do(context.Background(), addr, a, nil, nil, time.Now().Add(wait))
 					r := result{verdict: o.Verdict}
 					if o.err != nil || o.Code != errcode.OK {
 						r.verdict = idempotency.Open
@@ -211,9 +211,9 @@
 						r.holder = *o.Holder
 					}
 					if r.verdict == idempotency.Open {
-						g.relay.Store(nil)
+						d.lastRelay.Store(nil)
 					} else {
-						g.relay.Store(&addr)
+						d.lastRelay.Store(&addr)
 					}
 					ch <- r
 				}()
@@ -223,86 +223,87 @@
 	return idempotency.Open, idempotency.ID{}
 }
 
-// vote claims a key with the members. Where their epoch has ended without a majority, it is claimed in the next under the same
-// id.
-func (g *DataPlane) vote(key string, id idempotency.ID, wait time.Duration) (verdict idempotency.Verdict, holder idempotency.ID) {
+// claimAtVoters claims a key with the voters. If their epoch has ended without a majority, it claims in the next epoch
+// under the same id.
+func (d *DataPlane) claimAtVoters(key string, id idempotency.ID, wait time.Duration) (verdict idempotency.Verdict, holder idempotency.ID) {
 	for end := time.Now().Add(wait); ; {
-		roll := g.o.Council.Roll()
-		n := len(roll.Voters)
+		voterSet := d.options.Quorum.Roll()
+		n := len(voterSet.Voters)
 		vote := idempotency.Vote{Voters: n}
-		msg := rpc.Encode(messages.ClaimCall{Key: key, ID: id, Epoch: roll.Epoch})
-		gone := 0
-		g.o.Council.Gather(messages.Claim, func(int) []byte { return msg }, time.Until(end), func(t quorum.Told) bool {
-			var gr idempotency.Grant
-			if t.Err != nil || rpc.Decode(t.Body, &gr) != nil {
-				if vote.Missed(); errcode.Of(t.Err) == errcode.Gone {
-					if gone++; gone == 1 {
-						g.o.Council.Learn(t.Place, roll.Epoch)
+		msg := rpc.Encode(messages.ClaimCall{Key: key, ID: id, Epoch: voterSet.Epoch})
+		epochGone := 0
+		d.options.Quorum.Gather(messages.Claim, func(int) []byte { return msg }, time.Until(end), func(reply quorum.Told) bool {
+			var grant idempotency.Grant
+			if reply.Err != nil || rpc.Decode(reply.Body, &grant) != nil {
+				if vote.Missed(); errcode.Of(reply.Err) == errcode.Gone {
+					if epochGone++; epochGone == 1 {
+						d.options.Quorum.Learn(reply.Place, voterSet.Epoch)
 					}
 				}
 			} else {
-				vote.Add(gr)
+				vote.Add(grant)
 			}
 			verdict, holder = vote.Verdict()
-			return verdict != idempotency.Open || gone > n-consensus.Majority(n)
+			return verdict != idempotency.Open || epochGone > n-consensus.Majority(n)
 		})
-		if verdict != idempotency.Open || gone == 0 || !g.o.Council.Await(roll.Epoch, end) {
+		if verdict != idempotency.Open || epochGone == 0 || !d.options.Quorum.Await(voterSet.Epoch, end) {
 			return verdict, holder
 		}
 	}
 }
 
-// ofAnother answers a repeat by what the holder of the key knows, or else whoever may have run it.
-func (v *voyage) ofAnother(holder idempotency.ID) (*Answer, errcode.Kind) {
-	o := v.recall(holder.At, holder)
-	if o.State == idempotency.Void && o.Code != errcode.OK { // it never ran and never will: whoever asks may try anew
-		v.free(holder)
+// replayFromHolder answers a repeat with what the holder of the key knows, or otherwise the proxies that may have run
+// it.
+func (cr *clientRequest) replayFromHolder(holder idempotency.ID) (*Response, errcode.Kind) {
+	o := cr.lookupAt(holder.At, holder)
+	if o.State == idempotency.Void && o.Code != errcode.OK { // it never ran and never will: the client may retry
+		cr.releaseAtVoters(holder)
 		return nil, errcode.KeySplit
 	}
 	if o.Code == errcode.Gone || o.Code == errcode.Away || o.Code == errcode.Broken || o.Code == errcode.TimedOut {
-		var at []string
-		v.g.balancer.Ask(func(h *Balancer) {
-			for _, r := range h.rows {
-				for _, s := range v.route.Split {
+		var addrs []string
+		cr.dataPlane.balancer.Ask(func(b *Balancer) {
+			for _, r := range b.byNode {
+				for _, s := range cr.route.Split {
 					if r.Service == s.Service && r.Addr != holder.At {
-						at = append(at, r.Addr)
+						addrs = append(addrs, r.Addr)
 					}
 				}
 			}
 		})
-		ch := make(chan outcome, len(at))
-		for _, addr := range at {
-			go func() { ch <- v.recall(addr, holder) }()
+		ch := make(chan outcome, len(addrs))
+		for _, addr := range addrs {
+			go func() { ch <- cr.lookupAt(addr, holder) }()
 		}
-		for range at {
-			if x := <-ch; x.Code == errcode.OK && x.answer != nil || x.Code == errcode.KeyAtWork {
+		for range addrs {
+			if x := <-ch; x.Code == errcode.OK && x.response != nil || x.Code == errcode.KeyAtWork {
 				o = x
 				break
 			}
 		}
 	}
-	return v.told(o)
+	return cr.replay(o)
 }
 
-// recall asks a proxy for the answer of the key.
-func (v *voyage) recall(addr string, id idempotency.ID) outcome {
-	a := &ask{Kind: recall, Key: v.key, Claim: id}
-	if addr == v.g.o.GateAddr {
-		return v.g.Gate.recallHere(a, v.g.recallOwn)
+// lookupAt asks a proxy for the response to the key.
+func (cr *clientRequest) lookupAt(addr string, id idempotency.ID) outcome {
+	a := &peerRequest{Kind: lookupKey, Key: cr.key, Claim: id}
+	if addr == cr.dataPlane.options.InboundAddr {
+		return cr.dataPlane.Inbound.lookupOperation(a, cr.dataPlane.lookupOwnClaim)
 	}
-	cut := time.Now().Add(recallTime)
-	if v.cut.Before(cut) {
-		cut = v.cut
+	deadline := time.Now().Add(lookupTimeout)
+	if cr.deadline.Before(deadline) {
+		deadline = cr.deadline
 	}
-	return v.g.hops.do(v.ctx, addr, a, nil, nil, cut)
+	return cr.dataPlane.peers.do(cr.ctx, addr, a, nil, nil, deadline)
 }
 
-// told is what a repeat is answered by what was recalled.
-func (v *voyage) told(o outcome) (*Answer, errcode.Kind) {
+// replay returns the response to a repeat from the outcome of a lookup.
+func (cr *clientRequest) replay(o outcome) (*Response, errcode.Kind) {
 	switch {
-	case o.Code == errcode.OK && o.answer != nil:
-		v.g.Counts.Replayed.Add(1)
-		return o.answer.under(v.r.Header.Get(HeaderID)), errcode.OK
+	case o.Code == errcode.OK && o.response != nil:
+		cr.dataPlane.Counts.Replayed.Add(1)
+		return o.response.withAttemptID(cr.request.Header.Get(HeaderAttemptID)), errcode.OK
 	case o.Code == errcode.KeyAtWork:
 		return nil, errcode.KeyAtWork
 	case o.State == idempotency.Void && o.Code == errcode.KeySplit:
@@ -311,14 +312,14 @@
 	return nil, errcode.KeyUnknown
 }
 
-// under is an answer as it goes to a repeat of its request, which has an id of its own.
-func (a *Answer) under(id string) *Answer {
-	b := *a
-	b.Header = slices.Clone(a.Header)
-	for i, f := range b.Header {
-		if f.Name == HeaderID {
-			b.Header[i].Value = id
+// withAttemptID returns a copy of a response for a repeat of its request, which has an attempt id of its own.
+func (a *Response) withAttemptID(id string) *Response {
+	copied := *a
+	copied.Header = slices.Clone(a.Header)
+	for i, f := range copied.Header {
+		if f.Name == HeaderAttemptID {
+			copied.Header[i].Value = id
 		}
 	}
-	return &b
+	return &copied
 }
--- a/internal/dataplane/narrow_test.go
+++ b/internal/dataplane/pacing_test.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	narrowMbps  = 12.0
-	narrowBytes = narrowMbps * 1e6 / 8
-	largeAnswer = 400 << 10
-	promptTime  = 40 * time.Millisecond // for a small answer over the link
+	linkMbps           = 12.0
+	linkBytesPerSecond = linkMbps * 1e6 / 8
+	largeResponse      = 400 << 10
+	smallResponseLimit = 40 * time.Millisecond // for a small answer over the link
 )
 
 // Small answers come promptly while large ones go over the same narrow link: those of one machine's backend to other machines.
-func TestSmallAnswersBesideLargeOnes(t *testing.T) {
+func TestSmallResponsesBesideLargeOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWay(t, slowLookup, func(o io.Writer, r *http.Request) {
+		w := newTestProxy(t, slowIdempotentRoute, func(o io.Writer, r *http.Request) {
 			if strings.HasPrefix(r.URL.Path, "/a/large") {
-				serves(o, r, 200, largeAnswer)
+				respondWithSize(o, r, 200, largeResponse)
 			} else {
-				says(o, r)
+				respondWithID(o, r)
 			}
 		})
-		w.Gate.Beat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 8, Count: 2, State: backends.Serving})
-		w.sea.Narrow(w.m, narrowBytes)
-		by := w.other(t, slowLookup)
+		w.Inbound.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 8, Count: 2, State: backends.Serving})
+		w.network.Narrow(w.machine, linkBytesPerSecond)
+		by := w.secondProxy(t, slowIdempotentRoute)
 		large := make(chan int64)
 		for i := range 3 {
-			c := by.keep(t, by.front)
-			fmt.Fprintf(c, "GET /a/large HTTP/1.1\r\nHost: h\r\n%s: l%d\r\n\r\n", HeaderID, i)
+			c := by.dial(t, by.clientAddr)
+			fmt.Fprintf(c, "GET /a/large HTTP/1.1\r\nHost: h\r\n%s: l%d\r\n\r\n", HeaderAttemptID, i)
 			go func() {
 				r, err := http.ReadResponse(c.in, nil)
 				if err != nil {
@@ -47,22 +47,22 @@
 				large <- n
 			}()
 		}
-		small := by.keep(t, by.front)
+		small := by.dial(t, by.clientAddr)
 		slowest := time.Duration(0)
 		for i := range 15 {
 			time.Sleep(30 * time.Millisecond)
 			at := time.Now()
-			if r, err := small.ask(fmt.Sprint("s", i)); err != nil || r.StatusCode != http.StatusOK {
+			if r, err := small.request(fmt.Sprint("s", i)); err != nil || r.StatusCode != http.StatusOK {
 				t.Fatal(r, err)
 			}
 			slowest = max(slowest, time.Since(at))
 		}
-		if slowest > promptTime {
+		if slowest > smallResponseLimit {
 			t.Errorf("a small answer took %v beside large ones", slowest)
 		}
 		for range 3 {
-			if n := <-large; n != largeAnswer {
-				t.Errorf("%d of %d bytes came of a large one", n, largeAnswer)
+			if n := <-large; n != largeResponse {
+				t.Errorf("%d of %d bytes came of a large one", n, largeResponse)
 			}
 		}
 	})
--- /dev/null
+++ b/internal/dataplane/peer_response_test.go
@@ -0,0 +1,195 @@
+package dataplane
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"saltmast/internal/errcode"
+	"saltmast/internal/simulation/network"
+)
+
+// remotePeer is a proxy on another machine, played by the test, and the hops to it.
+type remotePeer struct {
+	net.Listener
+	client  *peerClient
+	network *network.Sea
+	machine *network.Machine
+	addr    string
+	end     func()
+}
+
+func newRemotePeer(t *testing.T) *remotePeer {
+	t.Helper()
+	s := network.New(1)
+	p := s.Machine("10.0.0.1", "north").Start()
+	f := &remotePeer{client: newPeerClient(p, nil), network: s, machine: s.Machine("10.0.0.2", "south"), addr: "10.0.0.2:82"}
+	q := f.machine.Start()
+	l, err := q.Listen(f.addr, peerAckTimeout)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.Listener = l
+	f.end = func() { p.End(); q.End() }
+	return f
+}
+
+// accept takes the next connection.
+func (f *remotePeer) accept(t *testing.T) (net.Conn, *bufio.Reader) {
+	t.Helper()
+	c, err := f.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c, bufio.NewReader(c)
+}
+
+// A long answer whose client takes a pause comes whole: a reader that takes nothing for a while is not one that is gone.
+func TestLongPeerResponseWithPausedReader(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newRemotePeer(t)
+		defer f.end()
+		const size = 400 << 10
+		go func() {
+			c, in := f.accept(t)
+			defer c.Close()
+			var a peerRequest
+			if readMessage(in, &a) != nil {
+				return
+			}
+			writePeerResponse(c, c, outcome{peerResponse: peerResponse{Number: a.Number}, response: &Response{Status: 200, Body: []byte{}, Length: size, Stream: strings.NewReader(strings.Repeat("x", size))}})
+			io.Copy(io.Discard, in)
+		}()
+		o := f.client.do(context.Background(), f.addr, &peerRequest{Kind: runRequest}, nil, nil, time.Now().Add(time.Minute))
+		if o.response == nil || o.response.Stream == nil {
+			t.Fatalf("%+v, %v", o.peerResponse, o.err)
+		}
+		time.Sleep(3 * peerAckTimeout)
+		n, err := io.Copy(io.Discard, o.response.Stream)
+		if got := int(n) + len(o.response.Body); got != size || err != nil {
+			t.Errorf("%d bytes of %d, %v", got, size, err)
+		}
+		o.response.Close(true)
+	})
+}
+
+// An ask that can't have come whole has not run; one that may have come may have.
+func TestInterruptedPeerRequest(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newRemotePeer(t)
+		defer f.end()
+		do := func(size int, end func(net.Conn, *bufio.Reader)) outcome {
+			go func() {
+				c, in := f.accept(t)
+				end(c, in)
+			}()
+			return f.client.do(context.Background(), f.addr, &peerRequest{Kind: runRequest, Header: []Field{{Name: "A", Value: strings.Repeat("b", size)}}}, nil, nil, time.Now().Add(time.Second))
+		}
+		reset := func(c net.Conn, in *bufio.Reader) { // with bytes unread
+			in.Peek(1)
+			time.Sleep(time.Millisecond) // in which as much follows as there is room for
+			c.Close()
+		}
+		if o := do(100<<10, reset); !errors.Is(o.err, syscall.ECONNRESET) || o.Code != errcode.Away || o.Sent {
+			t.Errorf("an ask that broke off: %+v, %v", o.peerResponse, o.err)
+		}
+		if o := do(100<<10, func(net.Conn, *bufio.Reader) {}); !isTimeout(o.err) || o.Code != errcode.Away || o.Sent {
+			t.Errorf("an ask that was not taken in time: %+v, %v", o.peerResponse, o.err)
+		}
+		if o := do(10, reset); o.Code != errcode.Broken || !o.Sent {
+			t.Errorf("an ask that may have come whole: %+v, %v", o.peerResponse, o.err)
+		}
+		if o := do(10, func(c net.Conn, in *bufio.Reader) { readMessage(in, new(peerRequest)); c.Close() }); o.Code != errcode.Broken || !o.Sent {
+			t.Errorf("an ask that came whole: %+v, %v", o.peerResponse, o.err)
+		}
+	})
+}
+
+// No connection is kept on which a body went on as it came: the other side may have answered before it had read all, and ends it.
+func TestConnectionIsNotReusedAfterStream(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newRemotePeer(t)
+		defer f.end()
+		go func() {
+			c, in := f.accept(t)
+			var a peerRequest
+			if readMessage(in, &a) == nil { // answered before its body was read, as a gate without room does
+				writePeerResponse(c, c, outcome{peerResponse: peerResponse{Code: errcode.Full}})
+			}
+		}()
+		o := f.client.do(context.Background(), f.addr, &peerRequest{Kind: runRequest, Length: unknownLength}, nil, strings.NewReader("short"), time.Now().Add(time.Second))
+		if o.Code != errcode.Full || f.client.pool.Idle(f.addr) != 0 {
+			t.Errorf("%+v, %v; %d kept", o.peerResponse, o.err, f.client.pool.Idle(f.addr))
+		}
+	})
+}
+
+// An ask that was read in the moment in which its gate closes what rests is answered, and what rests is closed.
+func TestPeerRequestDuringStop(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		w := newTestProxy(t, idempotentRoute, func(io.Writer, *http.Request) { t.Error("it ran") })
+		l, err := w.process.Listen("10.0.0.1:82", 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		reads := 0
+		go w.ServePeers(&readHookListener{l, func() {
+			if reads++; reads == 2 {
+				w.Inbound.Withdraw()
+				w.Inbound.closeIdle()
+			}
+		}})
+		q := w.network.Machine("10.0.0.2", "south").Start()
+		h := newPeerClient(q, nil)
+		do := func(kind uint8) outcome {
+			return h.do(context.Background(), "10.0.0.1:82", &peerRequest{Kind: kind, Instance: "i-1", Service: "ledger", RemainingMs: 1000}, nil, nil, time.Now().Add(time.Second))
+		}
+		if o := do(lookupKey); o.Code != errcode.Gone {
+			t.Fatalf("%+v, %v", o.peerResponse, o.err)
+		}
+		if o := do(runRequest); o.Code != errcode.Leaving || o.Sent || reads != 2 {
+			t.Errorf("%+v, %v, after %d reads", o.peerResponse, o.err, reads)
+		}
+		time.Sleep(time.Second)
+		if w.Inbound.closeIdle(); h.pool.Idle("10.0.0.1:82") != 1 {
+			t.Errorf("%d connections kept", h.pool.Idle("10.0.0.1:82"))
+		}
+		time.Sleep(time.Second)
+		if c := h.pool.Take("10.0.0.1:82"); c != nil || w.Inbound.closeIdle() != 0 {
+			t.Error("one that rests is not closed")
+		}
+		q.End()
+	})
+}
+
+// A head that no hop takes is refused before it is sent, and one of a backend without an end is no answer.
+func TestHeadSizeLimits(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newRemotePeer(t)
+		defer f.end()
+		o := f.client.do(context.Background(), f.addr, &peerRequest{Kind: runRequest, Target: strings.Repeat("x", maxPeerHead)}, nil, nil, time.Now().Add(time.Second))
+		if o.Code != errcode.HeadTooLong || !o.Code.NotRun() || o.Sent {
+			t.Errorf("%+v, %v", o.peerResponse, o.err)
+		}
+		w := newTestProxy(t, idempotentRoute, func(o io.Writer, r *http.Request) {
+			io.WriteString(o, "HTTP/1.1 200 OK\r\n")
+			for range maxResponseHead >> 12 {
+				io.WriteString(o, "A: "+strings.Repeat("x", 4<<10)+"\r\n")
+			}
+			respondWithSize(o, r, 200, 3)
+		})
+		a := &peerRequest{Instance: "i-1", Service: "ledger", Method: "GET", Target: "/", ID: "A", RemainingMs: 1000, Header: []Field{{Name: HeaderAttemptID, Value: "A"}, {Name: "Host", Value: "h"}}}
+		o = w.Inbound.execute(context.Background(), a, nil, nil)
+		if o.Code != errcode.Failed || !errors.Is(o.err, errHeadTooLong) {
+			t.Errorf("%+v, %v", o.peerResponse, o.err)
+		}
+	})
+}
--- a/internal/dataplane/report.go
+++ b/internal/dataplane/report.go
@@ -12,74 +12,74 @@
 	"saltmast/internal/sock"
 )
 
-// reportOf asks for what is known here: the body is a ReportCall, the answer's Reported. Its number stands apart from those of
-// the kinds that carry traffic.
-const reportOf uint8 = 32
+// reportState asks for the state of a proxy: the body is a ReportCall, the response's a Reported. Its number is
+// separate from those of the kinds that carry traffic.
+const reportState uint8 = 32
 
-// elseFor does for others what has nothing to do with requests.
-func (g *DataPlane) elseFor(a *ask, body []byte) outcome {
-	if a.Kind != reportOf || g.o.Report == nil {
-		return outcome{told: told{Code: errcode.NoCall}}
+// handleReportCall handles calls that have nothing to do with requests.
+func (d *DataPlane) handleReportCall(a *peerRequest, body []byte) outcome {
+	if a.Kind != reportState || d.options.HandleReport == nil {
+		return outcome{peerResponse: peerResponse{Code: errcode.NoCall}}
 	}
-	answer, err := g.o.Report(body)
+	answer, err := d.options.HandleReport(body)
 	if err != nil {
-		return outcome{told: told{Code: errcode.Of(err)}}
+		return outcome{peerResponse: peerResponse{Code: errcode.Of(err)}}
 	}
-	return outcome{answer: &Answer{Body: answer, Length: int64(len(answer))}}
+	return outcome{response: &Response{Body: answer, Length: int64(len(answer))}}
 }
 
-// Tell adds to a report what is known here. The owners hand over copies.
-func (g *DataPlane) Tell(r *messages.Reported, own *messages.TugReport, brief bool) {
+// FillReport adds the state of the data plane to a report. The owner goroutines copy their state.
+func (d *DataPlane) FillReport(r *messages.Reported, proxyReport *messages.TugReport, brief bool) {
 	var all []messages.BerthReport
-	left := map[string]float64{}
-	g.balancer.Ask(func(h *Balancer) {
-		now := g.now()
-		own.Tokens = h.bucket.Tokens()
-		for s, x := range h.rations {
-			left[s] = x.Left(now)
+	remaining := map[string]float64{}
+	d.balancer.Ask(func(b *Balancer) {
+		now := d.now()
+		proxyReport.Tokens = b.bucket.Tokens()
+		for s, x := range b.retryBudgets {
+			remaining[s] = x.Left(now)
 		}
-		all = make([]messages.BerthReport, 0, len(h.rows))
-		for _, row := range h.rows {
-			b := messages.Reports(row.Berth)
-			b.InFlight = row.inFlight
-			if now < row.awayTill {
-				b.AwayMs = uint32((row.awayTill - now).Milliseconds())
+		all = make([]messages.BerthReport, 0, len(b.byNode))
+		for _, row := range b.byNode {
+			entry := messages.Reports(row.Berth)
+			entry.InFlight = row.inFlight
+			if now < row.avoidUntil {
+				entry.AwayMs = uint32((row.avoidUntil - now).Milliseconds())
 			}
-			if now-row.loadAt < loadFor {
-				b.Load = float32(row.load)
+			if now-row.loadTime < loadLifetime {
+				entry.Load = float32(row.load)
 			}
-			all = append(all, b)
+			all = append(all, entry)
 		}
 	})
-	own.SetRations(left)
+	proxyReport.SetRations(remaining)
 	r.SetBerths(all, brief)
-	own.Begun, own.Ran = bookOf(g.book), bookOf(g.Gate.book)
-	own.Running, own.Waiting = g.Gate.load()
+	proxyReport.Begun, proxyReport.Ran = operationCounts(d.operations), operationCounts(d.Inbound.operations)
+	proxyReport.Running, proxyReport.Waiting = d.Inbound.load()
 }
 
-func bookOf(o *rpc.Owner[idempotency.Book[*Answer]]) (k messages.Book) {
-	o.Ask(func(b *idempotency.Book[*Answer]) {
+func operationCounts(o *rpc.Owner[idempotency.Book[*Response]]) (counts messages.Book) {
+	o.Ask(func(b *idempotency.Book[*Response]) {
 		_, bytes := b.Len()
-		k = messages.Book{AtWork: b.In(idempotency.AtWork), Done: b.In(idempotency.Done), Unknown: b.In(idempotency.Unknown), Void: b.In(idempotency.Void), Bytes: bytes}
+		counts = messages.Book{AtWork: b.In(idempotency.AtWork), Done: b.In(idempotency.Done), Unknown: b.In(idempotency.Unknown), Void: b.In(idempotency.Void), Bytes: bytes}
 	})
-	return k
+	return counts
 }
 
-// Asker asks proxies for what they know, by their gates. It keeps its connections for a while.
-type Asker struct{ hops *hops }
+// ReportClient requests reports from proxies through their inbound port. It keeps idle connections for a while.
+type ReportClient struct{ peers *peerClient }
 
-// NewAsker returns one. n: nil for the system's network.
-func NewAsker(n sock.Net) *Asker { return &Asker{newHops(n, nil)} }
+// NewReportClient returns a ReportClient. n: nil for the system's network.
+func NewReportClient(n sock.Net) *ReportClient { return &ReportClient{newPeerClient(n, nil)} }
 
-// maxReport bounds an answer; a proxy cuts its own to a quarter of it.
-const maxReport = 1 << 20
+// maxReportBytes bounds a response; a proxy truncates its own report to a quarter of that.
+const maxReportBytes = 1 << 20
 
-// Report asks the proxy whose gate is at addr.
-func (k *Asker) Report(addr string, call messages.ReportCall, wait time.Duration) (r messages.Reported, err error) {
-	cut := time.Now().Add(wait)
-	for range 2 { // the first connection may be one that was kept and is no more
+// Report requests a report from the proxy whose inbound address is addr.
+func (rc *ReportClient) Report(addr string, call messages.ReportCall, wait time.Duration) (r messages.Reported, err error) {
+	deadline := time.Now().Add(wait)
+	for range 2 { // the first connection may be a pooled one that has since closed
 		var raw []byte
-		if raw, err = k.ask(addr, rpc.Encode(call), cut); err == nil {
+		if raw, err = rc.call(addr, rpc.Encode(call), deadline); err == nil {
 			return r, rpc.Decode(raw, &r)
 		}
 		if errcode.Of(err) != errcode.Broken {
@@ -89,32 +89,32 @@
 	return r, err
 }
 
-func (k *Asker) ask(addr string, body []byte, cut time.Time) (raw []byte, err error) {
-	c, err := k.hops.dial(context.Background(), addr, cut)
+func (rc *ReportClient) call(addr string, body []byte, deadline time.Time) (raw []byte, err error) {
+	c, err := rc.peers.dial(context.Background(), addr, deadline)
 	if err != nil {
 		return nil, errcode.New(errcode.Away, "%w", err)
 	}
-	c.SetDeadline(cut)
+	c.SetDeadline(deadline)
 	in := getReader(c)
-	var t told
-	if _, err = c.Write(appendMessage(nil, &ask{Kind: reportOf, Length: int64(len(body))}, body)); err == nil {
-		err = readMessage(in, &t)
+	var head peerResponse
+	if _, err = c.Write(appendMessage(nil, &peerRequest{Kind: reportState, Length: int64(len(body))}, body)); err == nil {
+		err = readMessage(in, &head)
 	}
 	switch {
 	case err != nil:
-	case t.Code != errcode.OK:
-		k.hops.release(c, in, false)
-		return nil, errcode.New(t.Code, "%s", addr)
-	case t.Length < 0 || t.Length > maxReport:
-		err = errcode.New(errcode.Malformed, "an answer of %d bytes", t.Length)
+	case head.Code != errcode.OK:
+		rc.peers.release(c, in, false)
+		return nil, errcode.New(head.Code, "%s", addr)
+	case head.Length < 0 || head.Length > maxReportBytes:
+		err = errcode.New(errcode.Malformed, "report of %d bytes is out of bounds", head.Length)
 	default:
-		raw = make([]byte, t.Length)
+		raw = make([]byte, head.Length)
 		_, err = io.ReadFull(in, raw)
 	}
 	if err != nil {
 		putReader(in)
-		k.hops.pool.Close(c)
-		k.hops.pool.CloseIdle(addr)
+		rc.peers.pool.Close(c)
+		rc.peers.pool.CloseIdle(addr)
 		switch {
 		case isTimeout(err):
 			return nil, errcode.New(errcode.TimedOut, "%s", addr)
@@ -123,9 +123,9 @@
 		}
 		return nil, errcode.New(errcode.Broken, "%w", err)
 	}
-	k.hops.release(c, in, false)
+	rc.peers.release(c, in, false)
 	return raw, nil
 }
 
-// Up is how long this proxy runs.
-func (g *DataPlane) Up() time.Duration { return g.now() }
+// Uptime returns how long this proxy has been running.
+func (d *DataPlane) Uptime() time.Duration { return d.now() }
--- /dev/null
+++ b/internal/dataplane/responses_test.go
@@ -0,0 +1,147 @@
+package dataplane
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"saltmast/internal/idempotency"
+)
+
+// However many early answers come ahead of the one to a request, within a bound, it gets that one.
+func TestInterimResponses(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		n := 0
+		w := newTestProxy(t, idempotentRoute, func(o io.Writer, r *http.Request) {
+			io.WriteString(o, strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n", n))
+			respondWithID(o, r)
+		})
+		for n = range maxInterimResponses {
+			if r, body, err := w.request(t, "GET /a/1 HTTP/1.1", nil); err != nil || r.StatusCode != 200 || body != "of r-1" {
+				t.Fatalf("behind %d: %v, %q, %v", n, r, body, err)
+			}
+		}
+		n = 2 * maxInterimResponses
+		if r, _, err := w.request(t, "GET /a/1 HTTP/1.1", nil); err != nil || r.StatusCode != 502 {
+			t.Errorf("behind %d: %v, %v", n, r, err)
+		}
+	})
+}
+
+// The kept answer to the first request of a key goes to a repeat that is a HEAD without its body: what came behind the head would
+// be read as the next answer.
+func TestStoredResponseToHead(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		w := newTestProxy(t, strings.Replace(idempotentRoute, "idempotent", "deduplicated", 1), func(io.Writer, *http.Request) { t.Error("it ran again") })
+		id := idempotency.ID{Life: 7, N: 1}
+		w.operations.Ask(func(b *idempotency.Book[*Response]) {
+			b.Begin(w.now(), "k", id)
+			b.End("k", id, idempotency.Done, &Response{Status: 200, Header: []Field{{Name: HeaderAttemptID, Value: "A"}}, Body: []byte("kept"), Length: 4}, 4, "")
+		})
+		c, err := w.process.Dial(t.Context(), w.clientAddr, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		in := bufio.NewReader(c)
+		for i, method := range []string{"HEAD", "POST", "HEAD", "POST"} {
+			fmt.Fprintf(c, "%s /a/ HTTP/1.1\r\nHost: h\r\n%s: r-%d\r\n%s: k\r\nContent-Length: 0\r\n\r\n", method, HeaderAttemptID, i, HeaderOperationKey)
+			r, err := http.ReadResponse(in, &http.Request{Method: method})
+			if err != nil {
+				t.Fatalf("%s: %v", method, err)
+			}
+			if b, err := io.ReadAll(r.Body); err != nil || r.Header.Get(HeaderAttemptID) != fmt.Sprint("r-", i) || method == "POST" && string(b) != "kept" {
+				t.Errorf("%s: %v, %q, %v", method, r, b, err)
+			}
+		}
+	})
+}
+
+// A long answer that stops in its middle holds its place at the backend for the time of its request, and for stallTime at least:
+// then it is cut, over a hop as well.
+func TestStalledLongResponse(t *testing.T) {
+	for _, left := range []time.Duration{time.Second, 20 * time.Second} {
+		synctest.Test(t, func(t *testing.T) {
+			const size = 4 * bufferedBodyBytes
+			w := newTestProxy(t, idempotentRoute, func(o io.Writer, r *http.Request) {
+				fmt.Fprintf(o, "HTTP/1.1 200 x\r\n%s: %s\r\n%s: s\r\nContent-Length: %d\r\n\r\n%s", HeaderAttemptID, r.Header.Get(HeaderAttemptID), HeaderServerSeal, size,
+					strings.Repeat("x", size/2))
+				time.Sleep(2 * time.Minute)
+			})
+			f := newRemotePeer(t)
+			defer f.end()
+			go func() {
+				c, in := f.accept(t)
+				var a peerRequest
+				readMessage(in, &a)
+				c.Write(appendMessage(nil, peerResponse{Status: 200, Length: size, Number: a.Number}, make([]byte, size/2)))
+				time.Sleep(2 * time.Minute)
+				c.Close()
+			}()
+			for name, read := range map[string]func() (int, error){
+				"here": func() (int, error) {
+					_, b, err := w.request(t, fmt.Sprintf("GET /a/1 HTTP/1.1\n%s: %d", HeaderDeadlineRemaining, left.Milliseconds()), nil)
+					return len(b), err
+				},
+				"over a hop": func() (int, error) {
+					o := f.client.do(context.Background(), f.addr, &peerRequest{Kind: runRequest}, nil, nil, time.Now().Add(left))
+					b, err := io.ReadAll(o.response.Stream)
+					o.response.Close(err == nil)
+					return len(o.response.Body) + len(b), err
+				},
+			} {
+				begun := time.Now()
+				n, err := read()
+				if took, least := time.Since(begun), max(left, stallTimeout); err == nil || n != size/2 || took < least || took > least+time.Second {
+					t.Errorf("%s, %v: %d bytes, %v after %v", name, left, n, err, took)
+				}
+			}
+			if running, waiting := w.Inbound.load(); running+waiting != 0 {
+				t.Errorf("%d run and %d wait at rest", running, waiting)
+			}
+			time.Sleep(3 * time.Minute)
+		})
+	}
+}
+
+// An ask that waited at a gate until its proxy had given it up, as behind a freeze of the gate's machine, does not run.
+func TestAbandonedPeerRequestDoesNotRun(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ran := 0
+		w := newTestProxy(t, idempotentRoute, func(o io.Writer, r *http.Request) { ran++; respondWithID(o, r) })
+		l, err := w.process.Listen("10.0.0.1:82", peerAckTimeout)
+		if err != nil {
+			t.Fatal(err)
+		}
+		go w.ServePeers(l)
+		for _, given := range []bool{true, false} {
+			for range 2 {
+				w.Inbound.acquire(context.Background(), &peerRequest{Instance: "i-1", Service: "ledger"})
+			}
+			c, err := w.process.Dial(t.Context(), "10.0.0.1:82", 0)
+			if err != nil {
+				t.Fatal(err)
+			}
+			c.Write(appendMessage(nil, &peerRequest{Kind: runRequest, Instance: "i-1", Service: "ledger", Method: "GET", Target: "/a/", ID: "A", RemainingMs: 60000, MaxQueueMs: 30000,
+				Header: []Field{{Name: HeaderAttemptID, Value: "A"}, {Name: "Host", Value: "h"}}}, nil))
+			time.Sleep(time.Second)
+			if given {
+				c.Close()
+			}
+			time.Sleep(20 * time.Second)
+			w.Inbound.release(0)
+			w.Inbound.release(0)
+			time.Sleep(time.Second)
+			if running, waiting := w.Inbound.load(); (ran == 0) != given || running+waiting != 0 || w.Inbound.Counts.Abandoned.Load() != 1 {
+				t.Errorf("given up: %v: it ran %d times; %d run and %d wait", given, ran, running, waiting)
+			}
+			c.Close()
+		}
+	})
+}
--- a/internal/dataplane/woken_test.go
+++ b/internal/dataplane/suspend_test.go
@@ -9,28 +9,28 @@
 )
 
 // A proxy that slept does not hold its backend, whose beats it has yet to read, for gone; one that is silent it does.
-func TestBeatsAfterASleep(t *testing.T) {
-	g := newGate(Options{Heartbeat: time.Second, Log: func(string, string) {}, AnswerBytes: 1 << 20}, nil)
+func TestHeartbeatCheckAfterSuspend(t *testing.T) {
+	g := newInbound(Options{Heartbeat: time.Second, Log: func(string, string) {}, ResponseBytes: 1 << 20}, nil)
 	beat := controlapi.Beat{ID: "a", Service: "pump", State: backends.Serving, Capacity: 2, Count: 7}
-	g.Beat(beat)
+	g.Heartbeat(beat)
 	begun := time.Now()
-	look := func(at time.Duration) backends.State { g.Watch(begun.Add(at)); return g.Berth().State }
+	look := func(at time.Duration) backends.State { g.CheckHeartbeat(begun.Add(at)); return g.Backend().State }
 	look(0)
 	if s := look(20 * time.Second); s != backends.Serving {
 		t.Error("gone after a sleep:", s)
 	}
 	at := 20 * time.Second
 	for s := backends.Serving; s == backends.Serving; s = look(at) {
-		if at += LookEvery; at > 25*time.Second {
+		if at += HeartbeatCheckInterval; at > 25*time.Second {
 			t.Fatal("a silent backend is not gone")
 		}
 	}
 	beat.Count = 6
-	if g.Beat(beat); g.Berth().State != backends.None {
+	if g.Heartbeat(beat); g.Backend().State != backends.None {
 		t.Error("a beat from before its last one counts")
 	}
 	beat.Count = 8
-	if g.Beat(beat); g.Berth().State != backends.Serving {
+	if g.Heartbeat(beat); g.Backend().State != backends.Serving {
 		t.Error("it is not back")
 	}
 }
--- a/internal/integration/backend.go
+++ b/internal/integration/backend.go
@@ -188,21 +188,21 @@
 
 // answer works on one request, and reports whether its connection goes on.
 func (b *Backend) answer(c net.Conn, r *http.Request) bool {
-	id, key := r.Header.Get(dataplane.HeaderID), r.Header.Get(dataplane.HeaderKey)
+	id, key := r.Header.Get(dataplane.HeaderAttemptID), r.Header.Get(dataplane.HeaderOperationKey)
 	b.mu.Lock()
 	me := b.id
 	b.mu.Unlock()
 	notRun := func(status int) bool {
 		io.Copy(io.Discard, r.Body)
-		_, err := fmt.Fprintf(c, "HTTP/1.1 %d No\r\n%s: %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", status, dataplane.HeaderID, id, dataplane.HeaderNotRun)
+		_, err := fmt.Fprintf(c, "HTTP/1.1 %d No\r\n%s: %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", status, dataplane.HeaderAttemptID, id, dataplane.HeaderNotExecuted)
 		return err == nil
 	}
-	left, err := strconv.ParseFloat(r.Header.Get(dataplane.HeaderLeft), 64)
-	if err != nil || left <= 0 || id == "" || r.Header.Get(dataplane.HeaderCaller) == "" {
+	left, err := strconv.ParseFloat(r.Header.Get(dataplane.HeaderDeadlineRemaining), 64)
+	if err != nil || left <= 0 || id == "" || r.Header.Get(dataplane.HeaderCallerService) == "" {
 		b.strange.Add(1)
 		return notRun(400)
 	}
-	if want := r.Header.Get(dataplane.HeaderTarget); want != "" && want != me {
+	if want := r.Header.Get(dataplane.HeaderTargetInstance); want != "" && want != me {
 		return notRun(421)
 	}
 	if b.working.Add(1) > int64(b.Capacity) {
@@ -231,7 +231,7 @@
 	if key != "" {
 		b.byKey[key]++
 	}
-	b.callers[r.Header.Get(dataplane.HeaderCaller)]++
+	b.callers[r.Header.Get(dataplane.HeaderCallerService)]++
 	b.mu.Unlock()
 
 	seal := fmt.Sprintf("%s.%d", me, n)
@@ -240,9 +240,9 @@
 		body = bytes.Repeat([]byte("0123456789abcdef"), s/16+1)[:s]
 	}
 	head := func(id, seal, more string) string {
-		h := "HTTP/1.1 200 OK\r\n" + dataplane.HeaderID + ": " + id + "\r\n" + more
+		h := "HTTP/1.1 200 OK\r\n" + dataplane.HeaderAttemptID + ": " + id + "\r\n" + more
 		if seal != "" {
-			h += dataplane.HeaderSeal + ": " + seal + "\r\n"
+			h += dataplane.HeaderServerSeal + ": " + seal + "\r\n"
 		}
 		return h
 	}
--- a/internal/integration/client.go
+++ b/internal/integration/client.go
@@ -52,10 +52,10 @@
 	if left == 0 {
 		left = 5 * time.Second
 	}
-	out := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", method, r.Path, host, dataplane.HeaderID, r.ID,
-		dataplane.HeaderLeft, max(0, left).Milliseconds())
+	out := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", method, r.Path, host, dataplane.HeaderAttemptID, r.ID,
+		dataplane.HeaderDeadlineRemaining, max(0, left).Milliseconds())
 	if r.Key != "" {
-		out = fmt.Appendf(out, "%s: %s\r\n", dataplane.HeaderKey, r.Key)
+		out = fmt.Appendf(out, "%s: %s\r\n", dataplane.HeaderOperationKey, r.Key)
 	}
 	for _, h := range r.Header {
 		out = append(append(out, h...), "\r\n"...)
@@ -86,7 +86,7 @@
 
 // Good reports whether it is an answer of a backend that counts.
 func (a Answer) Good() bool {
-	return a.Err == nil && a.Status/100 == 2 && a.Header.Get(dataplane.HeaderSeal) != ""
+	return a.Err == nil && a.Status/100 == 2 && a.Header.Get(dataplane.HeaderServerSeal) != ""
 }
 
 func (a Answer) String() string {
--- a/internal/integration/client_test.go
+++ b/internal/integration/client_test.go
@@ -40,7 +40,7 @@
 		}
 	}
 	head := func(path, more string) string {
-		return "POST " + path + " HTTP/1.1\r\nHost: " + Host + "\r\n" + dataplane.HeaderID + ": " + NewID() + "\r\n" + dataplane.HeaderLeft + ": 5000\r\n" + more + "\r\n"
+		return "POST " + path + " HTTP/1.1\r\nHost: " + Host + "\r\n" + dataplane.HeaderAttemptID + ": " + NewID() + "\r\n" + dataplane.HeaderDeadlineRemaining + ": 5000\r\n" + more + "\r\n"
 	}
 	// fault asks with a fault of the backend: what comes must never pass for a success.
 	fault := func(kind string, size int) func(*testing.T, string) {
@@ -121,7 +121,7 @@
 			return head(path, "Transfer-Encoding: chunked\r\n") + strings.Repeat("100000\r\n"+strings.Repeat("b", 1<<20)+"\r\n", 33) + "0\r\n\r\n"
 		})},
 		{"no time", refused(503, func(path string) string {
-			return strings.Replace(head(path, "Content-Length: 0\r\n"), dataplane.HeaderLeft+": 5000", dataplane.HeaderLeft+": 0", 1)
+			return strings.Replace(head(path, "Content-Length: 0\r\n"), dataplane.HeaderDeadlineRemaining+": 5000", dataplane.HeaderDeadlineRemaining+": 0", 1)
 		})},
 		{"a key that is not there", refused(400, func(path string) string {
 			return head(strings.Replace(path, "/free/", "/keyed/", 1), "Content-Length: 0\r\n")
@@ -173,7 +173,7 @@
 			defer c.Close()
 			for i := range 50 {
 				r := Request{Path: fmt.Sprintf("/free/%s/kept-%d", service, i)}
-				if got := c.Ask(r); !got.Good() || got.Close || !strings.Contains(got.Body, r.Path) || got.Header.Get(dataplane.HeaderID) != r.ID && r.ID != "" {
+				if got := c.Ask(r); !got.Good() || got.Close || !strings.Contains(got.Body, r.Path) || got.Header.Get(dataplane.HeaderAttemptID) != r.ID && r.ID != "" {
 					t.Fatalf("%v", got)
 				}
 			}
--- a/internal/integration/losses_test.go
+++ b/internal/integration/losses_test.go
@@ -37,7 +37,7 @@
 	for key, was := range k.done {
 		for _, x := range k.m.Sides {
 			a := k.m.served(t, x, Request{Method: "POST", Path: k.path[key], Key: key, Body: []byte(key)})
-			if a.Header.Get(dataplane.HeaderSeal) != was.Header.Get(dataplane.HeaderSeal) || a.Body != was.Body {
+			if a.Header.Get(dataplane.HeaderServerSeal) != was.Header.Get(dataplane.HeaderServerSeal) || a.Body != was.Body {
 				t.Errorf("%s at %s: %v, the first time %v", key, x.Name, a, was)
 			}
 		}
@@ -106,7 +106,7 @@
 			for _, y := range m.Sides {
 				was := y.Backend.Callers(x.Service)
 				for i := range 5 {
-					r := Request{Method: "POST", Path: fmt.Sprintf("/free/%s/%s/%d", y.Service, x.Name, i), Body: []byte("hello"), Header: []string{dataplane.HeaderCaller + ": somebody"}}
+					r := Request{Method: "POST", Path: fmt.Sprintf("/free/%s/%s/%d", y.Service, x.Name, i), Body: []byte("hello"), Header: []string{dataplane.HeaderCallerService + ": somebody"}}
 					got := m.served(t, x, r)
 					if !strings.HasPrefix(got.Body, y.Service+" POST "+r.Path+" 5 ") {
 						t.Errorf("%s at %s: %v", r.Path, x.Name, got)
--- a/internal/loadline/hops.go
+++ b/internal/loadline/hops.go
@@ -31,8 +31,8 @@
 		return Phase{}, err
 	}
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(dataplane.HeaderID, r.Header.Get(dataplane.HeaderID))
-		w.Header().Set(dataplane.HeaderSeal, fmt.Sprintf("i-%d", to))
+		w.Header().Set(dataplane.HeaderAttemptID, r.Header.Get(dataplane.HeaderAttemptID))
+		w.Header().Set(dataplane.HeaderServerSeal, fmt.Sprintf("i-%d", to))
 		w.Write(hopAnswer)
 	})}
 	go s.Serve(l)
@@ -102,8 +102,8 @@
 		return err
 	}
 	r.Host = "scale.example"
-	r.Header.Set(dataplane.HeaderID, fmt.Sprintf("scale-%d-%d", n, monotonic()))
-	r.Header.Set(dataplane.HeaderLeft, "2000")
+	r.Header.Set(dataplane.HeaderAttemptID, fmt.Sprintf("scale-%d-%d", n, monotonic()))
+	r.Header.Set(dataplane.HeaderDeadlineRemaining, "2000")
 	a, err := client.Do(r)
 	if err != nil {
 		return err
--- a/internal/loadline/loadline.go
+++ b/internal/loadline/loadline.go
@@ -131,7 +131,7 @@
 	tugs     []*runningProgram
 	hollows  []*runningProgram
 	from     []int // first agent of each
-	asker    *dataplane.Asker
+	asker    *dataplane.ReportClient
 	r        *Result
 	client   *http.Client
 	beatRate chan time.Duration
@@ -152,7 +152,7 @@
 	defer stop()
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
-	x := &run{o: o, ctx: ctx, end: end, asker: dataplane.NewAsker(nil), beatRate: make(chan time.Duration, 1),
+	x := &run{o: o, ctx: ctx, end: end, asker: dataplane.NewReportClient(nil), beatRate: make(chan time.Duration, 1),
 		r:      &Result{Agents: o.Agents, Thin: o.Thin, Mute: o.Mute, Tugs: o.Tugs, Core: o.Core, Voters: o.Voters, Services: o.Services, Entries: o.Entries, CPUs: runtime.NumCPU()},
 		client: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}}
 	if raw, err := os.ReadFile("/proc/loadavg"); err == nil {
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -25,7 +25,7 @@
 	}
 	s, roll := t.s.Load(), t.council.Roll()
 	r := messages.Reported{Program: messages.TheTug, Version: process.Version, Node: s.NodeName, Zone: s.Zone, Addr: s.Port(messages.GatePort),
-		Life: t.life, UpMs: uint64(t.way.Up().Milliseconds()), Epoch: roll.Epoch, Voters: roll.Voters, Counts: t.Counts()}
+		Life: t.life, UpMs: uint64(t.way.Uptime().Milliseconds()), Epoch: roll.Epoch, Voters: roll.Voters, Counts: t.Counts()}
 	own := &messages.TugReport{Ready: t.ready() == nil, Stopping: t.stopping.Load(), FromMs: messages.Never, FreshMs: messages.Never}
 	if p := t.from.Load(); p != nil {
 		own.From, own.FreshMs = p.addr, p.freshMs
@@ -38,6 +38,6 @@
 	r.SetItems(items)
 	r.Tug = own
 	r.Traffic = rpc.Totals()
-	t.way.Tell(&r, own, call.Brief)
+	t.way.FillReport(&r, own, call.Brief)
 	return rpc.Encode(r), nil
 }
--- a/internal/proxy/start_test.go
+++ b/internal/proxy/start_test.go
@@ -143,7 +143,7 @@
 		for _, c := range cores {
 			s.Cut(m2, c)
 		}
-		second.way.Learn([]backends.Berth{first.way.Gate.Berth()})
+		second.way.UpdateBackends([]backends.Berth{first.way.Inbound.Backend()})
 		within(20*time.Second, func() bool { return second.byOther.Load() >= 12 })
 		time.Sleep(time.Second)
 		if second.stands.Len() != routes+1 || !second.way.Configured() {
@@ -224,7 +224,7 @@
 			for _, c := range cores {
 				s.Cut(m2, c)
 			}
-			g2.way.Learn([]backends.Berth{g1.way.Gate.Berth()})
+			g2.way.UpdateBackends([]backends.Berth{g1.way.Inbound.Backend()})
 			for began := time.Now(); knows(g2) < backendCount && time.Since(began) < 20*time.Second; {
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -233,7 +233,7 @@
 				t.Errorf("by another proxy: %d backends in %d answers", n, asked)
 			}
 			g2.mu.Lock()
-			at := g2.sources[g1.way.Gate.Berth().Addr]
+			at := g2.sources[g1.way.Inbound.Backend().Addr]
 			g2.mu.Unlock()
 			if at.life != g1.life || at.at < backendCount {
 				t.Errorf("the other has told up to %+v", at)
@@ -284,7 +284,7 @@
 					for _, x := range news.Berths {
 						to.table.Join(x)
 					}
-					balancer.Learn(0, news.Berths)
+					balancer.UpdateBackends(0, news.Berths)
 				}
 				if to.table.Len() != n || most > messages.PartBytes {
 					b.Fatal(to.table.Len(), most)
--- a/internal/proxy/tug.go
+++ b/internal/proxy/tug.go
@@ -106,13 +106,13 @@
 	if s.Descriptors > 0 {
 		conns = s.Descriptors / 2
 	}
-	t.way = dataplane.New(dataplane.Options{Node: s.NodeName, Zone: s.Zone, Service: s.Service, App: s.AppAddr, GateAddr: gateAddr,
-		Life: t.life, Begun: time.Now(), Heartbeat: s.Heartbeat, Ratio: s.Bounds.RetryRatio, Allowance: s.Bounds.RetryAllowance,
-		Window: s.Bounds.RetryWindow, KeyWindow: s.Bounds.DedupWindow + keyMargin, AnswerBytes: answers, MaxConns: conns, LinkMbps: s.BandwidthMbps,
-		Net: on, Council: t.council, News: t.newsFor, Report: t.report, Vouched: t.vouched, Log: log,
-		Heard: func(addr string) { t.head.Heard(addr) }})
-	t.way.Gate.OnChange(func(b backends.Berth) {
-		t.way.Hear(b)
+	t.way = dataplane.New(dataplane.Options{Node: s.NodeName, Zone: s.Zone, Service: s.Service, App: s.AppAddr, InboundAddr: gateAddr,
+		Incarnation: t.life, Started: time.Now(), Heartbeat: s.Heartbeat, RetryRatio: s.Bounds.RetryRatio, RetryAllowance: s.Bounds.RetryAllowance,
+		RetryWindow: s.Bounds.RetryWindow, OperationWindow: s.Bounds.DedupWindow + keyMargin, ResponseBytes: answers, MaxConns: conns, LinkMbps: s.BandwidthMbps,
+		Net: on, Quorum: t.council, HandlePull: t.newsFor, HandleReport: t.report, ConfigurationCurrent: t.vouched, Log: log,
+		PeerAnswered: func(addr string) { t.head.Heard(addr) }})
+	t.way.Inbound.OnChange(func(b backends.Berth) {
+		t.way.UpdateLocalBackend(b)
 		t.tell()
 	})
 	gate, err := rpc.Listen(on, gateAddr)
@@ -133,9 +133,9 @@
 		return nil, fmt.Errorf("readiness: %w", err)
 	}
 	t.head = transport.Start(s, messages.RoleTug, messages.RosterTugPort, messages.GatePort, t.life, on, log)
-	t.http(control, &controlapi.Port{Beat: t.way.Gate.Beat, Leave: t.way.Gate.Leave, Refused: t.refused})
+	t.http(control, &controlapi.Port{Beat: t.way.Inbound.Heartbeat, Leave: t.way.Inbound.Deregister, Refused: t.refused})
 	t.http(ready, &controlapi.Port{Ready: t.ready})
-	go t.way.ServeGate(gate)
+	go t.way.ServePeers(gate)
 	go t.way.Serve(out)
 	go t.pull()
 	go t.watch()
@@ -185,7 +185,7 @@
 
 // watch looks at what comes with time alone, and at what the roster says.
 func (t *Tug) watch() {
-	tick := time.NewTicker(dataplane.LookEvery)
+	tick := time.NewTicker(dataplane.HeartbeatCheckInterval)
 	defer tick.Stop()
 	var changed chan struct{}
 	if t.head != nil {
@@ -197,7 +197,7 @@
 	for {
 		select {
 		case now := <-tick.C:
-			t.way.Gate.Watch(now)
+			t.way.Inbound.CheckHeartbeat(now)
 			if now.Sub(swept) >= sweepEvery {
 				swept = now
 				t.sweep(now.Sub(begun))
@@ -208,7 +208,7 @@
 		}
 		if now := t.head.Silent(messages.RoleTug); !maps.Equal(now, silent) {
 			silent = now
-			t.way.Silence(now)
+			t.way.SetUnresponsive(now)
 		}
 	}
 }
@@ -226,7 +226,7 @@
 	t.whole = t.whole || t.table.Lacks(alive)
 	t.mu.Unlock()
 	if len(gone) > 0 {
-		t.way.Drop(gone)
+		t.way.RemoveNodes(gone)
 		t.log("gone", strings.Join(gone, " "))
 	}
 }
@@ -347,7 +347,7 @@
 	began := time.Now()
 	got := t.sources[addr]
 	for !t.over() {
-		b := t.way.Gate.Berth()
+		b := t.way.Inbound.Backend()
 		t.mu.Lock()
 		call.Self, call.Have, call.Epoch = &b, t.chosen, t.council.Roll().Epoch
 		t.anew(&got)
@@ -366,7 +366,7 @@
 			case r = <-done:
 				break wait
 			case <-t.news: // told beside the pull that waits
-				b := t.way.Gate.Berth()
+				b := t.way.Inbound.Backend()
 				t.mu.Lock()
 				others := slices.Clone(t.others)
 				t.mu.Unlock()
@@ -425,9 +425,9 @@
 // pullBy asks another proxy for what this one lacks, while no harbourmaster is of use. One that knows of none asks the proxy that
 // called its gate last: others may still know this machine, whose seeds can't be reached.
 func (t *Tug) pullBy() {
-	from, ok := t.way.Another()
+	from, ok := t.way.RandomPeer()
 	if !ok {
-		ip, s := t.way.Gate.Caller(), t.s.Load()
+		ip, s := t.way.Inbound.LastPeerIP(), t.s.Load()
 		if ip == "" || ip == s.IP {
 			return
 		}
@@ -435,14 +435,14 @@
 	}
 	got := t.sources[from]
 	for !t.over() {
-		b := t.way.Gate.Berth()
+		b := t.way.Inbound.Backend()
 		t.mu.Lock()
 		call := messages.PullCall{Self: &b, Have: t.chosen, Epoch: t.council.Roll().Epoch}
 		t.anew(&got)
 		got.goOn(&call)
 		t.mu.Unlock()
 		sent := time.Now()
-		raw, err := t.way.AskNews(from, rpc.Encode(call), pullTime)
+		raw, err := t.way.PullFromPeer(from, rpc.Encode(call), pullTime)
 		var n messages.News
 		if err != nil || rpc.Decode(raw, &n) != nil {
 			return
@@ -479,7 +479,7 @@
 	}
 	t.mu.Unlock()
 	if told {
-		t.way.Learn([]backends.Berth{*call.Self})
+		t.way.UpdateBackends([]backends.Berth{*call.Self})
 		t.tell()
 	}
 	return rpc.Encode(n), nil
@@ -545,11 +545,11 @@
 		t.log("configuration", fmt.Sprintf("ballot %d: %d items changed", n.Chosen.N, len(n.Items)))
 	}
 	if len(news) > 0 {
-		t.way.Learn(news)
+		t.way.UpdateBackends(news)
 	}
 	for _, b := range news {
 		if b.Node == node {
-			t.way.Gate.Refute(b)
+			t.way.Inbound.Refute(b)
 		}
 	}
 	return seek
@@ -583,7 +583,7 @@
 
 // Counts are for the log.
 func (t *Tug) Counts() map[string]int64 {
-	out := t.way.Report()
+	out := t.way.Counters()
 	out["pulls"], out["pulls_by_other"] = t.pulls.Load(), t.byOther.Load()
 	t.mu.Lock()
 	out["berths"], out["masters"] = int64(t.table.Len()), int64(len(t.masters))
@@ -596,7 +596,7 @@
 func (t *Tug) Stop(grace time.Duration) {
 	begun := time.Now()
 	t.stopping.Store(true)
-	t.way.Gate.Withdraw()
+	t.way.Inbound.Withdraw()
 	t.way.Drain()
 	const hear = 2500 * time.Millisecond // the platform asks each second, and twice
 	time.Sleep(min(hear, grace/2))
@@ -615,7 +615,7 @@
 	}
 	t.council.Close()
 	t.head.Close()
-	t.way.End()
+	t.way.Close()
 }
 
 // Kill ends at once, as the end of the process would: nothing is finished, and nobody is told.
