--- a/internal/dataplane/address_reuse_test.go
+++ b/internal/dataplane/address_reuse_test.go
@@ -15,28 +15,29 @@
 	"saltmast/internal/errcode"
 )
 
-// An address with a new owner: what is meant for the former life is declined by the new one until the gate hears of it, and refused
-// by the gate from then on; connections of the one are none of the other's, also those that were at work when it changed.
+// A backend's address is taken over by a new instance. The new instance declines requests meant for the old one until
+// the proxy learns of the change, and from then on the proxy rejects them. Connections to one instance are not used for
+// the other, also those that were in use during the change.
 func TestBackendAddressReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
-		life, slow := "i-1", 0*time.Second
-		var over []string // lives whose connections a request was read on
+		current, slow := "i-1", 0*time.Second
+		var readBy []string // instances whose connections a request was read on
 		w := newTestProxy(t, idempotentRoute, func(o io.Writer, r *http.Request) {
 			id, to := r.Header.Get(HeaderAttemptID), r.Header.Get(HeaderTargetInstance)
 			mu.Lock()
-			over = append(over, to)
-			ours, took := to == life, slow
+			readBy = append(readBy, to)
+			mine, delay := to == current, slow
 			mu.Unlock()
-			if !ours {
+			if !mine {
 				fmt.Fprintf(o, "HTTP/1.1 421 x\r\n%s: %s\r\n%sContent-Length: 0\r\n\r\n", HeaderAttemptID, id, declines)
 				return
 			}
-			time.Sleep(took)
+			time.Sleep(delay)
 			respondWithID(o, r)
 		})
 		n := 0
-		do := func(to string) outcome {
+		send := func(to string) outcome {
 			n++
 			id := fmt.Sprint("q", n)
 			return w.Inbound.execute(context.Background(), &peerRequest{Instance: to, Service: "ledger", Method: "GET", Target: "/", ID: id, RemainingMs: 5000,
@@ -48,30 +49,30 @@
 				t.Errorf("%s: %v, %v; want %v", what, o.Code, o.err, k)
 			}
 		}
-		want("the first life", do("i-1"), errcode.OK)
-		own := func(as string, took time.Duration) {
+		want("the first instance", send("i-1"), errcode.OK)
+		setOwner := func(as string, delay time.Duration) {
 			mu.Lock()
 			defer mu.Unlock()
-			life, slow = as, took
+			current, slow = as, delay
 		}
-		own("i-1", time.Second)
-		got := make(chan outcome)
-		go func() { got <- do("i-1") }()
+		setOwner("i-1", time.Second)
+		result := make(chan outcome)
+		go func() { result <- send("i-1") }()
 		time.Sleep(time.Second / 2)
-		own("i-2", 0)
-		want("its address has a new owner that the gate has not heard of", do("i-1"), errcode.TurnedAway)
+		setOwner("i-2", 0)
+		want("a new instance that the proxy does not know yet", send("i-1"), errcode.TurnedAway)
 		w.Inbound.Heartbeat(controlapi.Beat{ID: "i-2", Service: "ledger", Capacity: 2, Count: 1, State: backends.Serving})
-		want("what was at work", <-got, errcode.OK)
+		want("the request that was running", <-result, errcode.OK)
 		synctest.Wait()
 		if idle := w.Inbound.pool.Idle("i-1") + w.Inbound.pool.Idle("i-2"); idle != 0 {
-			t.Errorf("%d connections of the first life are kept", idle)
+			t.Errorf("%d connections of the first instance are kept", idle)
 		}
-		want("what is meant for the first life", do("i-1"), errcode.Elsewhere)
-		want("the second life", do("i-2"), errcode.OK)
+		want("a request for the first instance", send("i-1"), errcode.Elsewhere)
+		want("the second instance", send("i-2"), errcode.OK)
 		mu.Lock()
 		defer mu.Unlock()
-		if w.Inbound.pool.Idle("i-2") != 1 || len(over) != 4 {
-			t.Errorf("%d connections kept; requests came for %v", w.Inbound.pool.Idle("i-2"), over)
+		if w.Inbound.pool.Idle("i-2") != 1 || len(readBy) != 4 {
+			t.Errorf("%d connections kept; requests came for %v", w.Inbound.pool.Idle("i-2"), readBy)
 		}
 	})
 }
--- a/internal/dataplane/backend_walk_test.go
+++ b/internal/dataplane/backend_walk_test.go
@@ -24,21 +24,21 @@
 	"saltmast/internal/sock"
 )
 
-// The walk of a connection between a gate and its backend: three requests, and at each of them each thing that a backend or the
-// network may do to it, all after all. Whatever was done to those before, a request gets the answer of its own run, at most one
-// run, and none where it is told that it did not run.
+// The walk of a connection between a proxy and its backend: three requests, and for each of them every action of the
+// backend or the network, in all combinations. Whatever happened to earlier requests, a request gets the response of
+// its own run, runs at most once, and does not run if it is reported as not executed.
 
-// backendRequest is one request as the backend of the walk has read it.
+// backendRequest is one request as read by the backend of the walk.
 type backendRequest struct {
 	c      net.Conn
 	id     string
-	number string // which of the walk's asks
+	number string // sequence number within the walk
 	late   *[]byte
 }
 
 const sequenceHeader = "X-Ask"
 
-// response is an answer to it; head has further header lines.
+// response returns a response; head has further header lines.
 func (a *backendRequest) response(status int, id, head string) []byte {
 	body := fmt.Sprintf("of %s by %s", a.id, a.number)
 	if id != "" {
@@ -54,8 +54,8 @@
 	requestTimeout = 200 * time.Millisecond
 )
 
-// backendActions are what may happen to a request at the backend. Each writes what it answers, and reports whether the connection
-// goes on; runs says whether the request ran.
+// backendActions are what may happen to a request at the backend. Each writes its response, and reports whether the
+// connection stays open; runs says whether the request ran.
 var backendActions = []struct {
 	name string
 	runs bool
@@ -63,52 +63,52 @@
 }{
 	{"answered", true, func(a *backendRequest) bool { return a.write(a.okResponse()) }},
 	{"answered twice", true, func(a *backendRequest) bool { return a.write(a.okResponse(), a.okResponse()) }},
-	{"answered, and again at rest", true, func(a *backendRequest) bool {
+	{"answered, and a duplicate while idle", true, func(a *backendRequest) bool {
 		a.write(a.okResponse())
 		time.Sleep(time.Millisecond)
 		return a.write(a.okResponse())
 	}},
-	{"answered, and again in the next one's place", true, func(a *backendRequest) bool { return a.write(a.okResponse()) && a.sendBeforeNext(a.okResponse()) }},
-	{"answered in small pieces", true, func(a *backendRequest) bool {
+	{"answered, and a duplicate before the next response", true, func(a *backendRequest) bool { return a.write(a.okResponse()) && a.sendBeforeNext(a.okResponse()) }},
+	{"answered byte by byte", true, func(a *backendRequest) bool {
 		for _, b := range a.okResponse() {
 			a.write([]byte{b})
 			time.Sleep(10 * time.Microsecond)
 		}
 		return true
 	}},
-	{"answered behind an early one", true, func(a *backendRequest) bool { return a.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"), a.okResponse()) }},
+	{"answered after an interim response", true, func(a *backendRequest) bool { return a.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"), a.okResponse()) }},
 	{"answered, and closed", true, func(a *backendRequest) bool { a.write(a.okResponse()); return false }},
-	{"answered, and closed at rest", true, func(a *backendRequest) bool { a.write(a.okResponse()); time.Sleep(time.Millisecond); return false }},
-	{"answered with the end told, and again", true, func(a *backendRequest) bool {
+	{"answered, and closed while idle", true, func(a *backendRequest) bool { a.write(a.okResponse()); time.Sleep(time.Millisecond); return false }},
+	{"answered with Connection: close, and a duplicate", true, func(a *backendRequest) bool {
 		return a.write(a.response(200, a.id, "Connection: x, close\r\n")) && a.sendBeforeNext(a.okResponse())
 	}},
 	{"cut in the head", true, func(a *backendRequest) bool { a.write(a.okResponse()[:30]); return false }},
 	{"cut in the body", true, func(a *backendRequest) bool { b := a.okResponse(); a.write(b[:len(b)-3]); return false }},
-	{"spoilt", true, func(a *backendRequest) bool { return a.write([]byte("\x00\xffnoise\r\n\r\n")) }},
-	{"closed without an answer", true, func(a *backendRequest) bool { return false }},
+	{"invalid response", true, func(a *backendRequest) bool { return a.write([]byte("\x00\xffnoise\r\n\r\n")) }},
+	{"closed without a response", true, func(a *backendRequest) bool { return false }},
 	{"silent, and answered late", true, func(a *backendRequest) bool {
 		time.Sleep(requestTimeout + 2*backendResponseGrace)
 		return a.write(a.okResponse())
 	}},
-	{"silent for good", true, func(a *backendRequest) bool { time.Sleep(time.Second); return false }},
+	{"silent forever", true, func(a *backendRequest) bool { time.Sleep(time.Second); return false }},
 	{"failed", true, func(a *backendRequest) bool { return a.write(a.response(500, a.id, "")) }},
-	{"failed, and again in the next one's place", true, func(a *backendRequest) bool {
+	{"failed, and a duplicate before the next response", true, func(a *backendRequest) bool {
 		return a.write(a.response(500, a.id, "")) && a.sendBeforeNext(a.response(500, a.id, ""))
 	}},
 	{"declined", false, func(a *backendRequest) bool { return a.write(a.response(503, a.id, declines)) }},
-	{"declined, and again in the next one's place", false, func(a *backendRequest) bool {
+	{"declined, and a duplicate before the next response", false, func(a *backendRequest) bool {
 		return a.write(a.response(503, a.id, declines)) && a.sendBeforeNext(a.response(503, a.id, declines))
 	}},
 	{"declined without an id", false, func(a *backendRequest) bool { return a.write(a.response(421, "", declines)) }},
-	{"declined without an id in the next one's place", false, func(a *backendRequest) bool {
+	{"declined, and a duplicate without an id before the next response", false, func(a *backendRequest) bool {
 		return a.write(a.response(503, a.id, declines)) && a.sendBeforeNext(a.response(503, "", declines))
 	}},
 	{"answered without an id", true, func(a *backendRequest) bool { return a.write(a.response(200, "", "")) }},
 	{"answered with two ids", true, func(a *backendRequest) bool { return a.write(a.response(200, a.id, HeaderAttemptID+": Z\r\n")) }},
-	{"answered with a line hidden in a header", true, func(a *backendRequest) bool { return a.write(a.response(200, a.id, "A: b\rContent-Length: 0\r\n")) }},
-	{"answered with two lengths, one in a name of its own", true, func(a *backendRequest) bool { return a.write(a.response(200, a.id, "Content-Length : 3\r\n")) }},
-	{"answered as another", true, func(a *backendRequest) bool { return a.write(a.response(200, "Z", "")) }},
-	{"answered with a Connection that names what is the mesh's", true, func(a *backendRequest) bool {
+	{"answered with a bare CR in a header", true, func(a *backendRequest) bool { return a.write(a.response(200, a.id, "A: b\rContent-Length: 0\r\n")) }},
+	{"answered with two lengths, one with a space in its name", true, func(a *backendRequest) bool { return a.write(a.response(200, a.id, "Content-Length : 3\r\n")) }},
+	{"answered with the id of another request", true, func(a *backendRequest) bool { return a.write(a.response(200, "Z", "")) }},
+	{"answered with a Connection header that names mesh headers", true, func(a *backendRequest) bool {
 		return a.write(a.response(200, a.id, "Connection: "+HeaderServerSeal+", "+strings.ToLower(HeaderAttemptID)+"\r\n"))
 	}},
 	{"answered without a seal", true, func(a *backendRequest) bool {
@@ -121,23 +121,23 @@
 	return err == nil
 }
 
-// sendBeforeNext has bytes come ahead of the next answer on the connection.
+// sendBeforeNext has msg sent ahead of the next response on the connection.
 func (a *backendRequest) sendBeforeNext(msg []byte) bool { *a.late = msg; return true }
 
-// backendWalk is what one walk has seen.
+// backendWalk is the state of one walk.
 type backendWalk struct {
 	network      *network.Sea
 	process      *network.Process
-	net          sock.Net // of the gate
-	beforeWorld  func()   // of each world
-	forgetLastID bool     // the gate does not know what was asked last on a connection
+	net          sock.Net // used by the proxy
+	beforeWorld  func()   // called before each world
+	forgetLastID bool     // the proxy forgets the last id sent on a connection
 	port         int
 	mu           sync.Mutex
-	reads        map[string]int // whole requests, by ask
+	reads        map[string]int // complete requests by sequence number
 	runs         map[string]int
 }
 
-// serve plays the backend: script tells the deed for each request, in their order.
+// serve simulates the backend: script has the action for each request in order.
 func (w *backendWalk) serve(l net.Listener, script []int) {
 	n := 0
 	for {
@@ -154,23 +154,23 @@
 				if err != nil {
 					return
 				}
-				a := &backendRequest{c: c, id: r.Header.Get(HeaderAttemptID), number: r.Header.Get(sequenceHeader), late: &late}
+				req := &backendRequest{c: c, id: r.Header.Get(HeaderAttemptID), number: r.Header.Get(sequenceHeader), late: &late}
 				if late != nil {
-					a.write(late)
+					req.write(late)
 					late = nil
 				}
 				w.mu.Lock()
-				w.reads[a.number]++
-				d := backendActions[0]
+				w.reads[req.number]++
+				action := backendActions[0]
 				if n < len(script) {
-					d = backendActions[script[n]]
+					action = backendActions[script[n]]
 				}
 				n++
-				if d.runs {
-					w.runs[a.number]++
+				if action.runs {
+					w.runs[req.number]++
 				}
 				w.mu.Unlock()
-				if !d.do(a) {
+				if !action.do(req) {
 					return
 				}
 			}
@@ -178,9 +178,9 @@
 	}
 }
 
-// runWorld makes three requests by ids under one script. again: whether a request that ended so is made once more, under its id, in
-// place of the next.
-func (w *backendWalk) runWorld(t *testing.T, ids [3]string, script []int, again func(o *outcome) bool) string {
+// runWorld sends three requests with the given ids under one script. again reports whether a request with that outcome
+// is sent once more under its id, in place of the next.
+func (w *backendWalk) runWorld(t *testing.T, ids [3]string, script []int, retry func(o *outcome) bool) string {
 	w.port++
 	if w.beforeWorld != nil {
 		w.beforeWorld()
@@ -197,14 +197,14 @@
 	defer l.Close()
 	g.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 4, Count: 1, State: backends.Serving})
 	go w.serve(l, script)
-	before := ""
-	var last outcome
+	lastID := ""
+	var lastOutcome outcome
 	for i, id := range ids {
-		if id == before && !again(&last) {
+		if id == lastID && !retry(&lastOutcome) {
 			continue
 		}
-		before = id
-		n := fmt.Sprint(i)
+		lastID = id
+		number := fmt.Sprint(i)
 		if w.forgetLastID {
 			if c := g.pool.Take("i-1"); c != nil {
 				c.Last = ""
@@ -212,39 +212,39 @@
 			}
 		}
 		o := g.execute(context.Background(), &peerRequest{Kind: runRequest, Instance: "i-1", Service: "ledger", Method: "GET", Target: "/", ID: id, RemainingMs: uint32(requestTimeout.Milliseconds()),
-			Header: []Field{{Name: HeaderAttemptID, Value: id}, {Name: sequenceHeader, Value: n}, {Name: "Host", Value: "h"}}}, nil, nil)
-		last = o
+			Header: []Field{{Name: HeaderAttemptID, Value: id}, {Name: sequenceHeader, Value: number}, {Name: "Host", Value: "h"}}}, nil, nil)
+		lastOutcome = o
 		if o.response != nil {
-			got, id2, seals := string(o.response.Body), "", 0
+			got, gotID, seals := string(o.response.Body), "", 0
 			for _, f := range o.response.Header {
 				if f.Name == HeaderServerSeal {
 					seals++
 				}
 				if f.Name == HeaderAttemptID {
-					id2 = f.Value
+					gotID = f.Value
 				}
 				if strings.ContainsAny(f.Value, "\r\n") || strings.Contains(f.Name, " ") {
-					return fmt.Sprintf("ask %d got a header that may be read in two ways", i)
+					return fmt.Sprintf("request %d got an ambiguous header", i)
 				}
 			}
-			if got != fmt.Sprintf("of %s by %s", id, n) || id2 != id {
-				return fmt.Sprintf("ask %d, of %s, got %q under %q", i, id, got, id2)
+			if got != fmt.Sprintf("of %s by %s", id, number) || gotID != id {
+				return fmt.Sprintf("request %d with id %s got %q with id %q", i, id, got, gotID)
 			}
 			if o.response.Status/100 == 2 && seals != 1 {
-				return fmt.Sprintf("ask %d got a success with %d seals", i, seals)
+				return fmt.Sprintf("request %d got a success with %d seals", i, seals)
 			}
 		}
-		time.Sleep(time.Duration(i+1) * 5 * time.Millisecond) // what comes at rest, comes
+		time.Sleep(time.Duration(i+1) * 5 * time.Millisecond) // a duplicate sent later arrives
 		w.mu.Lock()
-		reads, runs := w.reads[n], w.runs[n]
+		reads, runs := w.reads[number], w.runs[number]
 		w.mu.Unlock()
 		switch {
 		case reads > 1:
-			return fmt.Sprintf("ask %d was sent %d times", i, reads)
+			return fmt.Sprintf("request %d was sent %d times", i, reads)
 		case o.Code.NotRun() && runs > 0:
-			return fmt.Sprintf("ask %d ran, and is told not to have: %v", i, o.Code)
+			return fmt.Sprintf("request %d ran, but is reported as not executed: %v", i, o.Code)
 		case o.response != nil && runs != 1:
-			return fmt.Sprintf("ask %d is answered by none of its runs", i)
+			return fmt.Sprintf("request %d got a response without a run", i)
 		}
 	}
 	g.pool.CloseIdle("i-1")
@@ -258,8 +258,8 @@
 	return w
 }
 
-// backendWays are for requests that differ, for one that is made again after a proof, as one that may run once, for one that is made
-// again after any failure, and for one whose id comes again behind another's.
+// backendWays: different requests, one that is retried after a proof that it did not run, one that is retried after any
+// failure, and one whose id returns after another request.
 var backendWays = []struct {
 	ids   [3]string
 	again func(*outcome) bool
@@ -271,16 +271,17 @@
 }
 
 var backendWalks = modelcheck.Walk[*backendWalk]{Deeds: len(backendActions), Deed: func(i int) string { return backendActions[i].name }, Length: 2,
-	Ways: []string{"others", "again after a proof", "again after a failure", "again behind another"}, Begin: newBackendWalk,
+	Ways: []string{"different requests", "retry after a proof", "retry after a failure", "same id after another request"}, Begin: newBackendWalk,
 	World: func(t *testing.T, w *backendWalk, script []int, way int) string {
 		return w.runWorld(t, backendWays[way].ids, append(script, 0), backendWays[way].again)
 	},
 	End: func(w *backendWalk) { w.process.End() }}
 
-// Whatever happens to a request at the backend, and to the one before it, none gets another's answer and none runs twice.
+// Whatever happens to a request at the backend, and to the one before it, none gets another's response and none runs
+// twice.
 func TestBackendWalk(t *testing.T) { backendWalks.Holds(t) }
 
-// wrappingNet is a network whose connections are wrapped.
+// wrappingNet is a network that wraps its connections.
 type wrappingNet struct {
 	sock.Net
 	wrap func(dial func() (net.Conn, error)) (net.Conn, error)
@@ -290,7 +291,7 @@
 	return w.wrap(func() (net.Conn, error) { return w.Net.Dial(context.WithoutCancel(ctx), addr, quiet) })
 }
 
-// resendingNet is a network whose connections send again after a reset what was sent on them.
+// resendingNet is a network whose connections resend a request after a reset.
 func resendingNet(on sock.Net) sock.Net {
 	return wrappingNet{on, func(dial func() (net.Conn, error)) (net.Conn, error) {
 		c, err := dial()
@@ -301,7 +302,7 @@
 	}}
 }
 
-// recyclingNet is a network that gives a connection that was thrown away for the next one; forget is for the begin of a world.
+// recyclingNet is a network that returns a closed connection on the next dial; forget is called before each world.
 func recyclingNet(on sock.Net) (_ sock.Net, forget func()) {
 	var left net.Conn
 	return wrappingNet{on, func(dial func() (net.Conn, error)) (net.Conn, error) {
@@ -316,7 +317,7 @@
 	}}, func() { left = nil }
 }
 
-// idRewritingConn has every answer pass for the one that is waited for: as if ids were not compared.
+// idRewritingConn makes every response bear the expected id, as if ids were not compared.
 type idRewritingConn struct {
 	net.Conn
 	id []byte
@@ -339,7 +340,8 @@
 
 func (b *idRewritingConn) Quiet() (quiet, bytes bool) { return sock.Look(b.Conn) }
 
-// resendingConn sends a request again where its connection ends without an answer, as a client may that knows nothing of its effect.
+// resendingConn resends a request if its connection ends without a response, as a client might that doesn't know
+// whether it had an effect.
 type resendingConn struct {
 	net.Conn
 	dial func() (net.Conn, error)
@@ -369,7 +371,7 @@
 
 func (r *resendingConn) Quiet() (quiet, bytes bool) { return sock.Look(r.Conn) }
 
-// recycledConn gives a connection that was closed to whoever dials next.
+// recycledConn keeps a closed connection open for the next dial.
 type recycledConn struct {
 	net.Conn
 	left *net.Conn
@@ -378,8 +380,8 @@
 func (r *recycledConn) Close() error               { *r.left = r.Conn; return nil }
 func (r *recycledConn) Quiet() (quiet, bytes bool) { return sock.Look(r.Conn) }
 
-// Wrong gates are found: one that does not compare ids, one that sends again after a reset, one that uses a connection again that
-// was thrown away with a request on it, and one that makes a request again where a copy of its first answer may come.
+// The walk finds a proxy that does not compare ids, one that resends after a reset, one that reuses a closed connection
+// with a pending request, and one that retries a request where a duplicate of its first response may arrive.
 func TestBackendWalkFindsFaults(t *testing.T) {
 	backendWalks.Finds(t, map[string]func(w *backendWalk){
 		"ids are not compared": func(w *backendWalk) {
@@ -391,13 +393,13 @@
 				return &idRewritingConn{Conn: c}, nil
 			}}
 		},
-		"sends again after a reset":       func(w *backendWalk) { w.net = resendingNet(w.process) },
-		"uses again what was thrown away": func(w *backendWalk) { w.net, w.beforeWorld = recyclingNet(w.process) },
-		"knows not what was asked last":   func(w *backendWalk) { w.forgetLastID = true },
+		"resends after a reset":      func(w *backendWalk) { w.net = resendingNet(w.process) },
+		"reuses a closed connection": func(w *backendWalk) { w.net, w.beforeWorld = recyclingNet(w.process) },
+		"forgets the last id":        func(w *backendWalk) { w.forgetLastID = true },
 	})
 }
 
-// truncatingConn takes so many bytes of the next write, and resets.
+// truncatingConn accepts a limited number of bytes of the next write, and resets.
 type truncatingConn struct {
 	net.Conn
 	take *int
@@ -416,8 +418,8 @@
 
 func (c *truncatingConn) Quiet() (quiet, bytes bool) { return sock.Look(c.Conn) }
 
-// A request whose head did not leave whole on a connection that rested goes out on the next one; on a fresh one it is told not to
-// have run. One whose head left may have run.
+// A request whose head was not sent completely on a reused connection is sent on the next one; on a fresh connection it
+// is reported as not executed. One whose head was sent may have run.
 func TestPartialWriteToBackend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ran, take := 0, -1
@@ -442,19 +444,19 @@
 			want errcode.Kind
 			runs int
 		}{
-			{"a fresh one", -1, errcode.OK, 1},
-			{"nothing left", 0, errcode.OK, 1},
-			{"a part of the head left", 40, errcode.OK, 1},
-			{"the head left", 200, errcode.Broken, 0},
-			{"a part of the head left on a fresh one", 40, errcode.Away, 0},
-			{"a fresh one again", -1, errcode.OK, 1},
+			{"a fresh connection", -1, errcode.OK, 1},
+			{"nothing sent", 0, errcode.OK, 1},
+			{"a part of the head sent", 40, errcode.OK, 1},
+			{"the head sent", 200, errcode.Broken, 0},
+			{"a part of the head sent on a fresh connection", 40, errcode.Away, 0},
+			{"a fresh connection again", -1, errcode.OK, 1},
 		} {
 			was := ran
 			take = step.take
 			if o := do(strings.Repeat("x", 500)); o.Code != step.want || ran-was != step.runs || o.Code == errcode.Away && o.Sent {
 				t.Errorf("%s: %+v, %v; it ran %d times", step.name, o.peerResponse, o.err, ran-was)
 			}
-			if c := w.Inbound.pool.Take("i-1"); c != nil { // asked again under its id, it would go out on a fresh one
+			if c := w.Inbound.pool.Take("i-1"); c != nil { // a retry under its id would use a fresh connection
 				c.Last = ""
 				w.Inbound.pool.Release(c)
 			}
--- a/internal/dataplane/balancer_test.go
+++ b/internal/dataplane/balancer_test.go
@@ -13,16 +13,16 @@
 )
 
 func newTestBalancer(count int) *Balancer {
-	h := NewBalancer()
-	h.Node, h.Zone, h.RetryRatio, h.RetryAllowance, h.RetryWindow = "n0", "z", 10, 1e6, time.Minute
-	h.Rand = rand.New(rand.NewPCG(1, 1))
-	var bs []backends.Berth
+	b := NewBalancer()
+	b.Node, b.Zone, b.RetryRatio, b.RetryAllowance, b.RetryWindow = "n0", "z", 10, 1e6, time.Minute
+	b.Rand = rand.New(rand.NewPCG(1, 1))
+	var entries []backends.Berth
 	for i := range count {
-		bs = append(bs, backends.Berth{Node: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i), Zone: "z", Version: 1, Instance: fmt.Sprint("i", i),
+		entries = append(entries, backends.Berth{Node: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i), Zone: "z", Version: 1, Instance: fmt.Sprint("i", i),
 			Service: "s", Capacity: 4, State: backends.Serving})
 	}
-	h.UpdateBackends(0, bs)
-	return h
+	b.UpdateBackends(0, entries)
+	return b
 }
 
 var (
@@ -30,19 +30,19 @@
 	servedOutcome   = outcome{peerResponse: peerResponse{Status: 200}}
 )
 
-// The bucket of the design: 500 tokens; a retry costs 5, one after a time-out 10; a served request brings 1 back, a failure
-// none; at most 5 retries, none that would come too late.
+// The retry token bucket: 500 tokens; a retry costs 5, or 10 after a timeout; a success returns 1, a failure none.
+// There are at most 5 retries, and none that would exceed the deadline.
 func TestRetries(t *testing.T) {
-	again := func(h *Balancer, retries int, last errcode.Kind) bool {
-		_, no := h.AllowRetry(time.Second, longTargetRoute, "s", retries, last, false, time.Hour)
-		return no == granted
+	retryAllowed := func(b *Balancer, retries int, last errcode.Kind) bool {
+		_, reason := b.AllowRetry(time.Second, longTargetRoute, "s", retries, last, false, time.Hour)
+		return reason == granted
 	}
 	for _, c := range []struct {
 		last errcode.Kind
 		want int
 	}{{errcode.Full, 100}, {errcode.Broken, 100}, {errcode.TimedOut, 50}} {
-		h, n := newTestBalancer(1), 0
-		for again(h, 0, c.last) {
+		b, n := newTestBalancer(1), 0
+		for retryAllowed(b, 0, c.last) {
 			n++
 		}
 		if n != c.want {
@@ -50,110 +50,110 @@
 		}
 		failed := outcome{peerResponse: peerResponse{Status: 500}}
 		for i := range 5 {
-			if again(h, 0, errcode.Full) {
+			if retryAllowed(b, 0, errcode.Full) {
 				t.Errorf("a retry for %d tokens", i)
 			}
-			if !h.Pick(0, "s", "").ok {
-				t.Error("a first attempt waits for the bucket")
+			if !b.Pick(0, "s", "").ok {
+				t.Error("a first attempt was denied")
 			}
-			ch := h.Pick(0, "s", "")
-			h.RecordOutcome(0, ch, &failed)
-			h.RecordOutcome(0, ch, &servedOutcome)
+			picked := b.Pick(0, "s", "")
+			b.RecordOutcome(0, picked, &failed)
+			b.RecordOutcome(0, picked, &servedOutcome)
 		}
-		if !again(h, 0, errcode.Full) || again(h, 0, errcode.Full) {
-			t.Error("5 served requests are not worth one retry")
+		if !retryAllowed(b, 0, errcode.Full) || retryAllowed(b, 0, errcode.Full) {
+			t.Error("5 successes don't pay for exactly one retry")
 		}
 		for range 1000 {
-			h.RecordOutcome(0, choice{node: "n0"}, &servedOutcome)
+			b.RecordOutcome(0, choice{node: "n0"}, &servedOutcome)
 		}
-		if h.bucket.Tokens() != bucketTokens {
-			t.Errorf("%v tokens", h.bucket.Tokens())
+		if b.bucket.Tokens() != bucketTokens {
+			t.Errorf("%v tokens", b.bucket.Tokens())
 		}
 	}
-	h := newTestBalancer(1)
+	b := newTestBalancer(1)
 	for retries, want := range []bool{true, true, true, true, true, false, false} {
-		if again(h, retries, errcode.Full) != want {
+		if retryAllowed(b, retries, errcode.Full) != want {
 			t.Errorf("retry %d: %v", retries+1, !want)
 		}
 	}
-	before := h.bucket.Tokens()
-	if _, no := h.AllowRetry(0, longTargetRoute, "s", 0, errcode.Full, false, 0); no == granted || h.bucket.Tokens() != before {
-		t.Errorf("a retry with no time left: %v, %v tokens of %v", no, h.bucket.Tokens(), before)
+	before := b.bucket.Tokens()
+	if _, reason := b.AllowRetry(0, longTargetRoute, "s", 0, errcode.Full, false, 0); reason == granted || b.bucket.Tokens() != before {
+		t.Errorf("a retry with no time left: %v, %v tokens of %v", reason, b.bucket.Tokens(), before)
 	}
-	h.RetryAllowance, h.RetryRatio = 0, 0
-	h.retryBudgets = map[string]*retrybudget.Ration{}
-	if _, no := h.AllowRetry(0, longTargetRoute, "s", 0, errcode.TurnedAway, true, time.Hour); no == granted || h.bucket.Tokens() != before {
-		t.Error("one more arrival beyond the ration")
+	b.RetryAllowance, b.RetryRatio = 0, 0
+	b.retryBudgets = map[string]*retrybudget.Ration{}
+	if _, reason := b.AllowRetry(0, longTargetRoute, "s", 0, errcode.TurnedAway, true, time.Hour); reason == granted || b.bucket.Tokens() != before {
+		t.Error("a retry beyond the retry budget")
 	}
-	if _, no := h.AllowRetry(0, longTargetRoute, "s", 0, errcode.Full, false, time.Hour); no != granted {
-		t.Error("what never arrived waits for the ration")
+	if _, reason := b.AllowRetry(0, longTargetRoute, "s", 0, errcode.Full, false, time.Hour); reason != granted {
+		t.Error("the retry budget applies to a request that never reached a backend")
 	}
 }
 
-// Waits are fully jittered: from none to a second, doubled with each retry, under a part of the route's target.
+// Backoff has full jitter: from zero to one second, doubled with each retry, under a fraction of the route's target.
 func TestRetryWaits(t *testing.T) {
 	for _, c := range []struct {
-		target time.Duration
-		most   [3]time.Duration
+		target   time.Duration
+		maxWaits [3]time.Duration
 	}{
 		{32 * time.Second, [3]time.Duration{time.Second, 2 * time.Second, 2 * time.Second}},
 		{time.Hour, [3]time.Duration{time.Second, 2 * time.Second, 4 * time.Second}},
 		{160 * time.Millisecond, [3]time.Duration{10 * time.Millisecond, 10 * time.Millisecond, 10 * time.Millisecond}},
 		{time.Millisecond, [3]time.Duration{minBackoffCeiling, minBackoffCeiling, minBackoffCeiling}},
 	} {
-		for retries, most := range c.most {
-			h := newTestBalancer(1)
-			low, high := time.Hour, time.Duration(0)
+		for retries, maxWaits := range c.maxWaits {
+			b := newTestBalancer(1)
+			shortest, longest := time.Hour, time.Duration(0)
 			for range 90 {
-				w, no := h.AllowRetry(0, &configuration.Route{Target: c.target}, "s", retries, errcode.Full, false, time.Hour)
-				if no != granted {
+				w, reason := b.AllowRetry(0, &configuration.Route{Target: c.target}, "s", retries, errcode.Full, false, time.Hour)
+				if reason != granted {
 					t.Fatal("no retry")
 				}
-				low, high = min(low, w), max(high, w)
+				shortest, longest = min(shortest, w), max(longest, w)
 			}
-			if low < 0 || low > most/5 || high >= most || high < most*4/5 {
-				t.Errorf("target %v, retry %d: from %v to %v, want 0 to %v", c.target, retries, low, high, most)
+			if shortest < 0 || shortest > maxWaits/5 || longest >= maxWaits || longest < maxWaits*4/5 {
+				t.Errorf("target %v, retry %d: from %v to %v, want 0 to %v", c.target, retries, shortest, longest, maxWaits)
 			}
 		}
 	}
 }
 
-// Idle first and at random, the one that just failed or can't be reached last, those that leave never, and other services'
-// never.
+// Idle backends are picked at random; one that just failed or is unreachable comes last; draining ones and those of
+// other services are never picked.
 func TestPick(t *testing.T) {
-	h := newTestBalancer(3)
-	seen := map[string]int{}
+	b := newTestBalancer(3)
+	picks := map[string]int{}
 	for range 90 {
-		c := h.Pick(0, "s", "n1")
-		seen[c.node]++
-		h.RecordOutcome(0, c, &servedOutcome)
+		c := b.Pick(0, "s", "n1")
+		picks[c.node]++
+		b.RecordOutcome(0, c, &servedOutcome)
 	}
-	if seen["n1"] > 0 || seen["n0"] < 20 || seen["n2"] < 20 {
-		t.Errorf("chosen: %v, with n1 just failed", seen)
+	if picks["n1"] > 0 || picks["n0"] < 20 || picks["n2"] < 20 {
+		t.Errorf("picked: %v, after n1 failed", picks)
 	}
-	for range 12 { // what is in flight is spread
-		h.Pick(0, "s", "")
+	for range 12 { // requests in flight are spread
+		b.Pick(0, "s", "")
 	}
-	for n, r := range h.byNode {
+	for n, r := range b.byNode {
 		if r.inFlight < 3 || r.inFlight > 6 {
 			t.Errorf("%s has %d in flight", n, r.inFlight)
 		}
 	}
-	h = newTestBalancer(2)
-	away := outcome{peerResponse: peerResponse{Code: errcode.Away}, err: errcode.New(errcode.Away, "")}
-	h.RecordOutcome(0, choice{node: "n0", instance: "i0"}, &away)
+	b = newTestBalancer(2)
+	unreachable := outcome{peerResponse: peerResponse{Code: errcode.Away}, err: errcode.New(errcode.Away, "")}
+	b.RecordOutcome(0, choice{node: "n0", instance: "i0"}, &unreachable)
 	for range 20 {
-		if c := h.Pick(minAvoidPause/2, "s", ""); c.node != "n1" {
-			t.Fatalf("%s was chosen, which can't be reached", c.node)
+		if c := b.Pick(minAvoidPause/2, "s", ""); c.node != "n1" {
+			t.Fatalf("%s was picked, but is unreachable", c.node)
 		}
 	}
-	h.UpdateBackends(0, []backends.Berth{{Node: "n1", Version: 2, Instance: "i1", Service: "s", State: backends.Draining}})
-	if c := h.Pick(minAvoidPause/2, "s", "n0"); c.node != "n0" {
-		t.Errorf("%q was chosen where one is left", c.node)
+	b.UpdateBackends(0, []backends.Berth{{Node: "n1", Version: 2, Instance: "i1", Service: "s", State: backends.Draining}})
+	if c := b.Pick(minAvoidPause/2, "s", "n0"); c.node != "n0" {
+		t.Errorf("%q was picked, but only n0 is serving", c.node)
 	}
-	h.UpdateBackends(0, []backends.Berth{{Node: "n0", Version: 2, Instance: "j", Service: "other", State: backends.Serving}})
-	if h.Pick(0, "s", "").ok {
-		t.Error("a backend that leaves, or of another service, was chosen")
+	b.UpdateBackends(0, []backends.Berth{{Node: "n0", Version: 2, Instance: "j", Service: "other", State: backends.Serving}})
+	if b.Pick(0, "s", "").ok {
+		t.Error("a draining backend, or one of another service, was picked")
 	}
-	h.RecordOutcome(0, choice{node: "gone"}, &servedOutcome)
+	b.RecordOutcome(0, choice{node: "gone"}, &servedOutcome)
 }
--- a/internal/dataplane/client_left_test.go
+++ b/internal/dataplane/client_left_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	runTime     = 3 * time.Second        // of a run that nobody ends
-	leaveDelay  = 430 * time.Millisecond // of the request, its client closes the connection
-	cancelLimit = 400 * time.Millisecond // for the backend to hear of it
+	runTime     = 3 * time.Second        // of a run that nobody cancels
+	leaveDelay  = 430 * time.Millisecond // after the request, its client closes the connection
+	cancelLimit = 400 * time.Millisecond // until the backend must notice
 )
 
-// slowBackend is a backend that drops a run when its connection closes, as most do.
+// slowBackend aborts a run when its connection closes, as most backends do.
 type slowBackend struct {
-	started, ended chan time.Time // of each run; ended early or by itself
+	started, ended chan time.Time // of each run; aborted or completed
 	head           string         // sent at once, ahead of the work
 }
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// secondProxy starts a second proxy, on a machine of its own, that knows the first one's backend, and gives its address for clients.
+// secondProxy starts a second proxy, on a machine of its own, that knows the first one's backend, and returns it.
 func (w *testProxy) secondProxy(t *testing.T, route string) *testProxy {
 	t.Helper()
 	const ip = "10.0.0.2"
@@ -72,7 +72,7 @@
 	return second
 }
 
-// sendAndLeave sends a request and closes its connection after a while; the answer is when.
+// sendAndLeave sends a request, closes its connection after leaveDelay, and returns the time of the close.
 func (w *testProxy) sendAndLeave(t *testing.T, method, id string) time.Time {
 	t.Helper()
 	c := w.dial(t, w.clientAddr)
@@ -88,74 +88,75 @@
 	slowEgressRoute     = `{"host":"h","path-prefix":"/a/","route-kind":"egress","deadline-s":5,"target-s":0.3,"service":"ledger","max-attempts":2}`
 )
 
-// A run that may be repeated ends soon after its client has left, beside the proxy that took the request or behind a hop, before its
-// answer begins or amid it; its place is free again. One that may not be repeated goes on: its effect may have begun.
+// A repeatable run is canceled soon after its client has left, beside the proxy that took the request or behind a
+// second one, before its response begins or in the middle of it; its place is free again. A run that is not repeatable
+// continues, since its effect may have begun.
 func TestRunOfAClientThatLeft(t *testing.T) {
 	half := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: q\r\n%s: s\r\nContent-Length: 1000000\r\n\r\n%070000d", HeaderAttemptID, HeaderServerSeal, 0)
-	for _, x := range []struct {
-		name, route, method, head string
-		hop, dies, goesOn         bool
+	for _, tc := range []struct {
+		name, route, method, head     string
+		remote, entryStops, continues bool
 	}{
-		{name: "beside", route: slowIdempotentRoute, method: "GET"},
-		{name: "behind a hop", route: slowIdempotentRoute, method: "GET", hop: true},
-		{name: "behind a hop whose proxy ends", route: slowIdempotentRoute, method: "GET", hop: true, dies: true},
-		{name: "amid its answer", route: slowEgressRoute, method: "GET", head: half},
-		{name: "amid its answer, behind a hop", route: slowEgressRoute, method: "GET", head: half, hop: true},
-		{name: "not repeatable", route: slowMutatingRoute, method: "POST", goesOn: true},
-		{name: "not repeatable, behind a hop", route: slowMutatingRoute, method: "POST", hop: true, goesOn: true},
+		{name: "local", route: slowIdempotentRoute, method: "GET"},
+		{name: "by a second proxy", route: slowIdempotentRoute, method: "GET", remote: true},
+		{name: "by a second proxy that ends", route: slowIdempotentRoute, method: "GET", remote: true, entryStops: true},
+		{name: "in the middle of its response", route: slowEgressRoute, method: "GET", head: half},
+		{name: "in the middle of its response, by a second proxy", route: slowEgressRoute, method: "GET", head: half, remote: true},
+		{name: "not repeatable", route: slowMutatingRoute, method: "POST", continues: true},
+		{name: "not repeatable, by a second proxy", route: slowMutatingRoute, method: "POST", remote: true, continues: true},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newSlowBackend()
-				b.head = x.head
-				w := newTestProxy(t, x.route, b.answer)
-				by := w
-				if x.hop {
-					by = w.secondProxy(t, x.route)
+				b.head = tc.head
+				w := newTestProxy(t, tc.route, b.answer)
+				entry := w
+				if tc.remote {
+					entry = w.secondProxy(t, tc.route)
 				}
-				if x.dies {
-					time.AfterFunc(leaveDelay, by.process.End)
+				if tc.entryStops {
+					time.AfterFunc(leaveDelay, entry.process.End)
 				}
-				left := by.sendAndLeave(t, x.method, "q")
+				left := entry.sendAndLeave(t, tc.method, "q")
 				began, ended := <-b.started, <-b.ended
-				took := ended.Sub(left)
+				delay := ended.Sub(left)
 				switch {
-				case x.goesOn && ended.Sub(began) < runTime:
-					t.Errorf("it was broken off %v after its client had left", took)
-				case !x.goesOn && took > cancelLimit:
-					t.Errorf("it went on for %v after its client had left", took)
+				case tc.continues && ended.Sub(began) < runTime:
+					t.Errorf("the run was canceled %v after its client had left", delay)
+				case !tc.continues && delay > cancelLimit:
+					t.Errorf("the run continued for %v after its client had left", delay)
 				}
 				time.Sleep(time.Second)
-				t.Logf("client_left %d, gate_canceled %d", by.Counts.ClientLeft.Load(), w.Inbound.Counts.Canceled.Load())
+				t.Logf("client_left %d, gate_canceled %d", entry.Counts.ClientLeft.Load(), w.Inbound.Counts.Canceled.Load())
 				if running, waiting := w.Inbound.load(); running+waiting != 0 {
-					t.Errorf("%d run and %d wait", running, waiting)
+					t.Errorf("%d running and %d waiting", running, waiting)
 				}
 			})
 		})
 	}
 }
 
-// A request whose client has left while it waited for a place is not sent, whatever its kind.
+// A request whose client left while it waited for a place is not sent, whatever its kind.
 func TestWaitOfAClientThatLeft(t *testing.T) {
 	for _, kind := range []string{"idempotent", "mutating"} {
-		for _, hop := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, hop %v", kind, hop), func(t *testing.T) {
+		for _, remote := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, second proxy %v", kind, remote), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					route := `{"host":"h","path-prefix":"/a/","route-kind":"` + kind + `","deadline-s":20,"target-s":10,"service":"ledger","max-attempts":2}`
 					b := newSlowBackend()
 					w := newTestProxy(t, route, b.answer)
-					by := w
-					if hop {
-						by = w.secondProxy(t, route)
+					entry := w
+					if remote {
+						entry = w.secondProxy(t, route)
 					}
-					for i := range 2 { // both places
+					for i := range 2 { // all places
 						fmt.Fprintf(w.dial(t, w.clientAddr), "GET /a/%d HTTP/1.1\r\nHost: h\r\n%s: %d\r\n\r\n", i, HeaderAttemptID, i)
 						<-b.started
 					}
-					by.sendAndLeave(t, "POST", "q")
+					entry.sendAndLeave(t, "POST", "q")
 					time.Sleep(3 * runTime)
 					if len(b.started) > 0 {
-						t.Error("it was sent to the backend")
+						t.Error("the request was sent to the backend")
 					}
 				})
 			})
@@ -163,7 +164,7 @@
 	}
 }
 
-// A request that is read only after its client has left is not sent: the proxy was busy, or stood still.
+// A request that is read only after its client has left, since the proxy was busy or frozen, is not sent.
 func TestRequestReadAfterItsClientLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newSlowBackend()
@@ -179,12 +180,12 @@
 		go w.Serve(l)
 		time.Sleep(runTime)
 		if len(b.started) > 0 || w.Counts.ClientLeft.Load() != 1 {
-			t.Errorf("%d runs began; %d clients left", len(b.started), w.Counts.ClientLeft.Load())
+			t.Errorf("%d runs; %d clients left", len(b.started), w.Counts.ClientLeft.Load())
 		}
 	})
 }
 
-// A request that fails is not sent again once its client has left, also if the wait before that has begun.
+// A failed request is not retried after its client has left, also if the backoff has already begun.
 func TestRetryOfAClientThatLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var last time.Time
@@ -203,7 +204,8 @@
 	})
 }
 
-// The end of one client's work takes no connection from another, and its backend is not set aside: the next request is served.
+// Canceling one client's run takes no connection from another client, and the backend is not avoided: the next request
+// succeeds.
 func TestNextRequestAfterAClientLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := newSlowBackend()
@@ -214,17 +216,17 @@
 				respondWithID(o, r)
 			}
 		})
-		by := w.secondProxy(t, slowIdempotentRoute)
-		kept := by.dial(t, by.clientAddr)
+		entry := w.secondProxy(t, slowIdempotentRoute)
+		conn := entry.dial(t, entry.clientAddr)
 		for i := range 5 {
-			by.sendAndLeave(t, "GET", "q")
-			if r, err := kept.request(fmt.Sprint("n", i)); err != nil || r.StatusCode != http.StatusOK {
+			entry.sendAndLeave(t, "GET", "q")
+			if r, err := conn.request(fmt.Sprint("n", i)); err != nil || r.StatusCode != http.StatusOK {
 				t.Errorf("request %d: %v, %v", i, r, err)
 			}
 		}
 		time.Sleep(cancelLimit)
 		if n := w.Inbound.Counts.Canceled.Load(); n != 5 {
-			t.Errorf("%d runs were broken off", n)
+			t.Errorf("%d runs were canceled, want 5", n)
 		}
 	})
 }
--- a/internal/dataplane/client_walk_test.go
+++ b/internal/dataplane/client_walk_test.go
@@ -16,9 +16,9 @@
 	"saltmast/internal/sock"
 )
 
-// The walk of a client's connection: three things that a client may do on it, one behind the other, and what its backend does by
-// the request's path. Answers come in the order of the requests, each whole or seen to be cut; only what was sent whole runs, once
-// at the most; and what is answered by a promise never runs.
+// The walk of a client connection: three actions of a client, one after the other, and a backend that acts by the
+// request's path. Responses come in the order of the requests, each complete or recognizably cut; only requests that
+// were sent completely run, at most once; and those that are reported as not executed never run.
 
 const mutatingRoute = `{"host":"h","path-prefix":"/a/","route-kind":"mutating","deadline-s":1,"target-s":0.5,"service":"ledger","max-attempts":2}`
 
@@ -26,10 +26,10 @@
 type scriptedClient struct {
 	net.Conn
 	requests   int
-	complete   []string // ids of the requests that went whole, and must be answered in this order if they are
+	complete   []string // ids of the requests that were sent completely, answered in this order if at all
 	method     map[string]string
 	mustNotRun map[string]bool
-	closed     bool // it ended its connection
+	closed     bool // it closed its connection
 	finished   bool // it sends no more
 }
 
@@ -46,7 +46,7 @@
 	return p.head(method, path, id, more) + body
 }
 
-// invalidRequest is a request that must not run.
+// invalidRequest returns a request that must not run.
 func (p *scriptedClient) invalidRequest(method, path, more, body string) string {
 	id := p.id()
 	p.mustNotRun[id] = true
@@ -67,73 +67,73 @@
 	{"a long body", func(p *scriptedClient) {
 		io.WriteString(p, p.completeRequest("PUT", "ok", "Content-Length: 100000\r\n", strings.Repeat("x", 100000)))
 	}},
-	{"two requests at once", func(p *scriptedClient) {
+	{"two pipelined requests", func(p *scriptedClient) {
 		io.WriteString(p, p.completeRequest("GET", "ok", "", "")+p.completeRequest("GET", "ok", "", ""))
 	}},
-	{"three at once, the first fails", func(p *scriptedClient) {
+	{"three pipelined requests, the first fails", func(p *scriptedClient) {
 		io.WriteString(p, p.completeRequest("GET", "none", "", "")+p.completeRequest("GET", "ok", "", "")+p.completeRequest("HEAD", "ok", "", ""))
 	}},
-	{"a request, and its half closed", func(p *scriptedClient) {
+	{"a request, and a half close", func(p *scriptedClient) {
 		io.WriteString(p, p.completeRequest("GET", "ok", "", ""))
 		p.Conn.(interface{ CloseWrite() error }).CloseWrite()
 		p.finished = true
 	}},
-	{"a request, and gone", func(p *scriptedClient) {
+	{"a request, and a close", func(p *scriptedClient) {
 		io.WriteString(p, p.completeRequest("GET", "ok", "", ""))
 		p.Close()
 		p.closed = true
 	}},
-	{"a request, and gone amid its answer", func(p *scriptedClient) {
+	{"a request, and a close in the middle of its response", func(p *scriptedClient) {
 		io.WriteString(p, p.completeRequest("GET", "long", "", ""))
 		time.Sleep(3 * time.Millisecond)
 		p.Close()
 		p.closed = true
 	}},
-	{"the last request, and one behind it", func(p *scriptedClient) {
+	{"the last request, and one after it", func(p *scriptedClient) {
 		io.WriteString(p, p.completeRequest("GET", "ok", "Connection: close\r\n", "")+p.invalidRequest("GET", "ok", "", ""))
 		p.finished = true
 	}},
-	{"a head cut off", func(p *scriptedClient) {
+	{"a truncated head", func(p *scriptedClient) {
 		s := p.invalidRequest("GET", "ok", "", "")
 		io.WriteString(p, s[:len(s)-1])
 		p.Close()
 		p.closed = true
 	}},
-	{"a body cut off", func(p *scriptedClient) {
+	{"a truncated body", func(p *scriptedClient) {
 		io.WriteString(p, p.invalidRequest("PUT", "ok", "Content-Length: 9\r\n", "abc"))
 		p.Close()
 		p.closed = true
 	}},
-	{"a long body cut off", func(p *scriptedClient) {
+	{"a truncated long body", func(p *scriptedClient) {
 		io.WriteString(p, p.invalidRequest("PUT", "ok", "Content-Length: 100000\r\n", strings.Repeat("x", 99999)))
 		p.Close()
 		p.closed = true
 	}},
-	{"a head that may be read in two ways, and one behind it", func(p *scriptedClient) {
+	{"an ambiguous head, and a request after it", func(p *scriptedClient) {
 		io.WriteString(p, p.invalidRequest("PUT", "ok", "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n")+p.invalidRequest("GET", "ok", "", ""))
 		p.finished = true
 	}},
-	{"noise", func(p *scriptedClient) {
+	{"an invalid head", func(p *scriptedClient) {
 		io.WriteString(p, "\x00\r\n\r\n"+p.invalidRequest("GET", "ok", "", ""))
 		p.finished = true
 	}},
-	{"a request behind a rest", func(p *scriptedClient) {
+	{"a request after an idle time", func(p *scriptedClient) {
 		time.Sleep(12 * time.Second)
 		io.WriteString(p, p.completeRequest("GET", "ok", "", ""))
 	}},
-	{"a request whose answer is cut", func(p *scriptedClient) { io.WriteString(p, p.completeRequest("GET", "cut", "", "")) }},
-	{"a request whose long answer is cut", func(p *scriptedClient) { io.WriteString(p, p.completeRequest("GET", "longcut", "", "")) }},
-	{"a long answer", func(p *scriptedClient) { io.WriteString(p, p.completeRequest("GET", "long", "", "")) }},
+	{"a request whose response is cut", func(p *scriptedClient) { io.WriteString(p, p.completeRequest("GET", "cut", "", "")) }},
+	{"a request whose long response is cut", func(p *scriptedClient) { io.WriteString(p, p.completeRequest("GET", "longcut", "", "")) }},
+	{"a long response", func(p *scriptedClient) { io.WriteString(p, p.completeRequest("GET", "long", "", "")) }},
 	{"a request that is declined", func(p *scriptedClient) { io.WriteString(p, p.completeRequest("GET", "full", "", "")) }},
 	{"a request whose backend is silent", func(p *scriptedClient) { io.WriteString(p, p.completeRequest("GET", "silent", "", "")) }},
-	{"a route that is none", func(p *scriptedClient) {
+	{"an unknown route", func(p *scriptedClient) {
 		s := p.completeRequest("GET", "ok", "", "")
 		io.WriteString(p, strings.Replace(s, "/a/", "/b/", 1))
 	}},
-	{"the heads of what is declined, and one behind them", func(p *scriptedClient) {
+	{"HEAD requests that are declined, and a request after them", func(p *scriptedClient) {
 		io.WriteString(p, p.completeRequest("HEAD", "full", "", "")+strings.Replace(p.completeRequest("HEAD", "ok", "", ""), "/a/", "/b/", 1)+p.completeRequest("GET", "ok", "", ""))
 	}},
-	{"a request with a Connection that names what is the mesh's", func(p *scriptedClient) {
+	{"a request with a Connection header that names mesh headers", func(p *scriptedClient) {
 		io.WriteString(p, p.completeRequest("GET", "ok", "Connection: "+HeaderAttemptID+", host, x-own\r\nX-Own: 1\r\n", ""))
 	}},
 	{"a request with two ids", func(p *scriptedClient) {
@@ -194,7 +194,7 @@
 	return w
 }
 
-// runWorld has a client do all of a script, and reads what it gets.
+// runWorld runs a script of client actions and checks the responses.
 func (w *clientWalk) runWorld(t *testing.T, script []int) string {
 	w.worlds++
 	c, err := w.process.Dial(t.Context(), w.addr, 0)
@@ -203,29 +203,29 @@
 	}
 	p := &scriptedClient{Conn: c, requests: w.worlds * 100, mustNotRun: map[string]bool{}, method: map[string]string{}}
 	in := bufio.NewReader(c)
-	at, over := 0, false // over: an answer said that it is the last, or was cut
+	next, ended := 0, false // over: a response was the last on the connection, or was cut
 	read := func() string {
-		for ; at < len(p.complete) && !over; at++ {
-			id := p.complete[at]
+		for ; next < len(p.complete) && !ended; next++ {
+			id := p.complete[next]
 			r, err := http.ReadResponse(in, &http.Request{Method: p.method[id]})
 			if err != nil {
-				return fmt.Sprintf("request %d got no answer: %v", at, err)
+				return fmt.Sprintf("request %d got no response: %v", next, err)
 			}
-			over = r.Close
+			ended = r.Close
 			b, err := io.ReadAll(r.Body)
 			if got := r.Header.Get(HeaderAttemptID); got != id && (r.StatusCode != 400 || got != "") {
-				return fmt.Sprintf("request %d got the answer of %q", at, got)
+				return fmt.Sprintf("request %d got the response to %q", next, got)
 			}
 			w.mu.Lock()
 			ran := w.runs[id]
 			w.mu.Unlock()
 			switch s := r.StatusCode; {
 			case err != nil:
-				over = true
+				ended = true
 			case s == 200 && p.method[id] != "HEAD" && string(b) != "of "+id && string(b) != "of "+id+strings.Repeat("x", longBody):
-				return fmt.Sprintf("request %d got %d bytes that pass for all: %.20q", at, len(b), b)
+				return fmt.Sprintf("request %d got a wrong body of %d bytes without an error: %.20q", next, len(b), b)
 			case (s == 200) != (ran == 1) && s != 502 && s != 504, s == 503 && ran > 0:
-				return fmt.Sprintf("request %d is answered %d and ran %d times", at, s, ran)
+				return fmt.Sprintf("request %d got status %d and ran %d times", next, s, ran)
 			}
 		}
 		return ""
@@ -235,7 +235,7 @@
 		if p.closed {
 			break
 		}
-		if d%2 == 0 { // of half of them the answers are read at once, of the others with the next
+		if d%2 == 0 { // for half of the actions the responses are read at once, for the others with the next
 			c.SetReadDeadline(time.Now().Add(20 * time.Second))
 			if why := read(); why != "" {
 				return why
@@ -251,8 +251,8 @@
 			return why
 		}
 		c.SetReadDeadline(time.Now().Add(time.Second))
-		if b, err := io.ReadAll(in); at >= len(p.complete) && len(p.mustNotRun) == 0 && len(b) > 0 && !p.finished {
-			return fmt.Sprintf("%.30q came behind the last answer, %v", b, err)
+		if b, err := io.ReadAll(in); next >= len(p.complete) && len(p.mustNotRun) == 0 && len(b) > 0 && !p.finished {
+			return fmt.Sprintf("%.30q followed the last response, %v", b, err)
 		}
 		c.Close()
 	}
@@ -268,19 +268,19 @@
 	return ""
 }
 
-// The last deed of each script is a request, two at once, or the last request with one behind it.
+// The last action of each script is a request, two pipelined ones, or the last request with another one after it.
 var clientWalks = modelcheck.Walk[*clientWalk]{Deeds: len(clientActions), Deed: func(i int) string { return clientActions[i].name }, Length: 2,
-	Ways: []string{"a request", "two at once", "the last"}, Begin: newClientWalk,
+	Ways: []string{"a request", "two pipelined", "the last"}, Begin: newClientWalk,
 	World: func(t *testing.T, w *clientWalk, script []int, way int) string {
 		return w.runWorld(t, append(script, [...]int{0, 4, 9}[way]))
 	},
 	End: func(*clientWalk) {}}
 
-// Whatever a client does on its connection, and its backend with a request, no answer goes to another request, and nothing runs
-// that was not sent whole.
+// Whatever a client does on its connection, and its backend with a request, no response goes to another request, and
+// nothing runs that was not sent completely.
 func TestClientWalk(t *testing.T) { clientWalks.Holds(t) }
 
-// reorderingConn holds the answer to the first of requests that came at once back until the next one has gone.
+// reorderingConn holds back the response to the first of two pipelined requests until the next one is written.
 type reorderingConn struct {
 	net.Conn
 	two  bool
@@ -309,7 +309,7 @@
 
 func (s *reorderingConn) Quiet() (quiet, bytes bool) { return sock.Look(s.Conn) }
 
-// completingConn brings what is cut to an end that passes for one.
+// completingConn appends a valid end to a response that was cut.
 type completingConn struct {
 	net.Conn
 	last []byte
@@ -329,7 +329,7 @@
 
 func (f *completingConn) Quiet() (quiet, bytes bool) { return sock.Look(f.Conn) }
 
-// lenientConn reads on behind a head that may be read in two ways: by its length alone.
+// lenientConn accepts a head with two contradictory lengths, and uses the Content-Length alone.
 type lenientConn struct{ net.Conn }
 
 func (d *lenientConn) Read(p []byte) (int, error) {
@@ -354,8 +354,8 @@
 	return l.wrap(c), nil
 }
 
-// Wrong fronts are found: one that answers out of order, one that ends a cut answer as if it were whole, and one that reads a head
-// in one of two ways.
+// The walk finds a proxy that answers out of order, one that ends a cut response as if it were complete, and one that
+// accepts an ambiguous head.
 func TestClientWalkFindsFaults(t *testing.T) {
 	through := func(wrap func(net.Conn) net.Conn) func(w *clientWalk) {
 		return func(w *clientWalk) {
@@ -368,8 +368,8 @@
 		}
 	}
 	clientWalks.Finds(t, map[string]func(w *clientWalk){
-		"answers out of order":     through(func(c net.Conn) net.Conn { return &reorderingConn{Conn: c} }),
-		"ends what is cut":         through(func(c net.Conn) net.Conn { return &completingConn{Conn: c} }),
-		"reads in one of two ways": through(func(c net.Conn) net.Conn { return &lenientConn{c} }),
+		"responses out of order":    through(func(c net.Conn) net.Conn { return &reorderingConn{Conn: c} }),
+		"completes a cut response":  through(func(c net.Conn) net.Conn { return &completingConn{Conn: c} }),
+		"accepts an ambiguous head": through(func(c net.Conn) net.Conn { return &lenientConn{c} }),
 	})
 }
--- a/internal/dataplane/idle_conn_test.go
+++ b/internal/dataplane/idle_conn_test.go
@@ -14,7 +14,7 @@
 	"saltmast/internal/configuration"
 )
 
-// readHookConn is a connection that tells of each read which brought something, before whoever reads it hears of it.
+// readHookConn is a connection that calls a hook after each read that returned data, before the reader gets it.
 type readHookConn struct {
 	net.Conn
 	read func()
@@ -28,12 +28,12 @@
 	return n, err
 }
 
-// Quiet has it looked at as what is under it.
+// Quiet returns the state of the underlying connection.
 func (h *readHookConn) Quiet() (quiet, bytes bool) {
 	return h.Conn.(interface{ Quiet() (bool, bool) }).Quiet()
 }
 
-// readHookListener accepts them.
+// readHookListener wraps accepted connections in readHookConn.
 type readHookListener struct {
 	net.Listener
 	read func()
@@ -47,7 +47,7 @@
 	return &readHookConn{c, l.read}, nil
 }
 
-// applyConfiguration has a route of one service, and limits, hold from now on.
+// applyConfiguration configures one service with one route and the given limits.
 func (w *testProxy) applyConfiguration(t *testing.T, route, limits string) {
 	t.Helper()
 	call, err := configuration.DecodeCall([]byte(`{"upsert":{"resources":[{"resource-kind":"services","metadata":{"name":"ledger","version":"r1"},"specification":{}},` +
@@ -63,7 +63,7 @@
 	w.Configure(set.Chart())
 }
 
-// testConn is a client's connection for several requests.
+// testConn is a client connection for several requests.
 type testConn struct {
 	net.Conn
 	in *bufio.Reader
@@ -78,34 +78,35 @@
 	return &testConn{c, bufio.NewReader(c)}
 }
 
-// request sends a request and reads its answer, which has to be its own. Of a request without one, err says how its connection ended.
-func (k *testConn) request(id string) (r *http.Response, err error) {
-	if _, err := fmt.Fprintf(k, "GET /a/%s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", id, HeaderAttemptID, id); err != nil {
+// request sends a request and reads its response, which must have the request's id. Without a response, err says how
+// the connection ended.
+func (c *testConn) request(id string) (r *http.Response, err error) {
+	if _, err := fmt.Fprintf(c, "GET /a/%s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", id, HeaderAttemptID, id); err != nil {
 		return nil, err
 	}
-	return k.readResponse(id)
+	return c.readResponse(id)
 }
 
-func (k *testConn) readResponse(id string) (*http.Response, error) {
-	r, err := http.ReadResponse(k.in, nil)
+func (c *testConn) readResponse(id string) (*http.Response, error) {
+	r, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		return nil, err
 	}
 	b, err := io.ReadAll(r.Body)
 	if got := r.Header.Get(HeaderAttemptID); err == nil && (got != id || r.StatusCode == 200 && string(b) != "of "+id) {
-		return r, fmt.Errorf("%s got the answer of %q: %q", id, got, b)
+		return r, fmt.Errorf("%s got the response to %q: %q", id, got, b)
 	}
 	return r, err
 }
 
-// respondWithID answers a request with a body that is its own.
+// respondWithID answers a request with a body that names its id.
 func respondWithID(w io.Writer, r *http.Request) {
 	id := r.Header.Get(HeaderAttemptID)
 	fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\nContent-Length: %d\r\n\r\nof %s", HeaderAttemptID, id, HeaderServerSeal, len("of ")+len(id), id)
 }
 
-// A request that was read off its connection in the moment in which the proxy closes what rests is answered: nobody could tell
-// from the close whether it ran.
+// A request that was read at the moment when the proxy closes idle connections is answered: the client could not tell
+// from a closed connection whether it ran.
 func TestRequestDuringStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ran := 0
@@ -132,13 +133,13 @@
 		synctest.Wait()
 		w.closeIdle()
 		if _, err := other.in.ReadByte(); err != io.EOF {
-			t.Errorf("one that rests: %v", err)
+			t.Errorf("idle connection: %v", err)
 		}
 	})
 }
 
-// A connection that rests is taken up again until its time is over, which grows with the limits; what comes in the very moment of
-// its end is answered, or did not run.
+// An idle connection is reusable until the idle timeout, which follows the limits. A request that arrives at the moment
+// of the timeout is answered, or has not run.
 func TestIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ran := map[string]int{}
@@ -160,7 +161,7 @@
 		}
 		time.Sleep(61 * time.Second)
 		if _, err := c.in.ReadByte(); err != io.EOF {
-			t.Errorf("after its time: %v", err)
+			t.Errorf("after the idle timeout: %v", err)
 		}
 		w.applyConfiguration(t, idempotentRoute, `{"idle-timeout-s":12}`)
 		closed := 0
@@ -177,37 +178,37 @@
 			case err != nil && r == nil && ran[id] == 0:
 				closed++
 			default:
-				t.Errorf("%v from the end of its time: %v, %v; it ran %d times", d, r, err, ran[id])
+				t.Errorf("%v from the idle timeout: %v, %v; it ran %d times", d, r, err, ran[id])
 			}
 		}
 		if closed == 0 || closed == 81 {
 			t.Errorf("%d of 81 closed", closed)
 		}
-		w.applyConfiguration(t, idempotentRoute, `{"idle-timeout-s":0}`) // what came with the request before does not rest
+		w.applyConfiguration(t, idempotentRoute, `{"idle-timeout-s":0}`) // a pipelined request needs no idle time
 		c = w.dial(t, w.clientAddr)
 		fmt.Fprintf(c, "GET /a/ HTTP/1.1\r\nHost: h\r\n%[1]s: x\r\n\r\nGET /a/ HTTP/1.1\r\nHost: h\r\n%[1]s: y\r\n\r\n", HeaderAttemptID)
 		for _, id := range []string{"x", "y"} {
 			if _, err := c.readResponse(id); err != nil {
-				t.Errorf("%s of two at once: %v", id, err)
+				t.Errorf("%s of two pipelined requests: %v", id, err)
 			}
 		}
 	})
 }
 
-// What a backend is at work on when its proxy is stopped gets the backend's answer, however long that is silent: none of the
-// proxy's own, and no end midway, within the time that the stop has.
+// Requests that a backend is running when its proxy stops get the backend's response, however long that takes, within
+// the time limit of the stop. They get no error from the proxy, and their responses are not cut short.
 func TestStopWaitsForRunningRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const silent = 6 * time.Second
+		const runDuration = 6 * time.Second
 		w := newTestProxy(t, idempotentRoute, func(o io.Writer, r *http.Request) {
 			id := r.Header.Get(HeaderAttemptID)
 			switch id {
 			case "late":
-				time.Sleep(silent)
+				time.Sleep(runDuration)
 				respondWithID(o, r)
 			case "stream":
 				fmt.Fprintf(o, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\nContent-Length: %d\r\n\r\n%s", HeaderAttemptID, id, HeaderServerSeal, 300<<10, strings.Repeat("x", 150<<10))
-				time.Sleep(silent)
+				time.Sleep(runDuration)
 				io.WriteString(o, strings.Repeat("y", 150<<10))
 			case "upload":
 				b, err := io.ReadAll(r.Body)
@@ -219,7 +220,7 @@
 		type result struct {
 			id, why string
 		}
-		ch := make(chan result, 3)
+		results := make(chan result, 3)
 		for _, id := range []string{"late", "stream", "upload"} {
 			c := w.dial(t, w.clientAddr)
 			go func() {
@@ -228,22 +229,22 @@
 					fmt.Fprintf(c, "PUT /a/1 HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", HeaderAttemptID, id, 200<<10)
 					for range 4 {
 						io.WriteString(c, strings.Repeat("z", 50<<10))
-						time.Sleep(silent / 4)
+						time.Sleep(runDuration / 4)
 					}
 				} else {
 					_, err = fmt.Fprintf(c, "GET /a/1 HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", HeaderAttemptID, id)
 				}
 				r, rerr := http.ReadResponse(c.in, nil)
 				if rerr != nil {
-					ch <- result{id, rerr.Error()}
+					results <- result{id, rerr.Error()}
 					return
 				}
 				b, rerr := io.ReadAll(r.Body)
 				if err != nil || rerr != nil || r.StatusCode != 200 || id == "stream" && len(b) != 300<<10 {
-					ch <- result{id, fmt.Sprint(r.StatusCode, len(b), err, rerr)}
+					results <- result{id, fmt.Sprint(r.StatusCode, len(b), err, rerr)}
 					return
 				}
-				ch <- result{id: id}
+				results <- result{id: id}
 			}()
 			if id == "stream" { // capacity is 2
 				w.Inbound.mu.Lock()
@@ -254,44 +255,44 @@
 		time.Sleep(100 * time.Millisecond)
 		w.Inbound.Withdraw()
 		w.Drain()
-		begun := time.Now()
+		started := time.Now()
 		w.Stop(9500 * time.Millisecond)
-		if took := time.Since(begun); took > silent+time.Second {
-			t.Errorf("it took %v to stop", took)
+		if elapsed := time.Since(started); elapsed > runDuration+time.Second {
+			t.Errorf("the stop took %v", elapsed)
 		}
 		for range 3 {
-			if r := <-ch; r.why != "" {
+			if r := <-results; r.why != "" {
 				t.Errorf("%s: %s", r.id, r.why)
 			}
 		}
 	})
 }
 
-// What a client within the limits sends is taken: a head of as many bytes as it may have, brought in nearly as long as it may take,
-// and a body of as many. One byte more is not; where newer limits may allow it, that is not said for good.
+// A request within the limits is accepted: a head of the maximum size, sent in nearly the maximum time, and a body of
+// the maximum size. One byte more is rejected, with a temporary error if a newer configuration may allow it.
 func TestClientsAtTheLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestProxy(t, idempotentRoute, func(o io.Writer, r *http.Request) { io.Copy(io.Discard, r.Body); respondWithID(o, r) })
-		const most = 2000
+		const maxHead = 2000
 		w.applyConfiguration(t, idempotentRoute, `{"max-header-bytes":2000,"max-body-bytes":3000,"header-timeout-s":3,"idle-timeout-s":15}`)
-		vouched := true
-		w.options.ConfigurationCurrent = func() bool { return vouched }
+		current := true
+		w.options.ConfigurationCurrent = func() bool { return current }
 		for _, step := range []struct {
 			name       string
 			head, body int
 			slow       time.Duration
 			want       int
 		}{
-			{"as much as may be", most, 3000, 0, 200},
-			{"slowly", most, 3000, 2900 * time.Millisecond, 200},
-			{"a longer head", most + 1, 0, 0, 431},
-			{"a longer body", most, 3001, 0, 413},
-			{"a slower head", most, 0, 3100 * time.Millisecond, 0},
-			{"a longer head, out of contact", most + 1, 0, 0, 503},
-			{"a longer body, out of contact", most, 3001, 0, 503},
-			{"as much as may be, out of contact", most, 3000, 0, 200},
+			{"at the limits", maxHead, 3000, 0, 200},
+			{"at the limits, slowly", maxHead, 3000, 2900 * time.Millisecond, 200},
+			{"a longer head", maxHead + 1, 0, 0, 431},
+			{"a longer body", maxHead, 3001, 0, 413},
+			{"a slower head", maxHead, 0, 3100 * time.Millisecond, 0},
+			{"a longer head, outdated configuration", maxHead + 1, 0, 0, 503},
+			{"a longer body, outdated configuration", maxHead, 3001, 0, 503},
+			{"at the limits, outdated configuration", maxHead, 3000, 0, 200},
 		} {
-			vouched = !strings.HasSuffix(step.name, "out of contact")
+			current = !strings.HasSuffix(step.name, "outdated configuration")
 			c := w.dial(t, w.clientAddr)
 			head := fmt.Sprintf("PUT /a/1 HTTP/1.1\r\nHost: h\r\n%s: q\r\nContent-Length: %d\r\nA: ", HeaderAttemptID, step.body)
 			head += strings.Repeat("x", step.head-len(head)-4) + "\r\n\r\n"
--- a/internal/dataplane/inbound_test.go
+++ b/internal/dataplane/inbound_test.go
@@ -22,8 +22,8 @@
 		OperationWindow: time.Minute, ResponseBytes: 1 << 20, Log: func(event, text string) { t.Log(event, text) }}, nil)
 }
 
-// What a gate tells follows the newest beat of the newest life: a beat that comes late, of the same life or of one that ended,
-// changes nothing, and one that says again what stands makes no news.
+// The announced entry follows the newest heartbeat of the newest instance. A late heartbeat, of the same instance or of
+// one that ended, has no effect, and one without a change is not announced.
 func TestHeartbeats(t *testing.T) {
 	g := newTestInbound(t)
 	beat := func(id string, count uint64, s backends.State) {
@@ -42,47 +42,47 @@
 		{"first", func() { beat("i-1", 1, backends.Serving) }, "i-1", backends.Serving, true},
 		{"again", func() { beat("i-1", 2, backends.Serving) }, "i-1", backends.Serving, false},
 		{"drains", func() { beat("i-1", 4, backends.Draining) }, "i-1", backends.Draining, true},
-		{"a late beat", func() { beat("i-1", 3, backends.Serving) }, "i-1", backends.Draining, false},
-		{"a new life", func() { beat("i-2", 1, backends.Serving) }, "i-2", backends.Serving, true},
-		{"a late beat of the old one", func() { beat("i-1", 5, backends.Serving) }, "i-2", backends.Serving, false},
-		{"the old one's end", func() { leave("i-1") }, "i-2", backends.Serving, false},
-		{"its end", func() { leave("i-2") }, "i-2", backends.None, true},
-		{"a late beat behind its end", func() { beat("i-2", 9, backends.Serving) }, "i-2", backends.None, false},
+		{"a late heartbeat", func() { beat("i-1", 3, backends.Serving) }, "i-1", backends.Draining, false},
+		{"a new instance", func() { beat("i-2", 1, backends.Serving) }, "i-2", backends.Serving, true},
+		{"a late heartbeat of the old instance", func() { beat("i-1", 5, backends.Serving) }, "i-2", backends.Serving, false},
+		{"the end of the old instance", func() { leave("i-1") }, "i-2", backends.Serving, false},
+		{"the end of the instance", func() { leave("i-2") }, "i-2", backends.None, true},
+		{"a late heartbeat after the end", func() { beat("i-2", 9, backends.Serving) }, "i-2", backends.None, false},
 	} {
-		was := g.Backend().Version
+		before := g.Backend().Version
 		step.do()
 		b := g.Backend()
-		if b.Instance != step.id || b.State != step.state || (b.Version != was) != step.news {
-			t.Errorf("%s: %s is %s, version %d to %d; want %s, %s, news %v", step.name, b.Instance, b.State, was, b.Version, step.id, step.state, step.news)
+		if b.Instance != step.id || b.State != step.state || (b.Version != before) != step.news {
+			t.Errorf("%s: %s is %s, version %d to %d; want %s, %s, news %v", step.name, b.Instance, b.State, before, b.Version, step.id, step.state, step.news)
 		}
 	}
 }
 
-// A request gets a place only at the life that was meant, and while that serves; what waits is let in by rank, or turned away
-// when the backend leaves, by whatever way, also if a place is free in that moment.
+// A request gets a place only at the instance that it names, while that is serving. Waiting requests are admitted by
+// priority, or rejected when the backend leaves, in whatever way, also if a place is free at that moment.
 func TestAdmission(t *testing.T) {
 	g := newTestInbound(t)
 	g.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
-	a := func(id string, rank int, hold uint32) *peerRequest {
-		return &peerRequest{Instance: id, Service: "ledger", Priority: rank, MaxQueueMs: hold}
+	request := func(id string, priority int, maxQueueMs uint32) *peerRequest {
+		return &peerRequest{Instance: id, Service: "ledger", Priority: priority, MaxQueueMs: maxQueueMs}
 	}
-	if k := g.acquire(context.Background(), a("i-0", 0, 0)); k != errcode.Elsewhere {
-		t.Errorf("another life: %v", k)
+	if k := g.acquire(context.Background(), request("i-0", 0, 0)); k != errcode.Elsewhere {
+		t.Errorf("another instance: %v", k)
 	}
-	if k := g.acquire(context.Background(), a("i-1", 0, 0)); k != errcode.OK {
-		t.Fatalf("the first: %v", k)
+	if k := g.acquire(context.Background(), request("i-1", 0, 0)); k != errcode.OK {
+		t.Fatalf("the first request: %v", k)
 	}
-	if k := g.acquire(context.Background(), a("i-1", 0, 0)); k != errcode.Full {
-		t.Errorf("one that may not wait: %v", k)
+	if k := g.acquire(context.Background(), request("i-1", 0, 0)); k != errcode.Full {
+		t.Errorf("a request that may not wait: %v", k)
 	}
 	got := make(chan errcode.Kind, 1)
-	go func() { got <- g.acquire(context.Background(), a("i-1", 1, 60_000)) }()
+	go func() { got <- g.acquire(context.Background(), request("i-1", 1, 60_000)) }()
 	for _, waiting := g.load(); waiting == 0; _, waiting = g.load() {
 		runtime.Gosched()
 	}
 	g.release(0)
 	if k := <-got; k != errcode.OK {
-		t.Errorf("one that waited: %v", k)
+		t.Errorf("a waiting request: %v", k)
 	}
 	for n, end := range []func(id string){
 		func(id string) { g.Deregister(id) },
@@ -95,17 +95,17 @@
 	} {
 		id := fmt.Sprint("i-", n+1)
 		g.Heartbeat(controlapi.Beat{ID: id, Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
-		go func() { got <- g.acquire(context.Background(), a(id, 1, 60_000)) }()
+		go func() { got <- g.acquire(context.Background(), request(id, 1, 60_000)) }()
 		for _, waiting := g.load(); waiting == 0; _, waiting = g.load() {
 			runtime.Gosched()
 		}
 		end(id)
 		g.release(1)
 		if k := <-got; k != errcode.Leaving {
-			t.Errorf("one that waited when the backend left, way %d: %v", n, k)
+			t.Errorf("a request waiting when the backend left, way %d: %v", n, k)
 		}
-		if k := g.acquire(context.Background(), a(id, 0, 0)); k == errcode.OK {
-			t.Errorf("behind its end, way %d: %v", n, k)
+		if k := g.acquire(context.Background(), request(id, 0, 0)); k == errcode.OK {
+			t.Errorf("after the instance's end, way %d: %v", n, k)
 		}
 		g.mu.Lock()
 		g.running = 1 // as before
@@ -113,18 +113,19 @@
 	}
 }
 
-// Where no more may wait, one that ranks before the last of those that do takes its turn, and that one is turned away at once.
+// If the queue is full, a request with a higher priority than the last one takes its turn, and the last one is rejected
+// at once.
 func TestAdmissionByPriority(t *testing.T) {
 	g := newTestInbound(t)
 	g.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
-	ask := func(rank int) *peerRequest {
-		return &peerRequest{Instance: "i-1", Service: "ledger", Priority: rank, MaxQueueMs: 60_000}
+	request := func(priority int) *peerRequest {
+		return &peerRequest{Instance: "i-1", Service: "ledger", Priority: priority, MaxQueueMs: 60_000}
 	}
-	wait := func(rank int) chan errcode.Kind {
+	wait := func(priority int) chan errcode.Kind {
 		got := make(chan errcode.Kind, 1)
-		at := g.lastOrder
-		go func() { got <- g.acquire(context.Background(), ask(rank)) }()
-		for now := at; now == at; {
+		before := g.lastOrder
+		go func() { got <- g.acquire(context.Background(), request(priority)) }()
+		for now := before; now == before; {
 			runtime.Gosched()
 			g.mu.Lock()
 			now = g.lastOrder
@@ -132,157 +133,158 @@
 		}
 		return got
 	}
-	if k := g.acquire(context.Background(), ask(2)); k != errcode.OK {
-		t.Fatalf("the first: %v", k)
+	if k := g.acquire(context.Background(), request(2)); k != errcode.OK {
+		t.Fatalf("the first request: %v", k)
 	}
 	low := wait(2)
-	if k := g.acquire(context.Background(), ask(2)); k != errcode.Full {
-		t.Errorf("one of the same rank as the last: %v", k)
+	if k := g.acquire(context.Background(), request(2)); k != errcode.Full {
+		t.Errorf("a request of the same priority as the last one: %v", k)
 	}
 	high := wait(1)
 	if k := <-low; k != errcode.Full {
-		t.Errorf("the last, when one came that ranks before it: %v", k)
+		t.Errorf("the last request when one of a higher priority arrived: %v", k)
 	}
-	if k := g.acquire(context.Background(), ask(2)); k != errcode.Full {
-		t.Errorf("one that ranks behind: %v", k)
+	if k := g.acquire(context.Background(), request(2)); k != errcode.Full {
+		t.Errorf("a request of a lower priority: %v", k)
 	}
 	g.release(2)
 	if k := <-high; k != errcode.OK {
-		t.Errorf("the one that ranked first: %v", k)
+		t.Errorf("the request of the highest priority: %v", k)
 	}
 	if running, waiting := g.load(); running != 1 || waiting != 0 {
-		t.Errorf("%d run and %d wait, want 1 and none", running, waiting)
+		t.Errorf("%d running and %d waiting, want 1 and 0", running, waiting)
 	}
 }
 
-// Places that one of a rank did not find are kept from those that rank behind, up to a part of all, and are given back as time
-// goes on.
+// Places that a priority did not find are reserved from lower priorities, up to a fraction of all, and the reservation
+// expires over time.
 func TestReservedPlaces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newInbound(Options{Node: "n", Service: "ledger", InboundAddr: "a:1", Incarnation: 7, Started: time.Now(), Heartbeat: time.Minute,
 			OperationWindow: time.Minute, ResponseBytes: 1 << 20, Log: func(string, string) {}}, nil)
 		defer g.operations.End()
 		g.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 10, Count: 1, State: backends.Serving})
-		enter := func(rank int) errcode.Kind {
-			return g.acquire(context.Background(), &peerRequest{Instance: "i-1", Service: "ledger", Priority: rank})
+		acquire := func(priority int) errcode.Kind {
+			return g.acquire(context.Background(), &peerRequest{Instance: "i-1", Service: "ledger", Priority: priority})
 		}
 		for range 10 {
-			if k := enter(2); k != errcode.OK {
-				t.Fatalf("a place of ten that nothing is kept from: %v", k)
+			if k := acquire(2); k != errcode.OK {
+				t.Fatalf("one of ten places without reservations: %v", k)
 			}
 		}
 		for range 9 {
-			if k := enter(1); k != errcode.Full {
-				t.Fatalf("an eleventh: %v", k)
+			if k := acquire(1); k != errcode.Full {
+				t.Fatalf("an eleventh request: %v", k)
 			}
 		}
 		if got := [3]int{g.runningLimit(0), g.runningLimit(1), g.runningLimit(2)}; got != [3]int{10, 10, 7} {
-			t.Errorf("places for the ranks 0, 1, 2: %v, want 10, 10 and, with a third kept, 7", got)
+			t.Errorf("places for the priorities 0, 1, 2: %v, want 10, 10 and, with a third reserved, 7", got)
 		}
 		for range 3 {
 			g.release(2)
 		}
-		if a, b, c := enter(2), enter(1), enter(0); a != errcode.Full || b != errcode.OK || c != errcode.OK {
-			t.Errorf("with 7 of 10 taken, ranks 2, 1, 0 get: %v, %v, %v", a, b, c)
+		if a, b, c := acquire(2), acquire(1), acquire(0); a != errcode.Full || b != errcode.OK || c != errcode.OK {
+			t.Errorf("with 7 of 10 taken, priorities 2, 1, 0 get: %v, %v, %v", a, b, c)
 		}
 		time.Sleep(reservationHalfLife)
 		if got := g.runningLimit(2); got != 9 {
-			t.Errorf("after half of what was kept is given back: %d places for the last rank, want 9", got)
+			t.Errorf("after one half-life: %d places for the last priority, want 9", got)
 		}
 		time.Sleep(3 * reservationHalfLife)
 		if got := g.runningLimit(2); got != 10 {
-			t.Errorf("after some time: %d places for the last rank, want all", got)
+			t.Errorf("after 4 half-lives: %d places for the last priority, want 10", got)
 		}
 	})
 }
 
-// While urgent ones take every place and fill the line, those that rank behind get a place of six, and no more.
+// While high-priority requests take every place and fill the queue, low-priority ones get one place of six, and no
+// more.
 func TestLowPriorityIsNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newInbound(Options{Node: "n", Service: "ledger", InboundAddr: "a:1", Incarnation: 7, Started: time.Now(), Heartbeat: time.Minute,
 			OperationWindow: time.Minute, ResponseBytes: 1 << 20, Log: func(string, string) {}}, nil)
 		defer g.operations.End()
 		g.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 6, Count: 1, State: backends.Serving})
-		var served [3]atomic.Int64
-		var all sync.WaitGroup
-		const day = 10 * time.Second
-		began := time.Now()
+		var completed [3]atomic.Int64
+		var clients sync.WaitGroup
+		const duration = 10 * time.Second
+		started := time.Now()
 		for n := range 24 {
-			rank, work := 0, 22*time.Millisecond
+			priority, runTime := 0, 22*time.Millisecond
 			if n%4 == 3 {
-				rank, work = 2, 72*time.Millisecond
+				priority, runTime = 2, 72*time.Millisecond
 			}
-			all.Go(func() {
-				for time.Sleep(time.Duration(n) * time.Millisecond); time.Since(began) < day; time.Sleep(10 * time.Millisecond) {
-					if g.acquire(context.Background(), &peerRequest{Instance: "i-1", Service: "ledger", Priority: rank, MaxQueueMs: 60}) == errcode.OK {
-						time.Sleep(work)
-						g.release(rank)
-						served[rank].Add(1)
+			clients.Go(func() {
+				for time.Sleep(time.Duration(n) * time.Millisecond); time.Since(started) < duration; time.Sleep(10 * time.Millisecond) {
+					if g.acquire(context.Background(), &peerRequest{Instance: "i-1", Service: "ledger", Priority: priority, MaxQueueMs: 60}) == errcode.OK {
+						time.Sleep(runTime)
+						g.release(priority)
+						completed[priority].Add(1)
 					}
 				}
 			})
 		}
-		all.Wait()
+		clients.Wait()
 		if running, waiting := g.load(); running != 0 || waiting != 0 || g.runningByPriority != [5]int{} {
-			t.Errorf("at the end %d run, %v by rank, and %d wait", running, g.runningByPriority, waiting)
+			t.Errorf("at the end %d running, %v by priority, and %d waiting", running, g.runningByPriority, waiting)
 		}
-		// One place is 10 s / 72 ms = 139 runs of the last rank, and five are 2,270 of the first.
-		if n := served[2].Load(); n < 100 || n > 150 {
-			t.Errorf("of the last rank %d were served", n)
+		// One place is 10 s / 72 ms = 139 low-priority runs, and five are 2,270 high-priority ones.
+		if n := completed[2].Load(); n < 100 || n > 150 {
+			t.Errorf("%d low-priority requests were served", n)
 		}
-		if n := served[0].Load(); n < 2000 {
-			t.Errorf("of the first rank %d were served", n)
+		if n := completed[0].Load(); n < 2000 {
+			t.Errorf("%d high-priority requests were served", n)
 		}
 	})
 }
 
-// A client comes back soon where a place was lost to others, and later where something is out; never beyond the route's target.
+// A client retries soon if it lost a place to others, and later after an outage, at most by the route's target.
 func TestRetryAfter(t *testing.T) {
-	v := &clientRequest{arrived: time.Now(), deadline: time.Now().Add(10 * time.Second), route: &configuration.Route{Target: 400 * time.Millisecond}}
-	soon, later := v.retryAfter(errcode.Full), v.retryAfter(errcode.CoreOut)
+	r := &clientRequest{arrived: time.Now(), deadline: time.Now().Add(10 * time.Second), route: &configuration.Route{Target: 400 * time.Millisecond}}
+	soon, later := r.retryAfter(errcode.Full), r.retryAfter(errcode.CoreOut)
 	if soon < 40*time.Millisecond || soon > 65*time.Millisecond || later < 400*time.Millisecond || later > 450*time.Millisecond {
-		t.Errorf("full: %v, out with 10 s left: %v; want 40 to 65 ms, and the target and up to an eighth more", soon, later)
+		t.Errorf("full: %v, outage with 10 s left: %v; want 40 to 65 ms, and the target and up to an eighth more", soon, later)
 	}
-	v.deadline = time.Now().Add(300 * time.Millisecond)
-	if d := v.retryAfter(errcode.NoBackend); d < 100*time.Millisecond || d > 150*time.Millisecond {
-		t.Errorf("out with little left: %v, want a quarter of the target and up to an eighth more", d)
+	r.deadline = time.Now().Add(300 * time.Millisecond)
+	if d := r.retryAfter(errcode.NoBackend); d < 100*time.Millisecond || d > 150*time.Millisecond {
+		t.Errorf("outage with little time left: %v, want a quarter of the target and up to an eighth more", d)
 	}
 }
 
-// What is told of a key depends on whose claim is asked for; an answer that is told again bears the id of who asks, and the one
-// that is kept stays as it is.
+// The outcome for a key depends on whose claim is asked for. A replayed response bears the attempt id of the repeat,
+// and the stored one is not modified.
 func TestOperationOutcome(t *testing.T) {
 	id, other := idempotency.ID{Life: 1, N: 1}, idempotency.ID{Life: 1, N: 2}
-	kept := &Response{Status: 200, Header: []Field{{Name: HeaderAttemptID, Value: "first"}, {Name: HeaderServerSeal, Value: "s"}}}
+	stored := &Response{Status: 200, Header: []Field{{Name: HeaderAttemptID, Value: "first"}, {Name: HeaderServerSeal, Value: "s"}}}
 	for _, c := range []struct {
 		name  string
 		op    idempotency.Op[*Response]
 		known bool
-		by    idempotency.ID
+		claim idempotency.ID
 		want  errcode.Kind
 	}{
-		{"done", idempotency.Op[*Response]{ID: id, State: idempotency.Done, Answer: kept}, true, id, errcode.OK},
-		{"another claim", idempotency.Op[*Response]{ID: id, State: idempotency.Done, Answer: kept}, true, other, errcode.Gone},
-		{"unheard of", idempotency.Op[*Response]{}, false, id, errcode.Gone},
-		{"at work", idempotency.Op[*Response]{ID: id, State: idempotency.AtWork}, true, id, errcode.KeyAtWork},
+		{"done", idempotency.Op[*Response]{ID: id, State: idempotency.Done, Answer: stored}, true, id, errcode.OK},
+		{"another claim", idempotency.Op[*Response]{ID: id, State: idempotency.Done, Answer: stored}, true, other, errcode.Gone},
+		{"not known", idempotency.Op[*Response]{}, false, id, errcode.Gone},
+		{"running", idempotency.Op[*Response]{ID: id, State: idempotency.AtWork}, true, id, errcode.KeyAtWork},
 		{"unknown", idempotency.Op[*Response]{ID: id, State: idempotency.Unknown}, true, id, errcode.KeyUnknown},
 		{"void", idempotency.Op[*Response]{ID: id, State: idempotency.Void}, true, id, errcode.KeySplit},
 	} {
-		if o := operationOutcome(c.op, c.known, c.by); o.Code != c.want || (o.response != nil) != (c.want == errcode.OK) {
-			t.Errorf("%s: %v, answer %v", c.name, o.Code, o.response)
+		if o := operationOutcome(c.op, c.known, c.claim); o.Code != c.want || (o.response != nil) != (c.want == errcode.OK) {
+			t.Errorf("%s: %v, response %v", c.name, o.Code, o.response)
 		}
 	}
-	// The gate's own book tells of single attempts: none of them proves that a claim is void.
+	// The inbound side records single attempts: none of them proves that a claim is void.
 	g := newTestInbound(t)
 	g.operations.Ask(func(b *idempotency.Book[*Response]) {
 		b.Begin(0, "k", id)
 		b.End("k", id, idempotency.Void, nil, 0, "")
 	})
 	if o := g.lookupResponse(&peerRequest{Key: "k", Claim: id}); o.Code != errcode.Gone {
-		t.Errorf("an attempt that was declined: %v", o.Code)
+		t.Errorf("a declined attempt: %v", o.Code)
 	}
-	again := kept.withAttemptID("second")
-	if again.Header[0].Value != "second" || again.Header[1].Value != "s" || kept.Header[0].Value != "first" {
-		t.Errorf("told again: %v, kept: %v", again.Header, kept.Header)
+	replayed := stored.withAttemptID("second")
+	if replayed.Header[0].Value != "second" || replayed.Header[1].Value != "s" || stored.Header[0].Value != "first" {
+		t.Errorf("replayed: %v, stored: %v", replayed.Header, stored.Header)
 	}
 }
--- a/internal/dataplane/pacing_test.go
+++ b/internal/dataplane/pacing_test.go
@@ -17,10 +17,10 @@
 	linkMbps           = 12.0
 	linkBytesPerSecond = linkMbps * 1e6 / 8
 	largeResponse      = 400 << 10
-	smallResponseLimit = 40 * time.Millisecond // for a small answer over the link
+	smallResponseLimit = 40 * time.Millisecond // for a small response over the link
 )
 
-// Small answers come promptly while large ones go over the same narrow link: those of one machine's backend to other machines.
+// Small responses are fast while large ones use the same narrow link: from one machine's backend to other machines.
 func TestSmallResponsesBesideLargeOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestProxy(t, slowIdempotentRoute, func(o io.Writer, r *http.Request) {
@@ -32,10 +32,10 @@
 		})
 		w.Inbound.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 8, Count: 2, State: backends.Serving})
 		w.network.Narrow(w.machine, linkBytesPerSecond)
-		by := w.secondProxy(t, slowIdempotentRoute)
+		entry := w.secondProxy(t, slowIdempotentRoute)
 		large := make(chan int64)
 		for i := range 3 {
-			c := by.dial(t, by.clientAddr)
+			c := entry.dial(t, entry.clientAddr)
 			fmt.Fprintf(c, "GET /a/large HTTP/1.1\r\nHost: h\r\n%s: l%d\r\n\r\n", HeaderAttemptID, i)
 			go func() {
 				r, err := http.ReadResponse(c.in, nil)
@@ -47,22 +47,22 @@
 				large <- n
 			}()
 		}
-		small := by.dial(t, by.clientAddr)
+		small := entry.dial(t, entry.clientAddr)
 		slowest := time.Duration(0)
 		for i := range 15 {
 			time.Sleep(30 * time.Millisecond)
-			at := time.Now()
+			sent := time.Now()
 			if r, err := small.request(fmt.Sprint("s", i)); err != nil || r.StatusCode != http.StatusOK {
 				t.Fatal(r, err)
 			}
-			slowest = max(slowest, time.Since(at))
+			slowest = max(slowest, time.Since(sent))
 		}
 		if slowest > smallResponseLimit {
-			t.Errorf("a small answer took %v beside large ones", slowest)
+			t.Errorf("a small response took %v beside large ones", slowest)
 		}
 		for range 3 {
 			if n := <-large; n != largeResponse {
-				t.Errorf("%d of %d bytes came of a large one", n, largeResponse)
+				t.Errorf("%d of %d bytes of a large response", n, largeResponse)
 			}
 		}
 	})
--- a/internal/dataplane/peer_response_test.go
+++ b/internal/dataplane/peer_response_test.go
@@ -17,7 +17,7 @@
 	"saltmast/internal/simulation/network"
 )
 
-// remotePeer is a proxy on another machine, played by the test, and the hops to it.
+// remotePeer is a proxy on another machine, simulated by the test, with a client that sends requests to it.
 type remotePeer struct {
 	net.Listener
 	client  *peerClient
@@ -42,7 +42,7 @@
 	return f
 }
 
-// accept takes the next connection.
+// accept accepts the next connection.
 func (f *remotePeer) accept(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := f.Accept()
@@ -52,7 +52,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// A long answer whose client takes a pause comes whole: a reader that takes nothing for a while is not one that is gone.
+// A long response whose client pauses arrives complete: a reader that pauses is not taken for one that is gone.
 func TestLongPeerResponseWithPausedReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRemotePeer(t)
@@ -81,7 +81,7 @@
 	})
 }
 
-// An ask that can't have come whole has not run; one that may have come may have.
+// A request that can't have arrived completely has not run; one that may have arrived may have run.
 func TestInterruptedPeerRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRemotePeer(t)
@@ -95,25 +95,26 @@
 		}
 		reset := func(c net.Conn, in *bufio.Reader) { // with bytes unread
 			in.Peek(1)
-			time.Sleep(time.Millisecond) // in which as much follows as there is room for
+			time.Sleep(time.Millisecond) // while as much is sent as there is room for
 			c.Close()
 		}
 		if o := do(100<<10, reset); !errors.Is(o.err, syscall.ECONNRESET) || o.Code != errcode.Away || o.Sent {
-			t.Errorf("an ask that broke off: %+v, %v", o.peerResponse, o.err)
+			t.Errorf("an interrupted request: %+v, %v", o.peerResponse, o.err)
 		}
 		if o := do(100<<10, func(net.Conn, *bufio.Reader) {}); !isTimeout(o.err) || o.Code != errcode.Away || o.Sent {
-			t.Errorf("an ask that was not taken in time: %+v, %v", o.peerResponse, o.err)
+			t.Errorf("a request that was not read in time: %+v, %v", o.peerResponse, o.err)
 		}
 		if o := do(10, reset); o.Code != errcode.Broken || !o.Sent {
-			t.Errorf("an ask that may have come whole: %+v, %v", o.peerResponse, o.err)
+			t.Errorf("a request that may have arrived: %+v, %v", o.peerResponse, o.err)
 		}
 		if o := do(10, func(c net.Conn, in *bufio.Reader) { readMessage(in, new(peerRequest)); c.Close() }); o.Code != errcode.Broken || !o.Sent {
-			t.Errorf("an ask that came whole: %+v, %v", o.peerResponse, o.err)
+			t.Errorf("a request that arrived: %+v, %v", o.peerResponse, o.err)
 		}
 	})
 }
 
-// No connection is kept on which a body went on as it came: the other side may have answered before it had read all, and ends it.
+// A connection is not reused after a streamed request body: the other side may have responded before it had read all,
+// and then closes the connection.
 func TestConnectionIsNotReusedAfterStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRemotePeer(t)
@@ -121,7 +122,7 @@
 		go func() {
 			c, in := f.accept(t)
 			var a peerRequest
-			if readMessage(in, &a) == nil { // answered before its body was read, as a gate without room does
+			if readMessage(in, &a) == nil { // answered before its body was read, as by a proxy without a free place
 				writePeerResponse(c, c, outcome{peerResponse: peerResponse{Code: errcode.Full}})
 			}
 		}()
@@ -132,10 +133,11 @@
 	})
 }
 
-// An ask that was read in the moment in which its gate closes what rests is answered, and what rests is closed.
+// A request that was read at the moment when the proxy closes idle connections is answered, and idle connections are
+// closed.
 func TestPeerRequestDuringStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestProxy(t, idempotentRoute, func(io.Writer, *http.Request) { t.Error("it ran") })
+		w := newTestProxy(t, idempotentRoute, func(io.Writer, *http.Request) { t.Error("the request ran") })
 		l, err := w.process.Listen("10.0.0.1:82", 0)
 		if err != nil {
 			t.Fatal(err)
@@ -164,13 +166,14 @@
 		}
 		time.Sleep(time.Second)
 		if c := h.pool.Take("10.0.0.1:82"); c != nil || w.Inbound.closeIdle() != 0 {
-			t.Error("one that rests is not closed")
+			t.Error("an idle connection is not closed")
 		}
 		q.End()
 	})
 }
 
-// A head that no hop takes is refused before it is sent, and one of a backend without an end is no answer.
+// A head that exceeds the limit of other proxies is refused before it is sent, and a backend's head above its limit is
+// an error.
 func TestHeadSizeLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRemotePeer(t)
--- a/internal/dataplane/peer_test.go
+++ b/internal/dataplane/peer_test.go
@@ -13,7 +13,8 @@
 	"saltmast/internal/idempotency"
 )
 
-// A message is read as it was written, or not at all where it is cut; a body's end is told only where it is whole.
+// A message is read back as it was written, or rejected if it is truncated; a body ends without an error only if it is
+// complete.
 func TestPeerFraming(t *testing.T) {
 	want := peerRequest{Kind: runRequest, Instance: "i", Service: "s", Method: "POST", Target: "/x", Header: []Field{{Name: "A", Value: strings.Repeat("b", 9000)}},
 		Length: unknownLength, RemainingMs: 9, Key: "k", Claim: idempotency.ID{Life: 1, N: 2, At: "h:1"}}
@@ -43,15 +44,15 @@
 		t.Errorf("%+v, %d bytes, %v", a, len(got), err)
 	}
 	if _, got, err := read(broken); !errors.Is(err, errBodyBroken) || !bytes.Equal(got, body) {
-		t.Errorf("a body that broke off: %d bytes, %v", len(got), err)
+		t.Errorf("an aborted body: %d bytes, %v", len(got), err)
 	}
 	for cut := 0; cut < len(whole); cut += 1 + cut/97 {
 		if _, _, err := read(whole[:cut]); err == nil {
-			t.Errorf("cut at %d of %d (head %d): taken for whole", cut, len(whole), head)
+			t.Errorf("truncated at %d of %d (head %d): taken for complete", cut, len(whole), head)
 		}
 	}
 	if _, _, err := read([]byte{0xff, 0, 0, 0, 1, 2, 3}); errcode.Of(err) != errcode.Malformed {
-		t.Errorf("a head beyond the bound: %v", err)
+		t.Errorf("a head above the limit: %v", err)
 	}
 }
 
--- a/internal/dataplane/peer_walk_test.go
+++ b/internal/dataplane/peer_walk_test.go
@@ -20,11 +20,12 @@
 	"saltmast/internal/sock"
 )
 
-// The walk of a connection of a hop: three asks, the first small, large or with a body that goes on as it comes, and at each of the
-// first two each thing that the proxy at the other end or the network may do to it. An ask gets its own answer, whole or told to
-// be cut, is sent once, and is told not to have run only where the other end says so or never had it whole.
+// The walk of a connection to another proxy: three requests, the first small, large or with a streamed body, and for
+// the first two every action of the other proxy or the network. A request gets its own response, complete or
+// recognizably cut, is sent once, and is reported as not executed only if the other side says so or never had all of
+// it.
 
-// receivedRequest is one ask as the other end of the walk has it.
+// receivedRequest is one request as received by the other side of the walk.
 type receivedRequest struct {
 	c       net.Conn
 	in      *bufio.Reader
@@ -37,7 +38,7 @@
 	return writePeerResponse(h.c, h.c, o)
 }
 
-// okOutcome is the answer to it; long: one that goes on as it comes.
+// okOutcome is a successful response; long: a streamed one.
 func (h *receivedRequest) okOutcome(long bool) outcome {
 	text := "of " + h.request.ID
 	if long {
@@ -52,7 +53,7 @@
 
 var fullOutcome = outcome{peerResponse: peerResponse{Code: errcode.Full}}
 
-// peerActions are what may happen to an ask at the other end. whole: it is read whole, and its request may run.
+// peerActions are what may happen to a request at the other side. whole: it is read completely, and may run.
 var peerActions = []struct {
 	name  string
 	whole bool
@@ -60,31 +61,31 @@
 	do    func(h *receivedRequest) bool
 }{
 	{"answered", true, true, func(h *receivedRequest) bool { return h.respond(h.okOutcome(false), h.request.Number) }},
-	{"answered at length", true, true, func(h *receivedRequest) bool { return h.respond(h.okOutcome(true), h.request.Number) }},
+	{"answered with a long response", true, true, func(h *receivedRequest) bool { return h.respond(h.okOutcome(true), h.request.Number) }},
 	{"answered by an earlier version", true, true, func(h *receivedRequest) bool { return h.respond(h.okOutcome(false), 0) }},
 	{"answered twice", true, true, func(h *receivedRequest) bool {
 		return h.respond(h.okOutcome(false), h.request.Number) && h.respondAgain()
 	}},
-	{"answered, and again at rest", true, true, func(h *receivedRequest) bool {
+	{"answered, and a duplicate while idle", true, true, func(h *receivedRequest) bool {
 		h.respond(h.okOutcome(false), h.request.Number)
 		time.Sleep(3 * time.Millisecond)
 		return h.respond(h.okOutcome(false), h.request.Number)
 	}},
-	{"answered, and again in the next one's place", true, true, func(h *receivedRequest) bool {
+	{"answered, and a duplicate before the next response", true, true, func(h *receivedRequest) bool {
 		was := *h
 		*h.late = func() { was.respond(was.okOutcome(false), was.request.Number) }
 		return h.respond(h.okOutcome(false), h.request.Number)
 	}},
-	{"answered at length, and refused in the next one's place", true, true, func(h *receivedRequest) bool {
+	{"answered with a long response, and refused before the next response", true, true, func(h *receivedRequest) bool {
 		was := *h
 		*h.late = func() { was.respond(fullOutcome, was.request.Number) }
 		return h.respond(h.okOutcome(true), h.request.Number)
 	}},
-	{"answered as another", true, true, func(h *receivedRequest) bool {
+	{"answered with the id of another request", true, true, func(h *receivedRequest) bool {
 		return h.respond(outcome{response: &Response{Status: 200, Body: []byte("of Z"), Length: 4}}, h.request.Number+7)
 	}},
 	{"answered, and closed", true, true, func(h *receivedRequest) bool { h.respond(h.okOutcome(false), h.request.Number); return false }},
-	{"answered, and closed at rest", true, true, func(h *receivedRequest) bool {
+	{"answered, and closed while idle", true, true, func(h *receivedRequest) bool {
 		h.respond(h.okOutcome(false), h.request.Number)
 		time.Sleep(3 * time.Millisecond)
 		return false
@@ -97,24 +98,24 @@
 		h.c.Write(appendMessage(nil, peerResponse{Status: 200, Length: 50, Number: h.request.Number}, []byte("of ")))
 		return false
 	}},
-	{"cut at length", true, true, func(h *receivedRequest) bool {
+	{"cut in a long body", true, true, func(h *receivedRequest) bool {
 		o := h.okOutcome(true)
 		o.response.Stream = io.MultiReader(io.LimitReader(o.response.Stream, bufferedBodyBytes+100), failingReader{})
 		h.respond(o, h.request.Number)
 		return false
 	}},
-	{"spoilt", true, true, func(h *receivedRequest) bool { h.c.Write([]byte("\x00\x00\x00\x05noise")); return true }},
-	{"closed without an answer", true, true, func(h *receivedRequest) bool { return false }},
+	{"invalid response", true, true, func(h *receivedRequest) bool { h.c.Write([]byte("\x00\x00\x00\x05noise")); return true }},
+	{"closed without a response", true, true, func(h *receivedRequest) bool { return false }},
 	{"closed before it is read", false, false, func(h *receivedRequest) bool { h.in.Peek(1); time.Sleep(time.Millisecond); return false }},
 	{"silent, and answered late", true, true, func(h *receivedRequest) bool {
 		time.Sleep(2 * requestTimeout)
 		return h.respond(h.okOutcome(false), h.request.Number)
 	}},
-	{"silent for good", true, true, func(h *receivedRequest) bool { time.Sleep(time.Second); return false }},
-	{"not taken", false, false, func(h *receivedRequest) bool { time.Sleep(time.Second); return false }},
+	{"silent forever", true, true, func(h *receivedRequest) bool { time.Sleep(time.Second); return false }},
+	{"not read", false, false, func(h *receivedRequest) bool { time.Sleep(time.Second); return false }},
 	{"refused", true, false, func(h *receivedRequest) bool { return h.respond(fullOutcome, h.request.Number) }},
 	{"refused twice", true, false, func(h *receivedRequest) bool { return h.respond(fullOutcome, h.request.Number) && h.refuseAgain() }},
-	{"refused, and again in the next one's place", true, false, func(h *receivedRequest) bool {
+	{"refused, and a duplicate before the next response", true, false, func(h *receivedRequest) bool {
 		was := *h
 		*h.late = func() { was.respond(fullOutcome, was.request.Number) }
 		return h.respond(fullOutcome, h.request.Number)
@@ -130,7 +131,7 @@
 	*remotePeer
 	net         sock.Net
 	beforeWorld func()
-	sameNumber  bool // all asks bear one number
+	sameNumber  bool // all requests bear the same number
 	port        int
 }
 
@@ -139,16 +140,16 @@
 	return &peerWalk{remotePeer: f, net: f.client.pool.Net, port: 1000}
 }
 
-// runPeerWorld makes three asks, the first of a kind, under one script.
-func runPeerWorld(t *testing.T, w *peerWalk, script []int, way int) string {
+// runPeerWorld sends three requests, the first in one of three ways, under one script.
+func runPeerWorld(t *testing.T, w *peerWalk, script []int, variant int) string {
 	w.port++
 	if w.beforeWorld != nil {
 		w.beforeWorld()
 	}
-	q := w.machine.Start()
-	defer q.End()
+	process := w.machine.Start()
+	defer process.End()
 	addr := fmt.Sprintf("10.0.0.2:%d", w.port)
-	l, err := q.Listen(addr, peerAckTimeout)
+	l, err := process.Listen(addr, peerAckTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,14 +169,14 @@
 						return
 					}
 					mu.Lock()
-					d := peerActions[0]
+					action := peerActions[0]
 					if n < len(script) {
-						d = peerActions[script[n]]
+						action = peerActions[script[n]]
 					}
 					n++
 					mu.Unlock()
 					h := &receivedRequest{c: c, in: in, late: &late}
-					if d.whole {
+					if action.whole {
 						if readMessage(in, &h.request) != nil {
 							return
 						}
@@ -186,7 +187,7 @@
 						}
 						mu.Lock()
 						reads[h.request.ID]++
-						if d.runs {
+						if action.runs {
 							runs[h.request.ID]++
 						}
 						mu.Unlock()
@@ -195,7 +196,7 @@
 						late()
 						late = nil
 					}
-					if !d.do(h) {
+					if !action.do(h) {
 						return
 					}
 				}
@@ -208,10 +209,10 @@
 		a := &peerRequest{Kind: runRequest, ID: id}
 		var stream io.Reader
 		if i == 0 {
-			switch way {
+			switch variant {
 			case 1: // large
 				a.Header = []Field{{Name: "A", Value: strings.Repeat("b", 100<<10)}}
-			case 2: // a stream
+			case 2: // streamed
 				a.Length, stream = unknownLength, strings.NewReader(strings.Repeat("z", 100<<10))
 			}
 		}
@@ -226,23 +227,23 @@
 				rest, err := io.ReadAll(o.response.Stream)
 				o.response.Close(err == nil)
 				if got += string(rest); err == nil && len(got) != 2*bufferedBodyBytes+len("of A") {
-					return fmt.Sprintf("ask %s: %d bytes that pass for all", id, len(got))
+					return fmt.Sprintf("request %s: %d bytes without an error", id, len(got))
 				}
 			}
 		}
-		time.Sleep(5 * time.Millisecond) // what comes at rest, comes
+		time.Sleep(5 * time.Millisecond) // a duplicate sent later arrives
 		mu.Lock()
-		r, k := reads[id], runs[id]
+		readCount, runCount := reads[id], runs[id]
 		mu.Unlock()
 		switch {
 		case got != "" && !strings.HasPrefix("of "+id+strings.Repeat("x", 2*bufferedBodyBytes), got):
-			return fmt.Sprintf("ask %s got %.20q", id, got)
-		case r > 1:
-			return fmt.Sprintf("ask %s was sent %d times", id, r)
-		case o.Code.NotRun() && k > 0:
-			return fmt.Sprintf("ask %s may run, and is told not to: %v", id, o.Code)
-		case o.Code == errcode.OK && k == 0:
-			return fmt.Sprintf("ask %s is answered by no run", id)
+			return fmt.Sprintf("request %s got %.20q", id, got)
+		case readCount > 1:
+			return fmt.Sprintf("request %s was sent %d times", id, readCount)
+		case o.Code.NotRun() && runCount > 0:
+			return fmt.Sprintf("request %s may run, but is reported as not executed: %v", id, o.Code)
+		case o.Code == errcode.OK && runCount == 0:
+			return fmt.Sprintf("request %s got a response without a run", id)
 		}
 	}
 	h.pool.CloseIdle(addr)
@@ -253,24 +254,23 @@
 var peerWalks = modelcheck.Walk[*peerWalk]{Deeds: len(peerActions), Deed: func(i int) string { return peerActions[i].name }, Length: 2,
 	Ways: []string{"small", "large", "stream"}, Begin: newPeerWalk, World: runPeerWorld, End: func(w *peerWalk) { w.end() }}
 
-// Whatever happens to an ask, and to the one before it, none gets another's answer and none is sent twice.
+// Whatever happens to a request, and to the one before it, none gets another's response and none is sent twice.
 func TestPeerWalk(t *testing.T) { peerWalks.Holds(t) }
 
-// Wrong hops are found: those that compare no numbers, that send again after a reset, and that use a connection again that was
-// thrown away.
+// The walk finds clients that don't compare numbers, that resend after a reset, and that reuse a closed connection.
 func TestPeerWalkFindsFaults(t *testing.T) {
 	peerWalks.Finds(t, map[string]func(w *peerWalk){
-		"numbers are not compared":  func(w *peerWalk) { w.sameNumber = true },
-		"sends again after a reset": func(w *peerWalk) { w.net = resendingNet(w.net) },
-		"uses again what was thrown away, and compares no numbers": func(w *peerWalk) {
+		"numbers are not compared": func(w *peerWalk) { w.sameNumber = true },
+		"resends after a reset":    func(w *peerWalk) { w.net = resendingNet(w.net) },
+		"reuses a closed connection, and numbers are not compared": func(w *peerWalk) {
 			w.sameNumber = true
 			w.net, w.beforeWorld = recyclingNet(w.net)
 		},
 	})
 }
 
-// An ask that is cut anywhere does not run at the gate that it goes to, nor does a body that broke off come to its end there; two
-// that come at once are answered in turn.
+// A request that is truncated anywhere does not run at the receiving proxy, and a truncated body is not taken as
+// complete there; two pipelined requests are answered in turn.
 func TestTruncatedPeerRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var ran atomic.Int64
@@ -309,7 +309,7 @@
 				}
 				time.Sleep(time.Second) // more than any of it takes
 				if whole := cut == len(raw); whole != (ran.Load() == 1) {
-					t.Errorf("cut at %d of %d: it ran %d times", cut, len(raw), ran.Load())
+					t.Errorf("truncated at %d of %d: it ran %d times", cut, len(raw), ran.Load())
 				}
 				c.Close()
 			}
@@ -323,7 +323,7 @@
 		for _, want := range []uint64{8, 9} {
 			var got peerResponse
 			if err := readMessage(in, &got); err != nil || got.Number != want || got.Code != errcode.OK {
-				t.Errorf("%+v, %v; want the answer to ask %d", got, err, want)
+				t.Errorf("%+v, %v; want the response to request %d", got, err, want)
 			}
 			in.Discard(int(got.Length))
 		}
--- a/internal/dataplane/proxy_test.go
+++ b/internal/dataplane/proxy_test.go
@@ -21,7 +21,7 @@
 	"saltmast/internal/sock"
 )
 
-// testProxy is one proxy with a backend beside it, on a network in memory and in virtual time.
+// testProxy is one proxy with a local backend, on an in-memory network in virtual time.
 type testProxy struct {
 	*DataPlane
 	network    *network.Sea
@@ -30,7 +30,7 @@
 	clientAddr string
 }
 
-// newTestProxy has answer write the backend's answer to each request, whose body it may read.
+// newTestProxy starts a testProxy. answer writes the backend's response to each request, whose body it may read.
 func newTestProxy(t *testing.T, route string, answer func(w io.Writer, r *http.Request)) *testProxy {
 	const ip = "10.0.0.1"
 	s := network.New(1)
@@ -79,7 +79,7 @@
 	return on
 }
 
-// request sends one request on a connection of its own and reads its answer.
+// request sends one request on a new connection and reads its response.
 func (w *testProxy) request(t *testing.T, head string, body func(net.Conn)) (*http.Response, string, error) {
 	c, err := w.process.Dial(t.Context(), w.clientAddr, 0)
 	if err != nil {
@@ -101,13 +101,13 @@
 
 const idempotentRoute = `{"host":"h","path-prefix":"/a/","route-kind":"idempotent","deadline-s":60,"target-s":30,"service":"ledger","max-attempts":2}`
 
-// respondWithSize writes an answer as backends do.
+// respondWithSize writes a response as backends do.
 func respondWithSize(w io.Writer, r *http.Request, status, size int) {
 	fmt.Fprintf(w, "HTTP/1.1 %d x\r\n%s: %s\r\n%s: s\r\nContent-Length: %d\r\n\r\n%s", status, HeaderAttemptID, r.Header.Get(HeaderAttemptID), HeaderServerSeal, size,
 		strings.Repeat("x", size))
 }
 
-// A long failure of the backend holds its place while it may be all there is to answer with, and no longer.
+// A long 5xx response of the backend holds its place only while it may still be returned to the client.
 func TestLongFailureReleasesItsPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := 0
@@ -124,12 +124,12 @@
 		}
 		synctest.Wait()
 		if running, waiting := w.Inbound.load(); running+waiting != 0 {
-			t.Errorf("%d run and %d wait at rest", running, waiting)
+			t.Errorf("%d running and %d waiting while idle", running, waiting)
 		}
 	})
 }
 
-// failingNet is a network on which no connection comes up.
+// failingNet is a network on which no dial succeeds.
 type failingNet struct {
 	sock.Net
 	dial func()
@@ -140,10 +140,10 @@
 	return nil, net.ErrClosed
 }
 
-// A request under way when its proxy ends is given up: nobody is left to allow another attempt.
+// A request in progress when its proxy closes is given up, since no further attempt can be allowed.
 func TestBalancerStoppedDuringRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestProxy(t, idempotentRoute, func(io.Writer, *http.Request) { t.Error("it ran") })
+		w := newTestProxy(t, idempotentRoute, func(io.Writer, *http.Request) { t.Error("the request ran") })
 		w.Inbound.Deregister("i-1")
 		w.UpdateBackends([]backends.Berth{{Node: "m", Addr: "10.0.0.2:82", Zone: "south", Version: 1, Instance: "i-2", Service: "ledger", Capacity: 1, State: backends.Serving}})
 		n := 0
@@ -151,7 +151,7 @@
 			if n++; n == 1 {
 				w.balancer.End()
 			} else if n > 20 {
-				time.Sleep(time.Minute) // else its time never ends
+				time.Sleep(time.Minute) // otherwise synctest time never advances
 			}
 		}}
 		if r, _, err := w.request(t, "GET /a/1 HTTP/1.1", nil); err != nil || r.StatusCode != 503 || n != 1 {
@@ -160,7 +160,7 @@
 	})
 }
 
-// A body may take as long as it brings something: it is its silence that is bounded.
+// A body may take any time while it makes progress: only a stall is limited.
 func TestSlowBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := 0
@@ -173,7 +173,7 @@
 		const pieces, piece = 20, 10 << 10
 		r, _, err := w.request(t, fmt.Sprintf("PUT /a/1 HTTP/1.1\nContent-Length: %d", pieces*piece), func(c net.Conn) {
 			for range pieces {
-				time.Sleep(stallTimeout / 5) // of the bubble's time
+				time.Sleep(stallTimeout / 5) // synctest time
 				io.WriteString(c, strings.Repeat("x", piece))
 			}
 		})
@@ -183,24 +183,24 @@
 	})
 }
 
-// A body that goes on as it comes, to a backend without room, over a hop: the proxy there answers before it has read all, and
-// the client hears that nothing ran.
+// A long streamed body goes to a backend without a free place on another machine: the proxy there responds before it
+// has read all, and the client gets the response that nothing ran.
 func TestLongBodyRejectedByPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestProxy(t, strings.Replace(idempotentRoute, `"target-s":30`, `"target-s":0.4`, 1), func(w io.Writer, r *http.Request) { t.Error("it ran") })
+		w := newTestProxy(t, strings.Replace(idempotentRoute, `"target-s":30`, `"target-s":0.4`, 1), func(w io.Writer, r *http.Request) { t.Error("the request ran") })
 		m := w.network.Machine("10.0.0.2", "south").Start()
 		l, err := m.Listen("10.0.0.2:82", 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		there := newInbound(Options{Node: "m", Service: "ledger", InboundAddr: "10.0.0.2:82", Incarnation: 8, Started: time.Now(), Heartbeat: time.Hour,
+		remote := newInbound(Options{Node: "m", Service: "ledger", InboundAddr: "10.0.0.2:82", Incarnation: 8, Started: time.Now(), Heartbeat: time.Hour,
 			OperationWindow: time.Minute, Net: m, Log: func(string, string) {}}, nil)
-		go there.Serve(l, nil)
-		defer func() { m.End(); there.ClosePeers(); there.operations.End() }()
-		there.Heartbeat(controlapi.Beat{ID: "i-2", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
-		there.acquire(context.Background(), &peerRequest{Instance: "i-2", Service: "ledger"}) // takes its only place
+		go remote.Serve(l, nil)
+		defer func() { m.End(); remote.ClosePeers(); remote.operations.End() }()
+		remote.Heartbeat(controlapi.Beat{ID: "i-2", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
+		remote.acquire(context.Background(), &peerRequest{Instance: "i-2", Service: "ledger"}) // takes its only place
 		w.Inbound.Deregister("i-1")
-		w.UpdateBackends([]backends.Berth{there.Backend()})
+		w.UpdateBackends([]backends.Berth{remote.Backend()})
 		r, _, err := w.request(t, "PUT /a/1 HTTP/1.1\nContent-Length: 3000000", func(c net.Conn) { io.WriteString(c, strings.Repeat("x", 3000000)) })
 		if err != nil || r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
 			t.Errorf("%v, %v", r, err)
@@ -208,7 +208,7 @@
 	})
 }
 
-// A claim that no majority can be asked for is made by another proxy, however soon that shows.
+// A claim for which no majority can be reached is made through another proxy, however soon that shows.
 func TestClaimRelayedByPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestProxy(t, idempotentRoute, func(io.Writer, *http.Request) {})
--- a/internal/dataplane/responses_test.go
+++ b/internal/dataplane/responses_test.go
@@ -14,7 +14,7 @@
 	"saltmast/internal/idempotency"
 )
 
-// However many early answers come ahead of the one to a request, within a bound, it gets that one.
+// Interim (1xx) responses ahead of the final one are skipped, up to a bound.
 func TestInterimResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := 0
@@ -24,21 +24,21 @@
 		})
 		for n = range maxInterimResponses {
 			if r, body, err := w.request(t, "GET /a/1 HTTP/1.1", nil); err != nil || r.StatusCode != 200 || body != "of r-1" {
-				t.Fatalf("behind %d: %v, %q, %v", n, r, body, err)
+				t.Fatalf("after %d interim responses: %v, %q, %v", n, r, body, err)
 			}
 		}
 		n = 2 * maxInterimResponses
 		if r, _, err := w.request(t, "GET /a/1 HTTP/1.1", nil); err != nil || r.StatusCode != 502 {
-			t.Errorf("behind %d: %v, %v", n, r, err)
+			t.Errorf("after %d interim responses: %v, %v", n, r, err)
 		}
 	})
 }
 
-// The kept answer to the first request of a key goes to a repeat that is a HEAD without its body: what came behind the head would
-// be read as the next answer.
+// The stored response to the first request with a key goes to a repeat that is a HEAD without its body: the client
+// would read the body as the next response.
 func TestStoredResponseToHead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestProxy(t, strings.Replace(idempotentRoute, "idempotent", "deduplicated", 1), func(io.Writer, *http.Request) { t.Error("it ran again") })
+		w := newTestProxy(t, strings.Replace(idempotentRoute, "idempotent", "deduplicated", 1), func(io.Writer, *http.Request) { t.Error("the request ran again") })
 		id := idempotency.ID{Life: 7, N: 1}
 		w.operations.Ask(func(b *idempotency.Book[*Response]) {
 			b.Begin(w.now(), "k", id)
@@ -63,8 +63,8 @@
 	})
 }
 
-// A long answer that stops in its middle holds its place at the backend for the time of its request, and for stallTime at least:
-// then it is cut, over a hop as well.
+// A long response that stalls holds its place at the backend until the deadline of its request, and for stallTimeout at
+// least. Then it is cut, also behind another proxy.
 func TestStalledLongResponse(t *testing.T) {
 	for _, left := range []time.Duration{time.Second, 20 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
@@ -74,10 +74,10 @@
 					strings.Repeat("x", size/2))
 				time.Sleep(2 * time.Minute)
 			})
-			f := newRemotePeer(t)
-			defer f.end()
+			remote := newRemotePeer(t)
+			defer remote.end()
 			go func() {
-				c, in := f.accept(t)
+				c, in := remote.accept(t)
 				var a peerRequest
 				readMessage(in, &a)
 				c.Write(appendMessage(nil, peerResponse{Status: 200, Length: size, Number: a.Number}, make([]byte, size/2)))
@@ -85,32 +85,32 @@
 				c.Close()
 			}()
 			for name, read := range map[string]func() (int, error){
-				"here": func() (int, error) {
+				"local": func() (int, error) {
 					_, b, err := w.request(t, fmt.Sprintf("GET /a/1 HTTP/1.1\n%s: %d", HeaderDeadlineRemaining, left.Milliseconds()), nil)
 					return len(b), err
 				},
-				"over a hop": func() (int, error) {
-					o := f.client.do(context.Background(), f.addr, &peerRequest{Kind: runRequest}, nil, nil, time.Now().Add(left))
+				"by another proxy": func() (int, error) {
+					o := remote.client.do(context.Background(), remote.addr, &peerRequest{Kind: runRequest}, nil, nil, time.Now().Add(left))
 					b, err := io.ReadAll(o.response.Stream)
 					o.response.Close(err == nil)
 					return len(o.response.Body) + len(b), err
 				},
 			} {
-				begun := time.Now()
+				started := time.Now()
 				n, err := read()
-				if took, least := time.Since(begun), max(left, stallTimeout); err == nil || n != size/2 || took < least || took > least+time.Second {
-					t.Errorf("%s, %v: %d bytes, %v after %v", name, left, n, err, took)
+				if elapsed, minElapsed := time.Since(started), max(left, stallTimeout); err == nil || n != size/2 || elapsed < minElapsed || elapsed > minElapsed+time.Second {
+					t.Errorf("%s, %v: %d bytes, %v after %v", name, left, n, err, elapsed)
 				}
 			}
 			if running, waiting := w.Inbound.load(); running+waiting != 0 {
-				t.Errorf("%d run and %d wait at rest", running, waiting)
+				t.Errorf("%d running and %d waiting while idle", running, waiting)
 			}
 			time.Sleep(3 * time.Minute)
 		})
 	}
 }
 
-// An ask that waited at a gate until its proxy had given it up, as behind a freeze of the gate's machine, does not run.
+// A request that waited at a frozen proxy until its sender gave up does not run.
 func TestAbandonedPeerRequestDoesNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ran := 0
@@ -120,7 +120,7 @@
 			t.Fatal(err)
 		}
 		go w.ServePeers(l)
-		for _, given := range []bool{true, false} {
+		for _, abandoned := range []bool{true, false} {
 			for range 2 {
 				w.Inbound.acquire(context.Background(), &peerRequest{Instance: "i-1", Service: "ledger"})
 			}
@@ -131,15 +131,15 @@
 			c.Write(appendMessage(nil, &peerRequest{Kind: runRequest, Instance: "i-1", Service: "ledger", Method: "GET", Target: "/a/", ID: "A", RemainingMs: 60000, MaxQueueMs: 30000,
 				Header: []Field{{Name: HeaderAttemptID, Value: "A"}, {Name: "Host", Value: "h"}}}, nil))
 			time.Sleep(time.Second)
-			if given {
+			if abandoned {
 				c.Close()
 			}
 			time.Sleep(20 * time.Second)
 			w.Inbound.release(0)
 			w.Inbound.release(0)
 			time.Sleep(time.Second)
-			if running, waiting := w.Inbound.load(); (ran == 0) != given || running+waiting != 0 || w.Inbound.Counts.Abandoned.Load() != 1 {
-				t.Errorf("given up: %v: it ran %d times; %d run and %d wait", given, ran, running, waiting)
+			if running, waiting := w.Inbound.load(); (ran == 0) != abandoned || running+waiting != 0 || w.Inbound.Counts.Abandoned.Load() != 1 {
+				t.Errorf("abandoned: %v: it ran %d times; %d running and %d waiting", abandoned, ran, running, waiting)
 			}
 			c.Close()
 		}
--- a/internal/dataplane/suspend_test.go
+++ b/internal/dataplane/suspend_test.go
@@ -8,29 +8,30 @@
 	"saltmast/internal/controlapi"
 )
 
-// A proxy that slept does not hold its backend, whose beats it has yet to read, for gone; one that is silent it does.
+// After a suspend, a proxy does not regard its backend as gone, as its heartbeats may be unread; a silent backend it
+// does.
 func TestHeartbeatCheckAfterSuspend(t *testing.T) {
 	g := newInbound(Options{Heartbeat: time.Second, Log: func(string, string) {}, ResponseBytes: 1 << 20}, nil)
 	beat := controlapi.Beat{ID: "a", Service: "pump", State: backends.Serving, Capacity: 2, Count: 7}
 	g.Heartbeat(beat)
-	begun := time.Now()
-	look := func(at time.Duration) backends.State { g.CheckHeartbeat(begun.Add(at)); return g.Backend().State }
-	look(0)
-	if s := look(20 * time.Second); s != backends.Serving {
-		t.Error("gone after a sleep:", s)
+	start := time.Now()
+	stateAfter := func(at time.Duration) backends.State { g.CheckHeartbeat(start.Add(at)); return g.Backend().State }
+	stateAfter(0)
+	if s := stateAfter(20 * time.Second); s != backends.Serving {
+		t.Error("gone after a suspend:", s)
 	}
 	at := 20 * time.Second
-	for s := backends.Serving; s == backends.Serving; s = look(at) {
+	for s := backends.Serving; s == backends.Serving; s = stateAfter(at) {
 		if at += HeartbeatCheckInterval; at > 25*time.Second {
-			t.Fatal("a silent backend is not gone")
+			t.Fatal("a silent backend is not marked as gone")
 		}
 	}
 	beat.Count = 6
 	if g.Heartbeat(beat); g.Backend().State != backends.None {
-		t.Error("a beat from before its last one counts")
+		t.Error("a heartbeat older than the last one has an effect")
 	}
 	beat.Count = 8
 	if g.Heartbeat(beat); g.Backend().State != backends.Serving {
-		t.Error("it is not back")
+		t.Error("the backend is not back")
 	}
 }
