--- a/internal/dataplane/admission.go
+++ b/internal/dataplane/admission.go
@@ -96,7 +96,8 @@
 }
 
 // queueFull reports whether no more requests of a priority may wait. One request with a lower priority than the rest
-// may wait beyond the queue length, for the places that are left to low priorities. The caller holds ib.mu.
+// may wait beyond the queue length, for the places that are left to low priorities. In a full queue it may evict a
+// waiting request of a lower priority. The caller holds ib.mu.
 func (ib *Inbound) queueFull(priority int) bool {
 	_, lower := ib.lowerPriorityWaiting()
 	queued, extraPlace := len(ib.queue), ib.backend.Capacity >= lowPriorityDivisor
@@ -215,7 +216,7 @@
 	return 0
 }
 
-// release returns a place, and returns the load after that.
+// release gives a place back, and returns the load after that.
 func (ib *Inbound) release(priority int) (running, waiting int) {
 	ib.mu.Lock()
 	defer ib.mu.Unlock()
--- a/internal/dataplane/backend.go
+++ b/internal/dataplane/backend.go
@@ -77,7 +77,7 @@
 	}
 	c.Last = a.ID
 	if o.response != nil && o.response.Stream != nil {
-		o.response.onClose = func(whole bool) { ib.returnConn(c, in, whole && reusable, idleFor) }
+		o.response.onClose = func(complete bool) { ib.returnConn(c, in, complete && reusable, idleFor) }
 		return o
 	}
 	ib.returnConn(c, in, reusable, idleFor)
@@ -123,8 +123,7 @@
 	ib.pool.ReleaseFor(c, idleFor)
 }
 
-// readResponse reads the response to a request. again: the connection can be reused, and may stay idle for the duration
-// rest.
+// readResponse reads the response to a request. reusable: the connection can be reused, and may stay idle for idleFor.
 func (ib *Inbound) readResponse(c *links.Conn, in *bufio.Reader, limited *headLimitReader, a *peerRequest, ioDeadline time.Time) (o outcome, reusable bool, idleFor time.Duration) {
 	fail := func(err error) (outcome, bool, time.Duration) {
 		k := errcode.Broken
--- a/internal/dataplane/inbound.go
+++ b/internal/dataplane/inbound.go
@@ -259,12 +259,12 @@
 	}
 	o.QueuedMs = uint32(queued.Milliseconds())
 	if o.response != nil && o.response.Stream != nil { // the place is released when the streamed response ends
-		end := o.response.onClose
-		o.response.onClose = func(whole bool) {
-			if !whole && ctx.Err() != nil {
+		onClose := o.response.onClose
+		o.response.onClose = func(complete bool) {
+			if !complete && ctx.Err() != nil {
 				ib.Counts.Canceled.Add(1)
 			}
-			end(whole)
+			onClose(complete)
 			ib.release(a.Priority)
 		}
 	} else {
--- a/internal/dataplane/inbound_server.go
+++ b/internal/dataplane/inbound_server.go
@@ -10,7 +10,7 @@
 	"saltmast/internal/sock"
 )
 
-// Serve accepts requests from other proxies until the listener closes. own handles calls other than requests to run.
+// Serve accepts requests from other proxies until the listener closes. handleCall handles calls other than requests to run.
 func (ib *Inbound) Serve(l net.Listener, handleCall func(a *peerRequest, body []byte) outcome) {
 	for {
 		c, err := l.Accept()
--- a/internal/dataplane/keyed.go
+++ b/internal/dataplane/keyed.go
@@ -64,24 +64,24 @@
 		cr.voidClaim()
 		return nil, k
 	}
-	a, k, lastAddr := cr.runAttempts()
+	resp, k, lastAddr := cr.runAttempts()
 	switch {
-	case a != nil && a.Stream == nil:
-		cr.recordOperation(idempotency.Done, a, lastAddr)
-	case a == nil && k.NotRun():
+	case resp != nil && resp.Stream == nil:
+		cr.recordOperation(idempotency.Done, resp, lastAddr)
+	case resp == nil && k.NotRun():
 		cr.voidClaim()
 	default:
 		cr.recordOperation(idempotency.Unknown, nil, lastAddr)
 	}
-	return a, k
+	return resp, k
 }
 
-func (cr *clientRequest) recordOperation(s idempotency.State, a *Response, where string) {
+func (cr *clientRequest) recordOperation(state idempotency.State, resp *Response, addr string) {
 	size := 0
-	if a != nil {
-		size = a.size()
+	if resp != nil {
+		size = resp.size()
 	}
-	cr.dataPlane.operations.Ask(func(b *idempotency.Book[*Response]) { b.End(cr.key, cr.claim, s, a, size, where) })
+	cr.dataPlane.operations.Ask(func(b *idempotency.Book[*Response]) { b.End(cr.key, cr.claim, state, resp, size, addr) })
 }
 
 // voidClaim gives the claim back: nothing ran under it, and nothing will.
--- a/internal/dataplane/outbound.go
+++ b/internal/dataplane/outbound.go
@@ -317,7 +317,7 @@
 	return err == nil
 }
 
-// forwardResponse writes a backend's response, and records in log why it is incomplete. If the response is cut short,
+// forwardResponse writes a backend's response, and records in stats why it is incomplete. If the response is cut short,
 // so is the connection, so that the client notices.
 func (c *clientConn) forwardResponse(a *Response, r *http1.Request, closeAfter bool, now time.Time, stats *requestStats) bool {
 	length := a.Length
@@ -537,9 +537,9 @@
 	return a
 }
 
-// runAttempts runs the attempts of a request. where is the address of the proxy that got the last attempt which may
+// runAttempts runs the attempts of a request. lastAddr is the address of the proxy that got the last attempt which may
 // have run.
-func (cr *clientRequest) runAttempts() (answer *Response, k errcode.Kind, lastAddr string) {
+func (cr *clientRequest) runAttempts() (resp *Response, k errcode.Kind, lastAddr string) {
 	d := cr.dataPlane
 	a := cr.peerRequest()
 	var service, failedNode string
--- a/internal/dataplane/peer.go
+++ b/internal/dataplane/peer.go
@@ -199,10 +199,10 @@
 	Body    []byte    // complete if Stream is nil
 	Stream  io.Reader // follows Body; io.EOF marks a complete end only
 	Length  int64     // of Body and Stream; unknownLength: not known
-	onClose func(whole bool)
+	onClose func(complete bool)
 }
 
-// Close ends a streamed response. whole: it was read completely.
+// Close ends a streamed response. complete: it was read completely.
 func (a *Response) Close(complete bool) {
 	if a != nil && a.onClose != nil {
 		a.onClose(complete)
@@ -251,7 +251,7 @@
 	peerDialTimeout  = 300 * time.Millisecond
 	peerIdleTimeout  = 20 * time.Second
 	peerAckTimeout   = 500 * time.Millisecond // a connection whose sent bytes stay unacknowledged for this long is closed ...
-	streamAckTimeout = stallTimeout           // ... or for this long during streaming: a reader that pauses still acknowledges, but its window is closed
+	streamAckTimeout = stallTimeout           // ... or for this long during streaming: a reader that pauses still acknowledges, but takes no data
 )
 
 func newPeerClient(n sock.Net, pacer *pacing.Pacer) *peerClient {
--- a/internal/dataplane/results.go
+++ b/internal/dataplane/results.go
@@ -153,12 +153,12 @@
 
 // recordRequest counts a finished request. r is nil if no route matched.
 func (d *DataPlane) recordRequest(p *requestStats, r *configuration.Route) {
-	e, c := p.classify()
-	if e == resultInTarget {
+	class, cause := p.classify()
+	if class == resultInTarget {
 		d.Counts.InTarget[r.Kind].Add(1)
 		return
 	}
-	d.Counts.Unsuccessful[e][c].Add(1)
+	d.Counts.Unsuccessful[class][cause].Add(1)
 	if r != nil {
 		d.Counts.MissedTarget[r.Kind].Add(1)
 	}
