--- a/internal/dataplane/backend_walk_test.go
+++ b/internal/dataplane/backend_walk_test.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// runWorld sends three requests with the given ids under one script. again reports whether a request with that outcome
+// runWorld sends three requests with the given ids under one script. retry reports whether a request with that outcome
 // is sent once more under its id, in place of the next.
 func (w *backendWalk) runWorld(t *testing.T, ids [3]string, script []int, retry func(o *outcome) bool) string {
 	w.port++
@@ -191,11 +191,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := newInbound(Options{Node: "n", Service: "ledger", App: addr, InboundAddr: "a:1", Incarnation: 7, Started: time.Now(), Heartbeat: time.Hour,
+	ib := newInbound(Options{Node: "n", Service: "ledger", App: addr, InboundAddr: "a:1", Incarnation: 7, Started: time.Now(), Heartbeat: time.Hour,
 		OperationWindow: time.Minute, ResponseBytes: 1 << 20, Net: w.net, Log: func(string, string) {}}, nil)
-	defer g.operations.End()
+	defer ib.operations.End()
 	defer l.Close()
-	g.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 4, Count: 1, State: backends.Serving})
+	ib.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 4, Count: 1, State: backends.Serving})
 	go w.serve(l, script)
 	lastID := ""
 	var lastOutcome outcome
@@ -206,12 +206,12 @@
 		lastID = id
 		number := fmt.Sprint(i)
 		if w.forgetLastID {
-			if c := g.pool.Take("i-1"); c != nil {
+			if c := ib.pool.Take("i-1"); c != nil {
 				c.Last = ""
-				g.pool.Release(c)
+				ib.pool.Release(c)
 			}
 		}
-		o := g.execute(context.Background(), &peerRequest{Kind: runRequest, Instance: "i-1", Service: "ledger", Method: "GET", Target: "/", ID: id, RemainingMs: uint32(requestTimeout.Milliseconds()),
+		o := ib.execute(context.Background(), &peerRequest{Kind: runRequest, Instance: "i-1", Service: "ledger", Method: "GET", Target: "/", ID: id, RemainingMs: uint32(requestTimeout.Milliseconds()),
 			Header: []Field{{Name: HeaderAttemptID, Value: id}, {Name: sequenceHeader, Value: number}, {Name: "Host", Value: "h"}}}, nil, nil)
 		lastOutcome = o
 		if o.response != nil {
@@ -247,7 +247,7 @@
 			return fmt.Sprintf("request %d got a response without a run", i)
 		}
 	}
-	g.pool.CloseIdle("i-1")
+	ib.pool.CloseIdle("i-1")
 	return ""
 }
 
--- a/internal/dataplane/client_walk_test.go
+++ b/internal/dataplane/client_walk_test.go
@@ -203,7 +203,7 @@
 	}
 	p := &scriptedClient{Conn: c, requests: w.worlds * 100, mustNotRun: map[string]bool{}, method: map[string]string{}}
 	in := bufio.NewReader(c)
-	next, ended := 0, false // over: a response was the last on the connection, or was cut
+	next, ended := 0, false // ended: a response was the last on the connection, or was cut
 	read := func() string {
 		for ; next < len(p.complete) && !ended; next++ {
 			id := p.complete[next]
--- a/internal/dataplane/inbound_server.go
+++ b/internal/dataplane/inbound_server.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// serveRequest handles one request of another proxy and responds. on: the connection stays open; long: the response was
-// streamed.
+// serveRequest handles one request of another proxy and responds. open: the connection stays open; streamed:
+// the response was streamed.
 func (ib *Inbound) serveRequest(c net.Conn, in *bufio.Reader, a *peerRequest, handleCall func(a *peerRequest, body []byte) outcome) (open, streamed bool) {
 	ctx, stop := ib.disconnects.Context(c)
 	defer stop()
--- a/internal/dataplane/inbound_test.go
+++ b/internal/dataplane/inbound_test.go
@@ -25,13 +25,13 @@
 // The announced entry follows the newest heartbeat of the newest instance. A late heartbeat, of the same instance or of
 // one that ended, has no effect, and one without a change is not announced.
 func TestHeartbeats(t *testing.T) {
-	g := newTestInbound(t)
+	ib := newTestInbound(t)
 	beat := func(id string, count uint64, s backends.State) {
-		if err := g.Heartbeat(controlapi.Beat{ID: id, Service: "ledger", Capacity: 2, Count: count, State: s}); err != nil {
+		if err := ib.Heartbeat(controlapi.Beat{ID: id, Service: "ledger", Capacity: 2, Count: count, State: s}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	leave := func(id string) { g.Deregister(id) }
+	leave := func(id string) { ib.Deregister(id) }
 	for _, step := range []struct {
 		name  string
 		do    func()
@@ -49,9 +49,9 @@
 		{"the end of the instance", func() { leave("i-2") }, "i-2", backends.None, true},
 		{"a late heartbeat after the end", func() { beat("i-2", 9, backends.Serving) }, "i-2", backends.None, false},
 	} {
-		before := g.Backend().Version
+		before := ib.Backend().Version
 		step.do()
-		b := g.Backend()
+		b := ib.Backend()
 		if b.Instance != step.id || b.State != step.state || (b.Version != before) != step.news {
 			t.Errorf("%s: %s is %s, version %d to %d; want %s, %s, news %v", step.name, b.Instance, b.State, before, b.Version, step.id, step.state, step.news)
 		}
@@ -61,97 +61,97 @@
 // A request gets a place only at the instance that it names, while that is serving. Waiting requests are admitted by
 // priority, or rejected when the backend leaves, in whatever way, also if a place is free at that moment.
 func TestAdmission(t *testing.T) {
-	g := newTestInbound(t)
-	g.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
+	ib := newTestInbound(t)
+	ib.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
 	request := func(id string, priority int, maxQueueMs uint32) *peerRequest {
 		return &peerRequest{Instance: id, Service: "ledger", Priority: priority, MaxQueueMs: maxQueueMs}
 	}
-	if k := g.acquire(context.Background(), request("i-0", 0, 0)); k != errcode.Elsewhere {
+	if k := ib.acquire(context.Background(), request("i-0", 0, 0)); k != errcode.Elsewhere {
 		t.Errorf("another instance: %v", k)
 	}
-	if k := g.acquire(context.Background(), request("i-1", 0, 0)); k != errcode.OK {
+	if k := ib.acquire(context.Background(), request("i-1", 0, 0)); k != errcode.OK {
 		t.Fatalf("the first request: %v", k)
 	}
-	if k := g.acquire(context.Background(), request("i-1", 0, 0)); k != errcode.Full {
+	if k := ib.acquire(context.Background(), request("i-1", 0, 0)); k != errcode.Full {
 		t.Errorf("a request that may not wait: %v", k)
 	}
 	got := make(chan errcode.Kind, 1)
-	go func() { got <- g.acquire(context.Background(), request("i-1", 1, 60_000)) }()
-	for _, waiting := g.load(); waiting == 0; _, waiting = g.load() {
+	go func() { got <- ib.acquire(context.Background(), request("i-1", 1, 60_000)) }()
+	for _, waiting := ib.load(); waiting == 0; _, waiting = ib.load() {
 		runtime.Gosched()
 	}
-	g.release(0)
+	ib.release(0)
 	if k := <-got; k != errcode.OK {
 		t.Errorf("a waiting request: %v", k)
 	}
 	for n, end := range []func(id string){
-		func(id string) { g.Deregister(id) },
+		func(id string) { ib.Deregister(id) },
 		func(id string) {
-			g.Heartbeat(controlapi.Beat{ID: id, Service: "ledger", Capacity: 1, Count: 2, State: backends.Draining})
+			ib.Heartbeat(controlapi.Beat{ID: id, Service: "ledger", Capacity: 1, Count: 2, State: backends.Draining})
 		},
 		func(string) {
-			g.Heartbeat(controlapi.Beat{ID: "i-9", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
+			ib.Heartbeat(controlapi.Beat{ID: "i-9", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
 		},
 	} {
 		id := fmt.Sprint("i-", n+1)
-		g.Heartbeat(controlapi.Beat{ID: id, Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
-		go func() { got <- g.acquire(context.Background(), request(id, 1, 60_000)) }()
-		for _, waiting := g.load(); waiting == 0; _, waiting = g.load() {
+		ib.Heartbeat(controlapi.Beat{ID: id, Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
+		go func() { got <- ib.acquire(context.Background(), request(id, 1, 60_000)) }()
+		for _, waiting := ib.load(); waiting == 0; _, waiting = ib.load() {
 			runtime.Gosched()
 		}
 		end(id)
-		g.release(1)
+		ib.release(1)
 		if k := <-got; k != errcode.Leaving {
 			t.Errorf("a request waiting when the backend left, way %d: %v", n, k)
 		}
-		if k := g.acquire(context.Background(), request(id, 0, 0)); k == errcode.OK {
+		if k := ib.acquire(context.Background(), request(id, 0, 0)); k == errcode.OK {
 			t.Errorf("after the instance's end, way %d: %v", n, k)
 		}
-		g.mu.Lock()
-		g.running = 1 // as before
-		g.mu.Unlock()
+		ib.mu.Lock()
+		ib.running = 1 // as before
+		ib.mu.Unlock()
 	}
 }
 
 // If the queue is full, a request with a higher priority than the last one takes its turn, and the last one is rejected
 // at once.
 func TestAdmissionByPriority(t *testing.T) {
-	g := newTestInbound(t)
-	g.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
+	ib := newTestInbound(t)
+	ib.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
 	request := func(priority int) *peerRequest {
 		return &peerRequest{Instance: "i-1", Service: "ledger", Priority: priority, MaxQueueMs: 60_000}
 	}
 	wait := func(priority int) chan errcode.Kind {
 		got := make(chan errcode.Kind, 1)
-		before := g.lastOrder
-		go func() { got <- g.acquire(context.Background(), request(priority)) }()
+		before := ib.lastOrder
+		go func() { got <- ib.acquire(context.Background(), request(priority)) }()
 		for now := before; now == before; {
 			runtime.Gosched()
-			g.mu.Lock()
-			now = g.lastOrder
-			g.mu.Unlock()
+			ib.mu.Lock()
+			now = ib.lastOrder
+			ib.mu.Unlock()
 		}
 		return got
 	}
-	if k := g.acquire(context.Background(), request(2)); k != errcode.OK {
+	if k := ib.acquire(context.Background(), request(2)); k != errcode.OK {
 		t.Fatalf("the first request: %v", k)
 	}
 	low := wait(2)
-	if k := g.acquire(context.Background(), request(2)); k != errcode.Full {
+	if k := ib.acquire(context.Background(), request(2)); k != errcode.Full {
 		t.Errorf("a request of the same priority as the last one: %v", k)
 	}
 	high := wait(1)
 	if k := <-low; k != errcode.Full {
 		t.Errorf("the last request when one of a higher priority arrived: %v", k)
 	}
-	if k := g.acquire(context.Background(), request(2)); k != errcode.Full {
+	if k := ib.acquire(context.Background(), request(2)); k != errcode.Full {
 		t.Errorf("a request of a lower priority: %v", k)
 	}
-	g.release(2)
+	ib.release(2)
 	if k := <-high; k != errcode.OK {
 		t.Errorf("the request of the highest priority: %v", k)
 	}
-	if running, waiting := g.load(); running != 1 || waiting != 0 {
+	if running, waiting := ib.load(); running != 1 || waiting != 0 {
 		t.Errorf("%d running and %d waiting, want 1 and 0", running, waiting)
 	}
 }
@@ -160,12 +160,12 @@
 // expires over time.
 func TestReservedPlaces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newInbound(Options{Node: "n", Service: "ledger", InboundAddr: "a:1", Incarnation: 7, Started: time.Now(), Heartbeat: time.Minute,
+		ib := newInbound(Options{Node: "n", Service: "ledger", InboundAddr: "a:1", Incarnation: 7, Started: time.Now(), Heartbeat: time.Minute,
 			OperationWindow: time.Minute, ResponseBytes: 1 << 20, Log: func(string, string) {}}, nil)
-		defer g.operations.End()
-		g.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 10, Count: 1, State: backends.Serving})
+		defer ib.operations.End()
+		ib.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 10, Count: 1, State: backends.Serving})
 		acquire := func(priority int) errcode.Kind {
-			return g.acquire(context.Background(), &peerRequest{Instance: "i-1", Service: "ledger", Priority: priority})
+			return ib.acquire(context.Background(), &peerRequest{Instance: "i-1", Service: "ledger", Priority: priority})
 		}
 		for range 10 {
 			if k := acquire(2); k != errcode.OK {
@@ -177,21 +177,21 @@
 				t.Fatalf("an eleventh request: %v", k)
 			}
 		}
-		if got := [3]int{g.runningLimit(0), g.runningLimit(1), g.runningLimit(2)}; got != [3]int{10, 10, 7} {
+		if got := [3]int{ib.runningLimit(0), ib.runningLimit(1), ib.runningLimit(2)}; got != [3]int{10, 10, 7} {
 			t.Errorf("places for the priorities 0, 1, 2: %v, want 10, 10 and, with a third reserved, 7", got)
 		}
 		for range 3 {
-			g.release(2)
+			ib.release(2)
 		}
 		if a, b, c := acquire(2), acquire(1), acquire(0); a != errcode.Full || b != errcode.OK || c != errcode.OK {
 			t.Errorf("with 7 of 10 taken, priorities 2, 1, 0 get: %v, %v, %v", a, b, c)
 		}
 		time.Sleep(reservationHalfLife)
-		if got := g.runningLimit(2); got != 9 {
+		if got := ib.runningLimit(2); got != 9 {
 			t.Errorf("after one half-life: %d places for the last priority, want 9", got)
 		}
 		time.Sleep(3 * reservationHalfLife)
-		if got := g.runningLimit(2); got != 10 {
+		if got := ib.runningLimit(2); got != 10 {
 			t.Errorf("after 4 half-lives: %d places for the last priority, want 10", got)
 		}
 	})
@@ -201,10 +201,10 @@
 // more.
 func TestLowPriorityIsNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newInbound(Options{Node: "n", Service: "ledger", InboundAddr: "a:1", Incarnation: 7, Started: time.Now(), Heartbeat: time.Minute,
+		ib := newInbound(Options{Node: "n", Service: "ledger", InboundAddr: "a:1", Incarnation: 7, Started: time.Now(), Heartbeat: time.Minute,
 			OperationWindow: time.Minute, ResponseBytes: 1 << 20, Log: func(string, string) {}}, nil)
-		defer g.operations.End()
-		g.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 6, Count: 1, State: backends.Serving})
+		defer ib.operations.End()
+		ib.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 6, Count: 1, State: backends.Serving})
 		var completed [3]atomic.Int64
 		var clients sync.WaitGroup
 		const duration = 10 * time.Second
@@ -216,17 +216,17 @@
 			}
 			clients.Go(func() {
 				for time.Sleep(time.Duration(n) * time.Millisecond); time.Since(started) < duration; time.Sleep(10 * time.Millisecond) {
-					if g.acquire(context.Background(), &peerRequest{Instance: "i-1", Service: "ledger", Priority: priority, MaxQueueMs: 60}) == errcode.OK {
+					if ib.acquire(context.Background(), &peerRequest{Instance: "i-1", Service: "ledger", Priority: priority, MaxQueueMs: 60}) == errcode.OK {
 						time.Sleep(runTime)
-						g.release(priority)
+						ib.release(priority)
 						completed[priority].Add(1)
 					}
 				}
 			})
 		}
 		clients.Wait()
-		if running, waiting := g.load(); running != 0 || waiting != 0 || g.runningByPriority != [5]int{} {
-			t.Errorf("at the end %d running, %v by priority, and %d waiting", running, g.runningByPriority, waiting)
+		if running, waiting := ib.load(); running != 0 || waiting != 0 || ib.runningByPriority != [5]int{} {
+			t.Errorf("at the end %d running, %v by priority, and %d waiting", running, ib.runningByPriority, waiting)
 		}
 		// One place is 10 s / 72 ms = 139 low-priority runs, and five are 2,270 high-priority ones.
 		if n := completed[2].Load(); n < 100 || n > 150 {
@@ -275,12 +275,12 @@
 		}
 	}
 	// The inbound side records single attempts: none of them proves that a claim is void.
-	g := newTestInbound(t)
-	g.operations.Ask(func(b *idempotency.Book[*Response]) {
+	ib := newTestInbound(t)
+	ib.operations.Ask(func(b *idempotency.Book[*Response]) {
 		b.Begin(0, "k", id)
 		b.End("k", id, idempotency.Void, nil, 0, "")
 	})
-	if o := g.lookupResponse(&peerRequest{Key: "k", Claim: id}); o.Code != errcode.Gone {
+	if o := ib.lookupResponse(&peerRequest{Key: "k", Claim: id}); o.Code != errcode.Gone {
 		t.Errorf("a declined attempt: %v", o.Code)
 	}
 	replayed := stored.withAttemptID("second")
--- a/internal/dataplane/suspend_test.go
+++ b/internal/dataplane/suspend_test.go
@@ -11,11 +11,11 @@
 // After a suspend, a proxy does not regard its backend as gone, as its heartbeats may be unread; a silent backend it
 // does.
 func TestHeartbeatCheckAfterSuspend(t *testing.T) {
-	g := newInbound(Options{Heartbeat: time.Second, Log: func(string, string) {}, ResponseBytes: 1 << 20}, nil)
+	ib := newInbound(Options{Heartbeat: time.Second, Log: func(string, string) {}, ResponseBytes: 1 << 20}, nil)
 	beat := controlapi.Beat{ID: "a", Service: "pump", State: backends.Serving, Capacity: 2, Count: 7}
-	g.Heartbeat(beat)
+	ib.Heartbeat(beat)
 	start := time.Now()
-	stateAfter := func(at time.Duration) backends.State { g.CheckHeartbeat(start.Add(at)); return g.Backend().State }
+	stateAfter := func(at time.Duration) backends.State { ib.CheckHeartbeat(start.Add(at)); return ib.Backend().State }
 	stateAfter(0)
 	if s := stateAfter(20 * time.Second); s != backends.Serving {
 		t.Error("gone after a suspend:", s)
@@ -27,11 +27,11 @@
 		}
 	}
 	beat.Count = 6
-	if g.Heartbeat(beat); g.Backend().State != backends.None {
+	if ib.Heartbeat(beat); ib.Backend().State != backends.None {
 		t.Error("a heartbeat older than the last one has an effect")
 	}
 	beat.Count = 8
-	if g.Heartbeat(beat); g.Backend().State != backends.Serving {
+	if ib.Heartbeat(beat); ib.Backend().State != backends.Serving {
 		t.Error("the backend is not back")
 	}
 }
