--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -106,13 +106,13 @@
 	if s.Descriptors > 0 {
 		maxConns = s.Descriptors / 2
 	}
-	p.dataPlane = dataplane.New(dataplane.Options{Node: s.NodeName, Zone: s.Zone, Service: s.Service, App: s.AppAddr, GateAddr: gateAddr,
-		Life: p.incarnation, Begun: time.Now(), Heartbeat: s.Heartbeat, Ratio: s.Bounds.RetryRatio, Allowance: s.Bounds.RetryAllowance,
-		Window: s.Bounds.RetryWindow, KeyWindow: s.Bounds.DedupWindow + keyMargin, AnswerBytes: answerBytes, MaxConns: maxConns, LinkMbps: s.BandwidthMbps,
-		Net: network, Council: p.quorum, News: p.newsFor, Report: p.report, Vouched: p.hasMajorityContact, Log: log,
-		Heard: func(addr string) { p.membership.Heard(addr) }})
-	p.dataPlane.Gate.OnChange(func(b backends.Backend) {
-		p.dataPlane.Hear(b)
+	p.dataPlane = dataplane.New(dataplane.Options{Node: s.NodeName, Zone: s.Zone, Service: s.Service, App: s.AppAddr, InboundAddr: gateAddr,
+		Incarnation: p.incarnation, Started: time.Now(), Heartbeat: s.Heartbeat, RetryRatio: s.Bounds.RetryRatio, RetryAllowance: s.Bounds.RetryAllowance,
+		RetryWindow: s.Bounds.RetryWindow, OperationWindow: s.Bounds.DedupWindow + keyMargin, ResponseBytes: answerBytes, MaxConns: maxConns, LinkMbps: s.BandwidthMbps,
+		Net: network, Quorum: p.quorum, HandlePull: p.newsFor, HandleReport: p.report, ConfigurationCurrent: p.hasMajorityContact, Log: log,
+		PeerAnswered: func(addr string) { p.membership.Heard(addr) }})
+	p.dataPlane.Inbound.OnChange(func(b backends.Backend) {
+		p.dataPlane.UpdateLocalBackend(b)
 		p.notify()
 	})
 	gate, err := rpc.Listen(network, gateAddr)
@@ -133,9 +133,9 @@
 		return nil, fmt.Errorf("readiness: %w", err)
 	}
 	p.membership = transport.Start(s, messages.RoleTug, messages.RosterTugPort, messages.GatePort, p.incarnation, network, log)
-	p.serveHTTP(control, &controlapi.Port{Beat: p.dataPlane.Gate.Beat, Leave: p.dataPlane.Gate.Leave, Refused: p.refused})
+	p.serveHTTP(control, &controlapi.Port{Beat: p.dataPlane.Inbound.Heartbeat, Leave: p.dataPlane.Inbound.Deregister, Refused: p.refused})
 	p.serveHTTP(readiness, &controlapi.Port{Ready: p.ready})
-	go p.dataPlane.ServeGate(gate)
+	go p.dataPlane.ServePeers(gate)
 	go p.dataPlane.Serve(outbound)
 	go p.pull()
 	go p.watch()
@@ -187,7 +187,7 @@
 
 // watch runs periodic checks and follows changes of the membership.
 func (p *Proxy) watch() {
-	tick := time.NewTicker(dataplane.LookEvery)
+	tick := time.NewTicker(dataplane.HeartbeatCheckInterval)
 	defer tick.Stop()
 	var changed chan struct{}
 	if p.membership != nil {
@@ -199,7 +199,7 @@
 	for {
 		select {
 		case now := <-tick.C:
-			p.dataPlane.Gate.Watch(now)
+			p.dataPlane.Inbound.CheckHeartbeat(now)
 			if now.Sub(swept) >= sweepInterval {
 				swept = now
 				p.sweep(now.Sub(start))
@@ -210,7 +210,7 @@
 		}
 		if now := p.membership.Silent(messages.RoleTug); !maps.Equal(now, silent) {
 			silent = now
-			p.dataPlane.Silence(now)
+			p.dataPlane.SetUnresponsive(now)
 		}
 	}
 }
@@ -228,7 +228,7 @@
 	p.pullAll = p.pullAll || p.table.HasDropped(alive)
 	p.mu.Unlock()
 	if len(gone) > 0 {
-		p.dataPlane.Drop(gone)
+		p.dataPlane.RemoveNodes(gone)
 		p.log("gone", strings.Join(gone, " "))
 	}
 }
@@ -351,7 +351,7 @@
 	start := time.Now()
 	progress := p.sources[addr]
 	for !p.isDone() {
-		self := p.dataPlane.Gate.Berth()
+		self := p.dataPlane.Inbound.Backend()
 		p.mu.Lock()
 		call.Self, call.Have, call.Epoch = &self, p.chosen, p.quorum.VoterSet().Epoch
 		p.resetSources(&progress)
@@ -370,7 +370,7 @@
 			case r = <-results:
 				break wait
 			case <-p.changed: // reported in a call of its own while the pull waits
-				self := p.dataPlane.Gate.Berth()
+				self := p.dataPlane.Inbound.Backend()
 				p.mu.Lock()
 				relayed := slices.Clone(p.relayed)
 				p.mu.Unlock()
@@ -429,9 +429,9 @@
 // pullFromProxy asks another proxy for updates while no registry is of use. If this proxy knows no other, it asks the one that called
 // its gate last: others may still know this machine though its seeds are unreachable.
 func (p *Proxy) pullFromProxy() {
-	source, ok := p.dataPlane.Another()
+	source, ok := p.dataPlane.RandomPeer()
 	if !ok {
-		ip, s := p.dataPlane.Gate.Caller(), p.settings.Load()
+		ip, s := p.dataPlane.Inbound.LastPeerIP(), p.settings.Load()
 		if ip == "" || ip == s.IP {
 			return
 		}
@@ -439,14 +439,14 @@
 	}
 	progress := p.sources[source]
 	for !p.isDone() {
-		self := p.dataPlane.Gate.Berth()
+		self := p.dataPlane.Inbound.Backend()
 		p.mu.Lock()
 		call := messages.PullCall{Self: &self, Have: p.chosen, Epoch: p.quorum.VoterSet().Epoch}
 		p.resetSources(&progress)
 		progress.continueCall(&call)
 		p.mu.Unlock()
 		sent := time.Now()
-		reply, err := p.dataPlane.AskNews(source, rpc.Encode(call), pullTimeout)
+		reply, err := p.dataPlane.PullFromPeer(source, rpc.Encode(call), pullTimeout)
 		var n messages.News
 		if err != nil || rpc.Decode(reply, &n) != nil {
 			return
@@ -483,7 +483,7 @@
 	}
 	p.mu.Unlock()
 	if relay {
-		p.dataPlane.Learn([]backends.Backend{*call.Self})
+		p.dataPlane.UpdateBackends([]backends.Backend{*call.Self})
 		p.notify()
 	}
 	return rpc.Encode(n), nil
@@ -551,11 +551,11 @@
 		p.log("configuration", fmt.Sprintf("ballot %d: %d items changed", n.Chosen.N, len(n.Items)))
 	}
 	if len(merged) > 0 {
-		p.dataPlane.Learn(merged)
+		p.dataPlane.UpdateBackends(merged)
 	}
 	for _, b := range merged {
 		if b.Node == node {
-			p.dataPlane.Gate.Refute(b)
+			p.dataPlane.Inbound.Refute(b)
 		}
 	}
 	return seek
@@ -590,7 +590,7 @@
 
 // Counts returns the counters for the log.
 func (p *Proxy) Counts() map[string]int64 {
-	out := p.dataPlane.Report()
+	out := p.dataPlane.Counters()
 	out["pulls"], out["pulls_by_other"] = p.pulls.Load(), p.proxyPulls.Load()
 	p.mu.Lock()
 	out["berths"], out["masters"] = int64(p.table.Len()), int64(len(p.registries))
@@ -604,7 +604,7 @@
 func (p *Proxy) Stop(grace time.Duration) {
 	start := time.Now()
 	p.stopping.Store(true)
-	p.dataPlane.Gate.Withdraw()
+	p.dataPlane.Inbound.Withdraw()
 	p.dataPlane.Drain()
 	const noticeDelay = 2500 * time.Millisecond // the platform probes readiness once a second, and twice before it reacts
 	time.Sleep(min(noticeDelay, grace/2))
@@ -624,7 +624,7 @@
 	}
 	p.quorum.Close()
 	p.membership.Close()
-	p.dataPlane.End()
+	p.dataPlane.Close()
 }
 
 // Kill ends at once, as if the process ended: requests in progress are not finished and others are not notified.
--- a/internal/proxy/start_test.go
+++ b/internal/proxy/start_test.go
@@ -142,7 +142,7 @@
 		for _, m := range machines {
 			s.Cut(m2, m)
 		}
-		second.dataPlane.Learn([]backends.Backend{first.dataPlane.Gate.Berth()})
+		second.dataPlane.UpdateBackends([]backends.Backend{first.dataPlane.Inbound.Backend()})
 		waitUntil(20*time.Second, func() bool { return second.proxyPulls.Load() >= 12 })
 		time.Sleep(time.Second)
 		if second.items.Len() != routes+1 || !second.dataPlane.Configured() {
@@ -223,7 +223,7 @@
 			for _, c := range machines {
 				s.Cut(m2, c)
 			}
-			proxy2.dataPlane.Learn([]backends.Backend{proxy1.dataPlane.Gate.Berth()})
+			proxy2.dataPlane.UpdateBackends([]backends.Backend{proxy1.dataPlane.Inbound.Backend()})
 			for start := time.Now(); countBackends(proxy2) < backendCount && time.Since(start) < 20*time.Second; {
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -232,7 +232,7 @@
 				t.Errorf("from another proxy: %d backends in %d answers", n, answered)
 			}
 			proxy2.mu.Lock()
-			progress := proxy2.sources[proxy1.dataPlane.Gate.Berth().Addr]
+			progress := proxy2.sources[proxy1.dataPlane.Inbound.Backend().Addr]
 			proxy2.mu.Unlock()
 			if progress.incarnation != proxy1.incarnation || progress.revision < backendCount {
 				t.Errorf("progress of the other proxy: %+v", progress)
@@ -284,7 +284,7 @@
 					for _, backend := range news.Berths {
 						to.table.Merge(backend)
 					}
-					balancer.Learn(0, news.Berths)
+					balancer.UpdateBackends(0, news.Berths)
 				}
 				if to.table.Len() != n || largest > messages.PartBytes {
 					b.Fatal(to.table.Len(), largest)
