--- a/internal/console/ask.go
+++ b/internal/console/ask.go
@@ -25,9 +25,9 @@
 	Node    string // "": not known
 	Zone    string
 	Addr    string
-	Trouble string             // why there is no answer; "": there is one
-	Since   time.Time          // no answer since then at the latest; zero where there is one
-	Told    *messages.Reported // nil: nothing
+	Trouble string                // why there is no answer; "": there is one
+	Since   time.Time             // no answer since then at the latest; zero where there is one
+	Told    *messages.ReportReply // nil: nothing
 }
 
 // Name is how tables name it.
@@ -87,9 +87,9 @@
 		}
 		asked[t] = true
 		under++
-		call := messages.ReportCall{Brief: k.brief && t.program == messages.TheTug}
+		call := messages.ReportCall{Brief: k.brief && t.program == messages.ProgramProxy}
 		var c *rpc.Client
-		if t.program != messages.TheTug {
+		if t.program != messages.ProgramProxy {
 			if c = k.clients[t.addr]; c == nil {
 				c = rpc.NewClient(k.Net, t.addr)
 				k.clients[t.addr] = c
@@ -103,7 +103,7 @@
 		}()
 	}
 	for _, addr := range k.At {
-		ask(target{messages.TheHarbour, addr})
+		ask(target{messages.ProgramRegistry, addr})
 	}
 	for t := range k.known {
 		ask(t)
@@ -115,9 +115,9 @@
 		if a.Told == nil {
 			continue
 		}
-		if a.Told.Harbour != nil {
+		if a.Told.Registry != nil {
 			harbours++
-			k.brief = a.Told.BerthsAll > fullUpTo
+			k.brief = a.Told.BackendsTotal > fullUpTo
 		}
 		for _, t := range names(a.Told) {
 			named[t] = true
@@ -140,7 +140,7 @@
 
 func (k *Asker) ask(c *rpc.Client, t target, call messages.ReportCall) *Agent {
 	a := &Agent{Program: t.program, Addr: t.addr}
-	var r messages.Reported
+	var r messages.ReportReply
 	var err error
 	if c == nil {
 		r, err = k.tugs.Report(t.addr, call, k.Wait)
@@ -169,17 +169,17 @@
 }
 
 // names are the programs that a report speaks of.
-func names(r *messages.Reported) (out []target) {
-	if r.Harbour != nil {
-		for _, m := range r.Harbour.Masters {
-			out = append(out, target{messages.TheHarbour, m.Addr}, target{messages.ThePurser, besideMaster(m.Addr)})
+func names(r *messages.ReportReply) (out []target) {
+	if r.Registry != nil {
+		for _, m := range r.Registry.Registries {
+			out = append(out, target{messages.ProgramRegistry, m.Addr}, target{messages.ProgramStore, besideMaster(m.Addr)})
 		}
-		for _, b := range r.Berths {
-			out = append(out, target{messages.TheTug, b.Addr})
+		for _, b := range r.Backends {
+			out = append(out, target{messages.ProgramProxy, b.Addr})
 		}
 	}
 	for _, v := range r.Voters {
-		out = append(out, target{messages.ThePurser, v.Addr})
+		out = append(out, target{messages.ProgramStore, v.Addr})
 	}
 	return out
 }
@@ -191,7 +191,7 @@
 	if err != nil || bad != nil {
 		return ""
 	}
-	return messages.Beside(addr, n-messages.HarbourPort, messages.PurserPort)
+	return messages.AddrOnHost(addr, n-messages.RegistryPort, messages.StorePort)
 }
 
 // settle names those that do not know their machine or told nothing, drops those that were asked at two addresses, and orders
@@ -203,14 +203,14 @@
 		if a.Told == nil {
 			continue
 		}
-		if h := a.Told.Harbour; h != nil {
-			for _, m := range h.Masters {
-				at[target{messages.TheHarbour, m.Addr}] = place{m.Name, m.Zone}
-				at[target{messages.ThePurser, besideMaster(m.Addr)}] = place{m.Name, m.Zone}
+		if h := a.Told.Registry; h != nil {
+			for _, m := range h.Registries {
+				at[target{messages.ProgramRegistry, m.Addr}] = place{m.Name, m.Zone}
+				at[target{messages.ProgramStore, besideMaster(m.Addr)}] = place{m.Name, m.Zone}
 			}
 		}
-		for _, b := range a.Told.Berths {
-			at[target{messages.TheTug, b.Addr}] = place{b.Node, b.Zone}
+		for _, b := range a.Told.Backends {
+			at[target{messages.ProgramProxy, b.Addr}] = place{b.Node, b.Zone}
 		}
 	}
 	own := map[target]int{}
--- a/internal/console/differ.go
+++ b/internal/console/differ.go
@@ -78,12 +78,12 @@
 }
 
 // speaks reports whether an agent is one of those that should know the configuration.
-func speaks(r *messages.Reported) bool { return r.Purser == nil || r.Purser.State == "serving" }
+func speaks(r *messages.ReportReply) bool { return r.Store == nil || r.Store.State == "serving" }
 
 // chosen is the ballot that an agent goes by. A purser that accepted what others know to be chosen, and did not hear that it
 // was, lacks nothing; the items that it tells are then of an older value, so that they say nothing.
-func chosen(r *messages.Reported, known map[configuration.Ballot]bool) (b configuration.Ballot, whole bool) {
-	if p := r.Purser; p != nil && r.Chosen.Less(p.Accepted) && known[p.Accepted] {
+func chosen(r *messages.ReportReply, known map[configuration.Ballot]bool) (b configuration.Ballot, whole bool) {
+	if p := r.Store; p != nil && r.Chosen.Less(p.Accepted) && known[p.Accepted] {
 		return p.Accepted, false
 	}
 	return r.Chosen, true
@@ -124,8 +124,8 @@
 		for _, i := range all {
 			mine, ok := have[i.Key]
 			switch {
-			case !ok && a.Told.ItemsLeft > 0: // it may be among those that were left out
-			case !ok && a.Told.Tug != nil && dropped[i.Key]: // proxies keep no tombstones
+			case !ok && a.Told.ItemsOmitted > 0: // it may be among those that were left out
+			case !ok && a.Told.Proxy != nil && dropped[i.Key]: // proxies keep no tombstones
 			case !ok:
 				t.add(i.Key.String(), "none", a.Name())
 			case mine.Dropped:
@@ -142,7 +142,7 @@
 func (l *Look) chosen() map[configuration.Ballot]bool {
 	known := map[configuration.Ballot]bool{}
 	for _, a := range l.Agents {
-		if a.Told != nil && a.Told.Purser == nil {
+		if a.Told != nil && a.Told.Store == nil {
 			known[a.Told.Chosen] = true
 		}
 	}
@@ -163,34 +163,34 @@
 			b, _ := chosen(r, known)
 			ballots.add("", ballotText(b), a.Name())
 		}
-		if r.Purser == nil || r.Epoch > 0 {
+		if r.Store == nil || r.Epoch > 0 {
 			epochs.add("", fmt.Sprint(r.Epoch), a.Name())
 		}
-		if r.Purser != nil {
+		if r.Store != nil {
 			continue
 		}
-		brief = brief || r.BerthsAll > 0 && len(r.Berths) == 0
-		sums.add("", fmt.Sprintf("%d, digest %08x", r.BerthsAll, uint32(r.BerthsSum)), a.Name())
+		brief = brief || r.BackendsTotal > 0 && len(r.Backends) == 0
+		sums.add("", fmt.Sprintf("%d, digest %08x", r.BackendsTotal, uint32(r.BackendsDigest)), a.Name())
 	}
 	nodes := map[string]bool{}
 	for _, a := range l.Agents {
 		if a.Told != nil {
-			for _, b := range a.Told.Berths {
+			for _, b := range a.Told.Backends {
 				nodes[b.Node] = true
 			}
 		}
 	}
 	for _, a := range l.Agents {
 		r := a.Told
-		if r == nil || r.Purser != nil || r.BerthsAll > 0 && len(r.Berths) == 0 {
+		if r == nil || r.Store != nil || r.BackendsTotal > 0 && len(r.Backends) == 0 {
 			continue
 		}
-		have := make(map[string]bool, len(r.Berths))
-		for _, b := range r.Berths {
+		have := make(map[string]bool, len(r.Backends))
+		for _, b := range r.Backends {
 			have[b.Node] = true
-			berth.add(b.Node, fmt.Sprintf("v%d %s of life %08x", b.Version, b.State, uint32(b.Life)), a.Name())
+			berth.add(b.Node, fmt.Sprintf("v%d %s of life %08x", b.Version, b.State, uint32(b.Incarnation)), a.Name())
 		}
-		if r.BerthsLeft == 0 {
+		if r.BackendsOmitted == 0 {
 			for n := range nodes {
 				if !have[n] {
 					berth.add(n, "none", a.Name())
@@ -244,12 +244,12 @@
 func (l *Look) lastHeard(a *Agent) time.Time {
 	best := uint32(messages.Never)
 	for _, o := range l.Agents {
-		if o.Told == nil || o.Told.Harbour == nil || a.Program != messages.ThePurser {
+		if o.Told == nil || o.Told.Registry == nil || a.Program != messages.ProgramStore {
 			continue
 		}
 		for i, v := range o.Told.Voters {
-			if v.Addr == a.Addr && i < len(o.Told.Harbour.HeardMs) {
-				best = min(best, o.Told.Harbour.HeardMs[i])
+			if v.Addr == a.Addr && i < len(o.Told.Registry.HeardMs) {
+				best = min(best, o.Told.Registry.HeardMs[i])
 			}
 		}
 	}
--- a/internal/console/json.go
+++ b/internal/console/json.go
@@ -134,8 +134,8 @@
 
 func ballotJSON(b configuration.Ballot) jsonBallot { return jsonBallot{b.N, b.By} }
 
-func bookJSON(b messages.Book) jsonBook {
-	return jsonBook{b.AtWork, b.Done, b.Unknown, b.Void, b.Bytes}
+func bookJSON(b messages.KeyCounts) jsonBook {
+	return jsonBook{b.InProgress, b.Done, b.Unknown, b.Void, b.Bytes}
 }
 
 // WriteJSON writes a picture as one object.
@@ -192,27 +192,27 @@
 		out.State, out.Since = "no answer", &a.Since
 		return out
 	}
-	out.Version, out.Life, out.UpMs, out.Epoch, out.Chosen, out.Counts = r.Version, fmt.Sprintf("%016x", r.Life), r.UpMs, r.Epoch, ballotJSON(r.Chosen), r.Counts
-	out.Items, out.Berths = len(r.Items)+r.ItemsLeft, r.BerthsAll
+	out.Version, out.Life, out.UpMs, out.Epoch, out.Chosen, out.Counts = r.Version, fmt.Sprintf("%016x", r.Incarnation), r.UpMs, r.Epoch, ballotJSON(r.Chosen), r.Counts
+	out.Items, out.Berths = len(r.Items)+r.ItemsOmitted, r.BackendsTotal
 	for _, v := range r.Voters {
 		out.Voters = append(out.Voters, v.Addr)
 	}
-	if t := r.Tug; t != nil {
-		out.Tug = &jsonTug{Ready: t.Ready, Stopping: t.Stopping, From: t.From, FromMs: ago(t.FromMs), FreshMs: ago(t.FreshMs), Tokens: t.Tokens,
-			Rations: t.Rations, Begun: bookJSON(t.Begun), Ran: bookJSON(t.Ran), Running: t.Running, Waiting: t.Waiting}
+	if t := r.Proxy; t != nil {
+		out.Tug = &jsonTug{Ready: t.Ready, Stopping: t.Stopping, From: t.RegistryAddr, FromMs: ago(t.RegistryMs), FreshMs: ago(t.FreshMs), Tokens: t.RetryTokens,
+			Rations: t.RetryBudgets, Begun: bookJSON(t.OwnKeys), Ran: bookJSON(t.ExecutedKeys), Running: t.Running, Waiting: t.Waiting}
 	}
-	if h := r.Harbour; h != nil {
-		x := &jsonHarbour{FreshMs: ago(h.FreshMs), Pullers: h.Pullers, Left: h.Left, Teaches: h.Teaches}
+	if h := r.Registry; h != nil {
+		x := &jsonHarbour{FreshMs: ago(h.FreshMs), Pullers: h.Pullers, Left: h.Omitted, Teaches: h.HoldsTeachLease}
 		for _, ms := range h.HeardMs {
 			x.HeardMs = append(x.HeardMs, ago(ms))
 		}
-		for _, m := range h.Masters {
+		for _, m := range h.Registries {
 			x.Masters = append(x.Masters, m.Name)
 		}
 		out.Harbour = x
 	}
-	if u := r.Purser; u != nil {
-		out.Purser = &jsonPurser{State: u.State, StallMs: u.StallMs, Place: u.Place, Incs: u.Incs, Promised: ballotJSON(u.Promised),
+	if u := r.Store; u != nil {
+		out.Purser = &jsonPurser{State: u.State, StallMs: u.StallMs, Place: u.VoterIndex, Incs: u.Incarnations, Promised: ballotJSON(u.Promised),
 			Accepted: ballotJSON(u.Accepted), Keys: u.Keys}
 	}
 	return out
--- a/internal/console/lookout.go
+++ b/internal/console/lookout.go
@@ -115,10 +115,10 @@
 			return nil, err
 		}
 		for _, x := range s.Seeds {
-			at = append(at, messages.Beside(x, s.Ports[0], messages.HarbourPort))
+			at = append(at, messages.AddrOnHost(x, s.Ports[0], messages.RegistryPort))
 		}
 		if len(at) == 0 {
-			at = append(at, s.Port(messages.HarbourPort))
+			at = append(at, s.Port(messages.RegistryPort))
 		}
 	}
 	return at, nil
--- a/internal/console/lookout_test.go
+++ b/internal/console/lookout_test.go
@@ -17,10 +17,10 @@
 
 var noon = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-func fleetBerths(n int) (out []messages.BerthReport) {
+func fleetBerths(n int) (out []messages.BackendReport) {
 	for i := range n {
-		out = append(out, messages.BerthReport{Node: fmt.Sprintf("side-%04d", i+1), Addr: fmt.Sprintf("10.1.%d.%d:7382", i/200, i%200+1), Zone: "east",
-			Version: 2, Life: uint64(i + 100), Instance: fmt.Sprintf("berth-%d", i), Service: "pump", Capacity: 4, State: backends.Serving})
+		out = append(out, messages.BackendReport{Node: fmt.Sprintf("side-%04d", i+1), Addr: fmt.Sprintf("10.1.%d.%d:7382", i/200, i%200+1), Zone: "east",
+			Version: 2, Incarnation: uint64(i + 100), Instance: fmt.Sprintf("berth-%d", i), Service: "pump", Capacity: 4, State: backends.Serving})
 	}
 	return out
 }
@@ -34,31 +34,31 @@
 // does not answer. The first tug missed the last change of a route.
 func fixed(n int) *Look {
 	voters := []messages.Voter{{Name: "a", Addr: "10.0.0.1:7381"}, {Name: "b", Addr: "10.0.0.2:7381"}}
-	told := func(r messages.Reported) *messages.Reported {
+	told := func(r messages.ReportReply) *messages.ReportReply {
 		r.Version, r.Epoch, r.Voters, r.UpMs = "0.1.0", 1, voters, 95_000
 		return &r
 	}
 	now, old := configuration.Ballot{N: 7, By: 0xabc}, configuration.Ballot{N: 6, By: 0xabc}
-	h := messages.Reported{Program: messages.TheHarbour, Node: "core-1", Zone: "east", Addr: "10.0.0.1:7380", Life: 42, Chosen: now, Items: versions(3, 1),
-		Harbour: &messages.HarbourReport{Masters: []messages.Master{{Name: "core-1", Addr: "10.0.0.1:7380", Zone: "east"}}, FreshMs: 40,
-			HeardMs: []uint32{40, 12_000}, Pullers: []string{"side-0001"}, Teaches: true}}
-	h.SetBerths(fleetBerths(n), false)
-	p := messages.Reported{Program: messages.ThePurser, Addr: "10.0.0.1:7381", Chosen: old, Items: versions(2, 1),
-		Purser: &messages.PurserReport{State: "serving", Incs: []uint64{1, 1}, Promised: now, Accepted: now, Keys: 12,
-			Duties: []messages.DutyReport{{Duty: "teach", By: 42, LeftMs: 1500}}}, Counts: map[string]int64{"claims": 14, "denied": 2}}
-	g := messages.Reported{Program: messages.TheTug, Node: "side-0001", Zone: "east", Addr: "10.1.0.1:7382", Life: 100, Chosen: old, Items: versions(2, 1),
-		Tug: &messages.TugReport{Ready: true, From: "10.0.0.1:7380", FromMs: 300, FreshMs: 40, Tokens: 495, Rations: map[string]float64{"pump": 9.5},
-			Begun: messages.Book{AtWork: 1, Done: 5, Unknown: 1, Bytes: 2048}, Ran: messages.Book{Done: 3}, Running: 2, Waiting: 1},
+	h := messages.ReportReply{Program: messages.ProgramRegistry, Node: "core-1", Zone: "east", Addr: "10.0.0.1:7380", Incarnation: 42, Chosen: now, Items: versions(3, 1),
+		Registry: &messages.RegistryReport{Registries: []messages.Registry{{Name: "core-1", Addr: "10.0.0.1:7380", Zone: "east"}}, FreshMs: 40,
+			HeardMs: []uint32{40, 12_000}, Pullers: []string{"side-0001"}, HoldsTeachLease: true}}
+	h.SetBackends(fleetBerths(n), false)
+	p := messages.ReportReply{Program: messages.ProgramStore, Addr: "10.0.0.1:7381", Chosen: old, Items: versions(2, 1),
+		Store: &messages.StoreReport{State: "serving", Incarnations: []uint64{1, 1}, Promised: now, Accepted: now, Keys: 12,
+			Leases: []messages.LeaseReport{{Name: "teach", Holder: 42, LeftMs: 1500}}}, Counts: map[string]int64{"claims": 14, "denied": 2}}
+	g := messages.ReportReply{Program: messages.ProgramProxy, Node: "side-0001", Zone: "east", Addr: "10.1.0.1:7382", Incarnation: 100, Chosen: old, Items: versions(2, 1),
+		Proxy: &messages.ProxyReport{Ready: true, RegistryAddr: "10.0.0.1:7380", RegistryMs: 300, FreshMs: 40, RetryTokens: 495, RetryBudgets: map[string]float64{"pump": 9.5},
+			OwnKeys: messages.KeyCounts{InProgress: 1, Done: 5, Unknown: 1, Bytes: 2048}, ExecutedKeys: messages.KeyCounts{Done: 3}, Running: 2, Waiting: 1},
 		Counts: map[string]int64{"claims": 9, "claims_lost": 1}}
 	mine := fleetBerths(n)
-	mine[1].InFlight, mine[1].AwayMs = 3, 800
-	g.SetBerths(mine, false)
+	mine[1].InFlight, mine[1].AvoidMs = 3, 800
+	g.SetBackends(mine, false)
 	l := &Look{At: noon}
-	for _, r := range []messages.Reported{h, p, g} {
+	for _, r := range []messages.ReportReply{h, p, g} {
 		l.Agents = append(l.Agents, &Agent{Program: r.Program, Node: r.Node, Zone: r.Zone, Addr: r.Addr, Told: told(r)})
 	}
-	l.Agents = append(l.Agents, &Agent{Program: messages.ThePurser, Addr: "10.0.0.2:7381", Trouble: "no answer in time"},
-		&Agent{Program: messages.TheTug, Addr: "10.1.0.2:7382", Trouble: "can't be reached"})
+	l.Agents = append(l.Agents, &Agent{Program: messages.ProgramStore, Addr: "10.0.0.2:7381", Trouble: "no answer in time"},
+		&Agent{Program: messages.ProgramProxy, Addr: "10.1.0.2:7382", Trouble: "can't be reached"})
 	l.settle()
 	return l
 }
@@ -184,8 +184,8 @@
 	l.At = noon.Add(time.Minute)
 	tug := l.Agents[3].Told
 	tug.Epoch = 2
-	tug.Berths = slices.Clone(tug.Berths[:2])
-	tug.Berths[0].Version++
+	tug.Backends = slices.Clone(tug.Backends[:2])
+	tug.Backends[0].Version++
 	ds := m.Note(l)
 	var got []string
 	for _, d := range ds {
@@ -202,13 +202,13 @@
 		t.Errorf("since %v, %v", ds[0].Since, ds[1].Since)
 	}
 	// What was cut is not missing, and in a large fleet digests speak for lists.
-	tug.BerthsLeft, tug.Berths[0].Version = 1, 2
+	tug.BackendsOmitted, tug.Backends[0].Version = 1, 2
 	for _, d := range m.Note(l) {
 		if d.What == whatBerth {
 			t.Errorf("%+v", d)
 		}
 	}
-	tug.Berths, tug.BerthsLeft, tug.BerthsSum = nil, 0, 1
+	tug.Backends, tug.BackendsOmitted, tug.BackendsDigest = nil, 0, 1
 	if ds := m.Note(l); ds[len(ds)-1].What != whatBerths {
 		t.Errorf("%+v", ds)
 	}
@@ -260,7 +260,7 @@
 
 // A report of the largest kind stays within its bound, and says what it left out.
 func TestReportBound(t *testing.T) {
-	r := messages.Reported{Harbour: &messages.HarbourReport{}}
+	r := messages.ReportReply{Registry: &messages.RegistryReport{}}
 	var items []messages.ItemReport
 	var pullers []string
 	for i := range 5000 {
@@ -268,13 +268,13 @@
 		pullers = append(pullers, fmt.Sprintf("side-%04d", i))
 	}
 	r.SetItems(items)
-	r.SetBerths(fleetBerths(5000), false)
-	r.Harbour.SetPullers(pullers)
+	r.SetBackends(fleetBerths(5000), false)
+	r.Registry.SetPullers(pullers)
 	if n := len(encode(r)); n > 256<<10 || n < 150<<10 {
 		t.Errorf("%d bytes", n)
 	}
-	if len(r.Items)+r.ItemsLeft != 5000 || r.ItemsLeft == 0 || len(r.Berths)+r.BerthsLeft != 5000 || len(r.Berths) < 1000 || r.Harbour.Left == 0 {
-		t.Errorf("%d+%d items, %d+%d berths, %d pullers left", len(r.Items), r.ItemsLeft, len(r.Berths), r.BerthsLeft, r.Harbour.Left)
+	if len(r.Items)+r.ItemsOmitted != 5000 || r.ItemsOmitted == 0 || len(r.Backends)+r.BackendsOmitted != 5000 || len(r.Backends) < 1000 || r.Registry.Omitted == 0 {
+		t.Errorf("%d+%d items, %d+%d berths, %d pullers left", len(r.Items), r.ItemsOmitted, len(r.Backends), r.BackendsOmitted, r.Registry.Omitted)
 	}
 }
 
--- a/internal/console/mesh_test.go
+++ b/internal/console/mesh_test.go
@@ -71,14 +71,14 @@
 				t.Errorf("%s: %+v", want, a.Told)
 			}
 		}
-		own := l.Agents[6].Told.Tug
-		if !own.Ready || own.From == "" || own.FromMs > 1200 || own.Tokens != 500 || l.Agents[6].Told.BerthsAll != 1 {
+		own := l.Agents[6].Told.Proxy
+		if !own.Ready || own.RegistryAddr == "" || own.RegistryMs > 1200 || own.RetryTokens != 500 || l.Agents[6].Told.BackendsTotal != 1 {
 			t.Errorf("%+v", own)
 		}
-		if h := l.Agents[0].Told.Harbour; len(h.Masters) != 3 || len(h.HeardMs) != 3 || h.FreshMs > 600 {
+		if h := l.Agents[0].Told.Registry; len(h.Registries) != 3 || len(h.HeardMs) != 3 || h.FreshMs > 600 {
 			t.Errorf("%+v", h)
 		}
-		if u := l.Agents[3].Told.Purser; u.State != "serving" || u.Place != 0 || u.Accepted != l.Agents[3].Told.Chosen {
+		if u := l.Agents[3].Told.Store; u.State != "serving" || u.VoterIndex != 0 || u.Accepted != l.Agents[3].Told.Chosen {
 			t.Errorf("%+v", u)
 		}
 
--- a/internal/console/roll.go
+++ b/internal/console/roll.go
@@ -25,7 +25,7 @@
 // change asks the first harbourmaster that answers for another roll. One that was asked and breaks off may have changed it: no
 // other is asked then.
 func (r *rollArgs) change(at []string, out io.Writer, wrong func(string, ...any) int) int {
-	call := messages.RollsCall{Voters: r.Voters, Dry: r.Dry}
+	call := messages.ChangeVotersCall{Voters: r.Voters, DryRun: r.Dry}
 	for _, x := range r.Replace {
 		old, by, ok := strings.Cut(x, "=")
 		if !ok || old == "" || by == "" {
@@ -38,8 +38,8 @@
 	}
 	for _, addr := range at {
 		c := rpc.NewClient(nil, addr)
-		var t messages.RollsTold
-		err := c.Call(messages.Rolls, call, &t, rollWait)
+		var t messages.ChangeVotersReply
+		err := c.Call(messages.ChangeVoters, call, &t, rollWait)
 		c.Close()
 		switch {
 		case errcode.Of(err) == errcode.Away:
@@ -47,16 +47,16 @@
 		case err != nil:
 			return wrong("%s: %v; whether the roll was changed can't be told", addr, err)
 		}
-		fmt.Fprintf(out, "was epoch %d: %s\n", t.Was.Epoch, nodes(t.Was))
+		fmt.Fprintf(out, "was epoch %d: %s\n", t.Previous.Epoch, nodes(t.Previous))
 		switch {
-		case t.Why != "":
-			return wrong("not changed: %s", t.Why)
+		case t.Error != "":
+			return wrong("not changed: %s", t.Error)
 		case r.Dry:
-			fmt.Fprintf(out, "would be epoch %d: %s\n", t.Roll.Epoch, nodes(t.Roll))
+			fmt.Fprintf(out, "would be epoch %d: %s\n", t.VoterSet.Epoch, nodes(t.VoterSet))
 		default:
-			fmt.Fprintf(out, "is epoch %d: %s, after %d ms\n", t.Roll.Epoch, nodes(t.Roll), t.TookMs)
-			if n := len(t.Roll.Voters); t.Holds < consensus.Majority(n) {
-				return wrong("%d of its %d voters hold the books yet: leave those that are replaced as they are until a majority does", t.Holds, n)
+			fmt.Fprintf(out, "is epoch %d: %s, after %d ms\n", t.VoterSet.Epoch, nodes(t.VoterSet), t.TookMs)
+			if n := len(t.VoterSet.Voters); t.Active < consensus.Majority(n) {
+				return wrong("%d of its %d voters hold the books yet: leave those that are replaced as they are until a majority does", t.Active, n)
 			}
 		}
 		return exitGood
@@ -65,7 +65,7 @@
 }
 
 // nodes are the voters of a roll, those that founded it by their addresses.
-func nodes(r messages.Roll) string {
+func nodes(r messages.VoterSet) string {
 	var out []string
 	for _, v := range r.Voters {
 		if v.Name == v.Addr {
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -138,20 +138,20 @@
 		return "no answer " + span(l.At.Sub(a.Since)), true
 	case r == nil:
 		return "no answer", true
-	case r.Tug != nil && r.Tug.Stopping:
+	case r.Proxy != nil && r.Proxy.Stopping:
 		return "stopping", false
-	case r.Tug != nil && r.Tug.Ready:
+	case r.Proxy != nil && r.Proxy.Ready:
 		return "ready", false
-	case r.Tug != nil:
+	case r.Proxy != nil:
 		return "not ready", true
-	case r.Harbour != nil && r.Harbour.FreshMs > staleMs:
+	case r.Registry != nil && r.Registry.FreshMs > staleMs:
 		return "no majority", true
-	case r.Harbour != nil:
+	case r.Registry != nil:
 		return "in touch", false
-	case r.Purser != nil && r.Purser.StallMs > staleMs:
+	case r.Store != nil && r.Store.StallMs > staleMs:
 		return "disk hangs", true
-	case r.Purser != nil:
-		return r.Purser.State, r.Purser.State != "serving" && r.Purser.State != "apart"
+	case r.Store != nil:
+		return r.Store.State, r.Store.State != "serving" && r.Store.State != "apart"
 	}
 	return "", true
 }
@@ -166,7 +166,7 @@
 		{Name: "ration left", Most: 60, Spare: true}, {Name: "address", Spare: true}}}
 	masters := map[string]string{}
 	for _, a := range l.Agents {
-		if a.Program == messages.TheHarbour {
+		if a.Program == messages.ProgramRegistry {
 			masters[a.Addr] = a.Node
 		}
 	}
@@ -176,14 +176,14 @@
 		if r := a.Told; r != nil {
 			cells[4], cells[5] = ballotText(r.Chosen), strconv.FormatUint(r.Epoch, 10)
 			cells[8], cells[9] = span(time.Duration(r.UpMs)*time.Millisecond), r.Version
-			if r.Tug != nil {
-				cells[6] = cmp.Or(masters[r.Tug.From], r.Tug.From, "none")
-				cells[7] = millis(min(messages.Never, r.Tug.FromMs+r.Tug.FreshMs))
-				cells[10] = strconv.FormatFloat(r.Tug.Tokens, 'f', 0, 64)
-				cells[11] = rationText(r.Tug)
+			if r.Proxy != nil {
+				cells[6] = cmp.Or(masters[r.Proxy.RegistryAddr], r.Proxy.RegistryAddr, "none")
+				cells[7] = millis(min(messages.Never, r.Proxy.RegistryMs+r.Proxy.FreshMs))
+				cells[10] = strconv.FormatFloat(r.Proxy.RetryTokens, 'f', 0, 64)
+				cells[11] = rationText(r.Proxy)
 			}
-			if r.Harbour != nil {
-				cells[7] = millis(r.Harbour.FreshMs)
+			if r.Registry != nil {
+				cells[7] = millis(r.Registry.FreshMs)
 			}
 		}
 		t.Rows = append(t.Rows, Row{bad, cells})
@@ -191,21 +191,21 @@
 	return t
 }
 
-func rationText(r *messages.TugReport) string {
+func rationText(r *messages.ProxyReport) string {
 	var parts []string
-	for s, x := range r.Rations {
+	for s, x := range r.RetryBudgets {
 		parts = append(parts, fmt.Sprintf("%s %.1f", s, x))
 	}
 	slices.Sort(parts)
-	if r.Left > 0 {
-		parts = append(parts, fmt.Sprintf("and %d more", r.Left))
+	if r.Omitted > 0 {
+		parts = append(parts, fmt.Sprintf("and %d more", r.Omitted))
 	}
 	return strings.Join(parts, ", ")
 }
 
 // Backend is what all agents together know of one.
 type Backend struct {
-	messages.BerthReport
+	messages.BackendReport
 	Running, Waiting int // as its own tug tells
 	Known            bool
 	Sent, Away       int  // attempts there of all tugs that told; how many of those try it last
@@ -220,27 +220,27 @@
 		if a.Told == nil {
 			continue
 		}
-		for _, b := range a.Told.Berths {
+		for _, b := range a.Told.Backends {
 			k := at[b.Node]
 			if k == nil {
-				k = &Backend{BerthReport: b}
+				k = &Backend{BackendReport: b}
 				at[b.Node] = k
 				out = append(out, k)
 			}
-			if k.Version < b.Version || k.Version == b.Version && k.Life < b.Life {
-				k.BerthReport = b
+			if k.Version < b.Version || k.Version == b.Version && k.Incarnation < b.Incarnation {
+				k.BackendReport = b
 			}
-			k.Seen = k.Seen || a.Told.Tug != nil
+			k.Seen = k.Seen || a.Told.Proxy != nil
 			k.Sent += b.InFlight
-			if b.AwayMs > 0 {
+			if b.AvoidMs > 0 {
 				k.Away++
 			}
 		}
 	}
 	for _, a := range l.Agents {
-		if a.Told != nil && a.Told.Tug != nil && at[a.Node] != nil {
+		if a.Told != nil && a.Told.Proxy != nil && at[a.Node] != nil {
 			k := at[a.Node]
-			k.Running, k.Waiting, k.Known = a.Told.Tug.Running, a.Told.Tug.Waiting, true
+			k.Running, k.Waiting, k.Known = a.Told.Proxy.Running, a.Told.Proxy.Waiting, true
 		}
 	}
 	slices.SortFunc(out, func(a, b *Backend) int { return cmp.Compare(a.Node, b.Node) })
@@ -305,18 +305,18 @@
 		{Name: "bytes", Right: true}, {Name: "claims", Right: true}, {Name: "denied", Right: true}, {Name: "ran here", Right: true, Spare: true},
 		{Name: "of these unknown", Right: true, Spare: true}}}
 	for _, a := range l.Agents {
-		if a.Told == nil || a.Told.Harbour != nil {
+		if a.Told == nil || a.Told.Registry != nil {
 			continue
 		}
 		cells := []string{a.Program, cmp.Or(a.Node, a.Addr), "", "", "", "", "", "", strconv.FormatInt(a.Told.Counts["claims"], 10), "", "", ""}
-		if p := a.Told.Purser; p != nil {
+		if p := a.Told.Store; p != nil {
 			cells[2], cells[9] = num(p.Keys), strconv.FormatInt(a.Told.Counts["denied"], 10)
 		}
-		if x := a.Told.Tug; x != nil {
-			b, r := x.Begun, x.Ran
-			cells[3], cells[4], cells[5], cells[6], cells[7] = num(b.AtWork), num(b.Done), num(b.Unknown), num(b.Void), num(b.Bytes+r.Bytes)
+		if x := a.Told.Proxy; x != nil {
+			b, r := x.OwnKeys, x.ExecutedKeys
+			cells[3], cells[4], cells[5], cells[6], cells[7] = num(b.InProgress), num(b.Done), num(b.Unknown), num(b.Void), num(b.Bytes+r.Bytes)
 			cells[9] = strconv.FormatInt(a.Told.Counts["claims_lost"], 10)
-			cells[10], cells[11] = num(r.AtWork+r.Done+r.Unknown+r.Void), num(r.Unknown)
+			cells[10], cells[11] = num(r.InProgress+r.Done+r.Unknown+r.Void), num(r.Unknown)
 		}
 		t.Rows = append(t.Rows, Row{false, cells})
 	}
@@ -336,23 +336,23 @@
 func (l *Look) Duties() (out []Granted) {
 	lives := map[uint64]*Agent{}
 	for _, a := range l.Agents {
-		if a.Told != nil && a.Told.Harbour != nil {
-			lives[a.Told.Life] = a
+		if a.Told != nil && a.Told.Registry != nil {
+			lives[a.Told.Incarnation] = a
 		}
 	}
 	for _, a := range l.Agents {
-		if a.Told == nil || a.Told.Purser == nil {
+		if a.Told == nil || a.Told.Store == nil {
 			continue
 		}
-		for _, d := range a.Told.Purser.Duties {
-			holder, holds := fmt.Sprintf("life %016x", d.By), true
-			if h := lives[d.By]; h != nil {
-				holder, holds = h.Name(), h.Told.Harbour.Teaches
+		for _, d := range a.Told.Store.Leases {
+			holder, holds := fmt.Sprintf("life %016x", d.Holder), true
+			if h := lives[d.Holder]; h != nil {
+				holder, holds = h.Name(), h.Told.Registry.HoldsTeachLease
 			}
-			i := slices.IndexFunc(out, func(g Granted) bool { return g.Duty == d.Duty && g.Holder == holder })
+			i := slices.IndexFunc(out, func(g Granted) bool { return g.Duty == d.Name && g.Holder == holder })
 			if i < 0 {
 				i = len(out)
-				out = append(out, Granted{Duty: d.Duty, Holder: holder, Holds: holds})
+				out = append(out, Granted{Duty: d.Name, Holder: holder, Holds: holds})
 			}
 			out[i].Left = max(out[i].Left, time.Duration(d.LeftMs)*time.Millisecond)
 			out[i].By = append(out[i].By, cmp.Or(a.Node, a.Addr))
--- a/internal/controlapi/body_test.go
+++ b/internal/controlapi/body_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := Server(&Port{Change: func(context.Context, []byte) error { t.Error("it was taken"); return nil }})
+	s := NewServer(&Handler{ChangeConfiguration: func(context.Context, []byte) error { t.Error("it was taken"); return nil }})
 	s.ReadTimeout = 50 * time.Millisecond
 	go s.Serve(l)
 	defer s.Close()
--- a/internal/controlapi/gone_test.go
+++ b/internal/controlapi/gone_test.go
@@ -10,7 +10,7 @@
 // A change hears that its caller has gone.
 func TestCallerHasGone(t *testing.T) {
 	began, heard := make(chan struct{}), make(chan struct{})
-	s := Server(&Port{Change: func(ctx context.Context, _ []byte) error {
+	s := NewServer(&Handler{ChangeConfiguration: func(ctx context.Context, _ []byte) error {
 		close(began)
 		<-ctx.Done()
 		close(heard)
--- a/internal/controlapi/pilot.go
+++ b/internal/controlapi/pilot.go
@@ -19,34 +19,34 @@
 
 // MaxBeat and MaxConfiguration bound the bodies of calls, in bytes: a call comes into force as a whole, by one write to disk.
 const (
-	MaxBeat          = 64 << 10
-	MaxConfiguration = 768 << 10
+	MaxHeartbeatBytes     = 64 << 10
+	MaxConfigurationBytes = 768 << 10
 )
 
-// Port is what one program serves.
-type Port struct {
-	Beat      func(Beat) error                                   // a backend tells of itself
-	Leave     func(id string) error                              // a backend has ended
-	Change    func(ctx context.Context, body []byte) error       // the operator changes the configuration; ctx ends with the caller
-	Configure func(ctx context.Context) (body []byte, err error) // the operator reads it
-	Ready     func() error                                       // the platform asks
-	Refused   func(k errcode.Kind, text string)                  // hears of each call that was not taken; may be nil
+// Handler is what one program serves.
+type Handler struct {
+	Heartbeat           func(Heartbeat) error                              // a backend tells of itself
+	Leave               func(id string) error                              // a backend has ended
+	ChangeConfiguration func(ctx context.Context, body []byte) error       // the operator changes the configuration; ctx ends with the caller
+	ReadConfiguration   func(ctx context.Context) (body []byte, err error) // the operator reads it
+	Ready               func() error                                       // the platform asks
+	OnRejected          func(k errcode.Kind, text string)                  // hears of each call that was not taken; may be nil
 }
 
-// Beat is what a backend tells of itself.
-type Beat struct {
-	ID       string
-	Addr     string
-	Service  string
-	Release  string
-	Zone     string
-	Capacity int
-	State    backends.State
-	Count    uint64        // goes up with each call of one life
-	Warm     time.Duration // it stays slow for so long
+// Heartbeat is what a backend tells of itself.
+type Heartbeat struct {
+	ID         string
+	Addr       string
+	Service    string
+	Version    string
+	Zone       string
+	Capacity   int
+	State      backends.State
+	Sequence   uint64        // goes up with each call of one life
+	WarmupLeft time.Duration // it stays slow for so long
 }
 
-type beatBody struct {
+type heartbeatBody struct {
 	Address string `json:"address"`
 	Info    struct {
 		Service  string `json:"service"`
@@ -61,14 +61,14 @@
 	} `json:"status"`
 }
 
-// ReadBeat reads the body of a beat.
-func ReadBeat(id string, body []byte) (Beat, error) {
-	var b beatBody
+// ParseHeartbeat reads the body of a beat.
+func ParseHeartbeat(id string, body []byte) (Heartbeat, error) {
+	var b heartbeatBody
 	if err := json.Unmarshal(body, &b); err != nil {
-		return Beat{}, errcode.New(errcode.Unreadable, "beat: %w", err)
+		return Heartbeat{}, errcode.New(errcode.Unreadable, "beat: %w", err)
 	}
-	out := Beat{ID: id, Addr: b.Address, Service: b.Info.Service, Release: b.Info.Version, Zone: b.Info.Zone,
-		Capacity: b.Info.Capacity, Count: b.Status.Count}
+	out := Heartbeat{ID: id, Addr: b.Address, Service: b.Info.Service, Version: b.Info.Version, Zone: b.Info.Zone,
+		Capacity: b.Info.Capacity, Sequence: b.Status.Count}
 	switch b.Status.State {
 	case "serving":
 		out.State = backends.Serving
@@ -85,37 +85,37 @@
 	case !(b.Status.Warm >= 0 && b.Status.Warm < 1e6):
 		return out, errcode.New(errcode.Unreadable, "beat: status.warmup-left-s: seconds wanted, got %v", b.Status.Warm)
 	}
-	out.Warm = time.Duration(b.Status.Warm * float64(time.Second))
+	out.WarmupLeft = time.Duration(b.Status.Warm * float64(time.Second))
 	return out, nil
 }
 
 // ServeHTTP implements http.Handler.
-func (p *Port) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := p.dispatch(r)
 	if err != nil {
 		k := errcode.Of(err)
-		if p.Refused != nil {
-			p.Refused(k, err.Error())
+		if p.OnRejected != nil {
+			p.OnRejected(k, err.Error())
 		}
 		a := k.Answer()
 		if a.Again {
 			w.Header().Set("Retry-After", "0.2")
 		}
 		body, _ = json.Marshal(map[string]string{"error": err.Error()})
-		write(w, a.Status, body)
+		writeResponse(w, a.Status, body)
 		return
 	}
-	write(w, http.StatusOK, body)
+	writeResponse(w, http.StatusOK, body)
 }
 
-func write(w http.ResponseWriter, status int, body []byte) {
+func writeResponse(w http.ResponseWriter, status int, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
 	w.Write(body)
 }
 
-func (p *Port) dispatch(r *http.Request) ([]byte, error) {
+func (p *Handler) dispatch(r *http.Request) ([]byte, error) {
 	seg := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
 	if len(seg) < 2 || seg[0] != "v1" {
 		return nil, errcode.New(errcode.NoCall, "%s", r.URL.Path)
@@ -123,31 +123,31 @@
 	switch {
 	case len(seg) == 2 && seg[1] == "readiness" && r.Method == http.MethodGet && p.Ready != nil:
 		return []byte("{}"), p.Ready()
-	case len(seg) == 3 && seg[1] == "instances" && r.Method == http.MethodPut && p.Beat != nil:
-		raw, err := read(r, MaxBeat)
+	case len(seg) == 3 && seg[1] == "instances" && r.Method == http.MethodPut && p.Heartbeat != nil:
+		raw, err := readBody(r, MaxHeartbeatBytes)
 		if err != nil {
 			return nil, err
 		}
-		b, err := ReadBeat(seg[2], raw)
+		b, err := ParseHeartbeat(seg[2], raw)
 		if err != nil {
 			return nil, err
 		}
-		return []byte("{}"), p.Beat(b)
+		return []byte("{}"), p.Heartbeat(b)
 	case len(seg) == 3 && seg[1] == "instances" && r.Method == http.MethodDelete && p.Leave != nil:
 		return []byte("{}"), p.Leave(seg[2])
-	case len(seg) == 2 && seg[1] == "configuration" && r.Method == http.MethodPatch && p.Change != nil:
-		raw, err := read(r, MaxConfiguration)
+	case len(seg) == 2 && seg[1] == "configuration" && r.Method == http.MethodPatch && p.ChangeConfiguration != nil:
+		raw, err := readBody(r, MaxConfigurationBytes)
 		if err != nil {
 			return nil, err
 		}
-		return []byte("{}"), p.Change(r.Context(), raw)
-	case len(seg) == 2 && seg[1] == "configuration" && r.Method == http.MethodGet && p.Configure != nil:
-		return p.Configure(r.Context())
+		return []byte("{}"), p.ChangeConfiguration(r.Context(), raw)
+	case len(seg) == 2 && seg[1] == "configuration" && r.Method == http.MethodGet && p.ReadConfiguration != nil:
+		return p.ReadConfiguration(r.Context())
 	}
 	return nil, errcode.New(errcode.NoCall, "%s %s", r.Method, r.URL.Path)
 }
 
-func read(r *http.Request, most int64) ([]byte, error) {
+func readBody(r *http.Request, most int64) ([]byte, error) {
 	raw, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, most))
 	if tooLong := (*http.MaxBytesError)(nil); errors.As(err, &tooLong) {
 		return nil, errcode.New(errcode.BodyTooLong, "over %d bytes", most)
@@ -161,8 +161,8 @@
 	return raw, nil
 }
 
-// Server is an http.Server for a port, with bounds on what callers may take.
-func Server(p *Port) *http.Server {
+// NewServer is an http.Server for a port, with bounds on what callers may take.
+func NewServer(p *Handler) *http.Server {
 	return &http.Server{Handler: p, ReadHeaderTimeout: 3 * time.Second, ReadTimeout: 10 * time.Second,
 		WriteTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 16 << 10}
 }
--- a/internal/controlapi/pilot_test.go
+++ b/internal/controlapi/pilot_test.go
@@ -11,42 +11,42 @@
 	"saltmast/internal/errcode"
 )
 
-const beat = `{"address":"10.0.0.9:80","node-info":{"service":"s","version":"v1","zone":"z","capacity":6},"status":{"state":"serving","call-count":4,"warmup-left-s":0.5}}`
+const heartbeatJSON = `{"address":"10.0.0.9:80","node-info":{"service":"s","version":"v1","zone":"z","capacity":6},"status":{"state":"serving","call-count":4,"warmup-left-s":0.5}}`
 
 // Method and path to a function, and what it says to an answer of one line.
 func TestDispatch(t *testing.T) {
 	called := ""
-	all := &Port{
-		Beat:  func(b Beat) error { called = "beat " + b.ID; return nil },
-		Leave: func(id string) error { called = "leave " + id; return errcode.New(errcode.Gone, "") },
-		Change: func(_ context.Context, b []byte) error {
+	all := &Handler{
+		Heartbeat: func(b Heartbeat) error { called = "beat " + b.ID; return nil },
+		Leave:     func(id string) error { called = "leave " + id; return errcode.New(errcode.Gone, "") },
+		ChangeConfiguration: func(_ context.Context, b []byte) error {
 			called = "change " + string(b)
 			return errcode.New(errcode.Conflict, "")
 		},
-		Configure: func(context.Context) ([]byte, error) { called = "configure"; return []byte(`{"a":1}`), nil },
-		Ready:     func() error { called = "ready"; return errcode.New(errcode.NotReady, "") },
+		ReadConfiguration: func(context.Context) ([]byte, error) { called = "configure"; return []byte(`{"a":1}`), nil },
+		Ready:             func() error { called = "ready"; return errcode.New(errcode.NotReady, "") },
 	}
 	for _, c := range []struct {
-		port               *Port
+		port               *Handler
 		method, path, body string
 		status             int
 		called             string
 	}{
-		{all, "PUT", "/v1/instances/i-1", beat, 200, "beat i-1"},
+		{all, "PUT", "/v1/instances/i-1", heartbeatJSON, 200, "beat i-1"},
 		{all, "PUT", "/v1/instances/i-1", "{", 400, ""},
-		{all, "PUT", "/v1/instances/i-1", strings.Repeat(" ", MaxBeat+1), 413, ""},
+		{all, "PUT", "/v1/instances/i-1", strings.Repeat(" ", MaxHeartbeatBytes+1), 413, ""},
 		{all, "DELETE", "/v1/instances/i-1", "", 404, "leave i-1"},
 		{all, "PATCH", "/v1/configuration", "{}", 409, "change {}"},
 		{all, "GET", "/v1/configuration", "", 200, "configure"},
 		{all, "GET", "/v1/readiness", "", 503, "ready"},
 		{all, "POST", "/v1/readiness", "", 404, ""},
 		{all, "GET", "/v1/instances/i-1", "", 404, ""},
-		{all, "PUT", "/v1/instances", beat, 404, ""},
-		{all, "PUT", "/v1/instances/i/j", beat, 404, ""},
+		{all, "PUT", "/v1/instances", heartbeatJSON, 404, ""},
+		{all, "PUT", "/v1/instances/i/j", heartbeatJSON, 404, ""},
 		{all, "GET", "/v2/readiness", "", 404, ""},
 		{all, "GET", "/", "", 404, ""},
-		{&Port{}, "GET", "/v1/readiness", "", 404, ""},
-		{&Port{}, "PATCH", "/v1/configuration", "{}", 404, ""},
+		{&Handler{}, "GET", "/v1/readiness", "", 404, ""},
+		{&Handler{}, "PATCH", "/v1/configuration", "{}", 404, ""},
 	} {
 		called = ""
 		w := httptest.NewRecorder()
@@ -60,8 +60,8 @@
 
 // A beat is read whole, or refused with one line that names what is wrong.
 func TestReadBeat(t *testing.T) {
-	got, err := ReadBeat("i-1", []byte(beat))
-	want := Beat{ID: "i-1", Addr: "10.0.0.9:80", Service: "s", Release: "v1", Zone: "z", Capacity: 6, State: backends.Serving, Count: 4, Warm: time.Second / 2}
+	got, err := ParseHeartbeat("i-1", []byte(heartbeatJSON))
+	want := Heartbeat{ID: "i-1", Addr: "10.0.0.9:80", Service: "s", Version: "v1", Zone: "z", Capacity: 6, State: backends.Serving, Sequence: 4, WarmupLeft: time.Second / 2}
 	if err != nil || got != want {
 		t.Errorf("%+v, %v", got, err)
 	}
@@ -77,7 +77,7 @@
 		{`4`, `-4`, "call-count"},
 		{`}}`, `}`, "beat"},
 	} {
-		_, err := ReadBeat("i-1", []byte(strings.Replace(beat, c.old, c.new, 1)))
+		_, err := ParseHeartbeat("i-1", []byte(strings.Replace(heartbeatJSON, c.old, c.new, 1)))
 		if errcode.Of(err) != errcode.Unreadable || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") || len(err.Error()) > 200 {
 			t.Errorf("%s for %s: %v", c.new, c.old, err)
 		}
--- a/internal/dataplane/gate.go
+++ b/internal/dataplane/gate.go
@@ -100,11 +100,11 @@
 }
 
 // Beat takes a beat of the backend. One that comes late, or of a life that has ended, changes nothing.
-func (g *Gate) Beat(p controlapi.Beat) error {
+func (g *Gate) Beat(p controlapi.Heartbeat) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	same := p.ID == g.berth.Instance
-	if g.ended || slices.Contains(g.past, p.ID) || same && p.Count < g.count {
+	if g.ended || slices.Contains(g.past, p.ID) || same && p.Sequence < g.count {
 		return nil
 	}
 	g.beat = time.Now()
@@ -112,11 +112,11 @@
 		g.addr = p.Addr
 	}
 	p.Capacity = max(1, p.Capacity)
-	if same && p.Count == g.count && g.berth.State != backends.None { // told again
+	if same && p.Sequence == g.count && g.berth.State != backends.None { // told again
 		return nil
 	}
-	g.count = p.Count
-	g.warmAt = g.beat.Add(p.Warm)
+	g.count = p.Sequence
+	g.warmAt = g.beat.Add(p.WarmupLeft)
 	if same && g.berth.State == p.State && g.berth.Capacity == p.Capacity {
 		return nil
 	}
@@ -126,7 +126,7 @@
 		g.turnOut() // what waits is meant for that life
 	}
 	g.change(func(b *backends.Berth) {
-		b.Instance, b.Service, b.Release, b.Capacity, b.State = p.ID, p.Service, p.Release, p.Capacity, p.State
+		b.Instance, b.Service, b.Release, b.Capacity, b.State = p.ID, p.Service, p.Version, p.Capacity, p.State
 	})
 	g.o.Log("backend", fmt.Sprintf("%s of %s: %s, capacity %d", p.ID, p.Service, p.State, p.Capacity))
 	if p.State != backends.Serving { // nothing more is sent to one that leaves, what came before included
--- a/internal/dataplane/gate_test.go
+++ b/internal/dataplane/gate_test.go
@@ -27,7 +27,7 @@
 func TestBeats(t *testing.T) {
 	g := gateOf(t)
 	beat := func(id string, count uint64, s backends.State) {
-		if err := g.Beat(controlapi.Beat{ID: id, Service: "ledger", Capacity: 2, Count: count, State: s}); err != nil {
+		if err := g.Beat(controlapi.Heartbeat{ID: id, Service: "ledger", Capacity: 2, Sequence: count, State: s}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -62,7 +62,7 @@
 // when the backend leaves, by whatever way, also if a place is free in that moment.
 func TestPlaces(t *testing.T) {
 	g := gateOf(t)
-	g.Beat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
+	g.Beat(controlapi.Heartbeat{ID: "i-1", Service: "ledger", Capacity: 1, Sequence: 1, State: backends.Serving})
 	a := func(id string, rank int, hold uint32) *ask {
 		return &ask{Instance: id, Service: "ledger", Rank: rank, Hold: hold}
 	}
@@ -87,14 +87,14 @@
 	for n, end := range []func(id string){
 		func(id string) { g.Leave(id) },
 		func(id string) {
-			g.Beat(controlapi.Beat{ID: id, Service: "ledger", Capacity: 1, Count: 2, State: backends.Draining})
+			g.Beat(controlapi.Heartbeat{ID: id, Service: "ledger", Capacity: 1, Sequence: 2, State: backends.Draining})
 		},
 		func(string) {
-			g.Beat(controlapi.Beat{ID: "i-9", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
+			g.Beat(controlapi.Heartbeat{ID: "i-9", Service: "ledger", Capacity: 1, Sequence: 1, State: backends.Serving})
 		},
 	} {
 		id := fmt.Sprint("i-", n+1)
-		g.Beat(controlapi.Beat{ID: id, Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
+		g.Beat(controlapi.Heartbeat{ID: id, Service: "ledger", Capacity: 1, Sequence: 1, State: backends.Serving})
 		go func() { got <- g.enter(context.Background(), a(id, 1, 60_000)) }()
 		for _, waiting := g.load(); waiting == 0; _, waiting = g.load() {
 			runtime.Gosched()
@@ -116,7 +116,7 @@
 // Where no more may wait, one that ranks before the last of those that do takes its turn, and that one is turned away at once.
 func TestPlacesByRank(t *testing.T) {
 	g := gateOf(t)
-	g.Beat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
+	g.Beat(controlapi.Heartbeat{ID: "i-1", Service: "ledger", Capacity: 1, Sequence: 1, State: backends.Serving})
 	ask := func(rank int) *ask { return &ask{Instance: "i-1", Service: "ledger", Rank: rank, Hold: 60_000} }
 	wait := func(rank int) chan errcode.Kind {
 		got := make(chan errcode.Kind, 1)
@@ -160,7 +160,7 @@
 		g := newGate(Options{Node: "n", Service: "ledger", GateAddr: "a:1", Life: 7, Begun: time.Now(), Heartbeat: time.Minute,
 			KeyWindow: time.Minute, AnswerBytes: 1 << 20, Log: func(string, string) {}}, nil)
 		defer g.book.End()
-		g.Beat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 10, Count: 1, State: backends.Serving})
+		g.Beat(controlapi.Heartbeat{ID: "i-1", Service: "ledger", Capacity: 10, Sequence: 1, State: backends.Serving})
 		enter := func(rank int) errcode.Kind {
 			return g.enter(context.Background(), &ask{Instance: "i-1", Service: "ledger", Rank: rank})
 		}
@@ -200,7 +200,7 @@
 		g := newGate(Options{Node: "n", Service: "ledger", GateAddr: "a:1", Life: 7, Begun: time.Now(), Heartbeat: time.Minute,
 			KeyWindow: time.Minute, AnswerBytes: 1 << 20, Log: func(string, string) {}}, nil)
 		defer g.book.End()
-		g.Beat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 6, Count: 1, State: backends.Serving})
+		g.Beat(controlapi.Heartbeat{ID: "i-1", Service: "ledger", Capacity: 6, Sequence: 1, State: backends.Serving})
 		var served [3]atomic.Int64
 		var all sync.WaitGroup
 		const day = 10 * time.Second
--- a/internal/dataplane/loss_test.go
+++ b/internal/dataplane/loss_test.go
@@ -119,7 +119,7 @@
 		first = 0
 		ask(get, nil, "failed_ration", missed)
 		took = 1001 * time.Millisecond
-		w.Gate.Beat(controlapi.Beat{ID: "i-2", Service: "ledger", Capacity: 2, Count: 1, State: backends.Serving, Warm: time.Minute})
+		w.Gate.Beat(controlapi.Heartbeat{ID: "i-2", Service: "ledger", Capacity: 2, Sequence: 1, State: backends.Serving, WarmupLeft: time.Minute})
 		ask(get, nil, "late_cold_backend", missed)
 		w.Gate.Leave("i-2")
 		ask(get, nil, "refused_no_backend", missed)
--- a/internal/dataplane/narrow_test.go
+++ b/internal/dataplane/narrow_test.go
@@ -30,7 +30,7 @@
 				says(o, r)
 			}
 		})
-		w.Gate.Beat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 8, Count: 2, State: backends.Serving})
+		w.Gate.Beat(controlapi.Heartbeat{ID: "i-1", Service: "ledger", Capacity: 8, Sequence: 2, State: backends.Serving})
 		w.sea.Narrow(w.m, narrowBytes)
 		by := w.other(t, slowLookup)
 		large := make(chan int64)
--- a/internal/dataplane/owner_test.go
+++ b/internal/dataplane/owner_test.go
@@ -60,7 +60,7 @@
 		time.Sleep(time.Second / 2)
 		own("i-2", 0)
 		want("its address has a new owner that the gate has not heard of", do("i-1"), errcode.TurnedAway)
-		w.Gate.Beat(controlapi.Beat{ID: "i-2", Service: "ledger", Capacity: 2, Count: 1, State: backends.Serving})
+		w.Gate.Beat(controlapi.Heartbeat{ID: "i-2", Service: "ledger", Capacity: 2, Sequence: 1, State: backends.Serving})
 		want("what was at work", <-got, errcode.OK)
 		synctest.Wait()
 		if idle := w.Gate.pool.Idle("i-1") + w.Gate.pool.Idle("i-2"); idle != 0 {
--- a/internal/dataplane/report.go
+++ b/internal/dataplane/report.go
@@ -29,21 +29,21 @@
 }
 
 // Tell adds to a report what is known here. The owners hand over copies.
-func (g *DataPlane) Tell(r *messages.Reported, own *messages.TugReport, brief bool) {
-	var all []messages.BerthReport
+func (g *DataPlane) Tell(r *messages.ReportReply, own *messages.ProxyReport, brief bool) {
+	var all []messages.BackendReport
 	left := map[string]float64{}
 	g.balancer.Ask(func(h *Balancer) {
 		now := g.now()
-		own.Tokens = h.bucket.Tokens()
+		own.RetryTokens = h.bucket.Tokens()
 		for s, x := range h.rations {
 			left[s] = x.Left(now)
 		}
-		all = make([]messages.BerthReport, 0, len(h.rows))
+		all = make([]messages.BackendReport, 0, len(h.rows))
 		for _, row := range h.rows {
-			b := messages.Reports(row.Berth)
+			b := messages.NewBackendReport(row.Berth)
 			b.InFlight = row.inFlight
 			if now < row.awayTill {
-				b.AwayMs = uint32((row.awayTill - now).Milliseconds())
+				b.AvoidMs = uint32((row.awayTill - now).Milliseconds())
 			}
 			if now-row.loadAt < loadFor {
 				b.Load = float32(row.load)
@@ -51,16 +51,16 @@
 			all = append(all, b)
 		}
 	})
-	own.SetRations(left)
-	r.SetBerths(all, brief)
-	own.Begun, own.Ran = bookOf(g.book), bookOf(g.Gate.book)
+	own.SetRetryBudgets(left)
+	r.SetBackends(all, brief)
+	own.OwnKeys, own.ExecutedKeys = bookOf(g.book), bookOf(g.Gate.book)
 	own.Running, own.Waiting = g.Gate.load()
 }
 
-func bookOf(o *rpc.Owner[idempotency.Book[*Answer]]) (k messages.Book) {
+func bookOf(o *rpc.Owner[idempotency.Book[*Answer]]) (k messages.KeyCounts) {
 	o.Ask(func(b *idempotency.Book[*Answer]) {
 		_, bytes := b.Len()
-		k = messages.Book{AtWork: b.In(idempotency.AtWork), Done: b.In(idempotency.Done), Unknown: b.In(idempotency.Unknown), Void: b.In(idempotency.Void), Bytes: bytes}
+		k = messages.KeyCounts{InProgress: b.In(idempotency.AtWork), Done: b.In(idempotency.Done), Unknown: b.In(idempotency.Unknown), Void: b.In(idempotency.Void), Bytes: bytes}
 	})
 	return k
 }
@@ -75,7 +75,7 @@
 const maxReport = 1 << 20
 
 // Report asks the proxy whose gate is at addr.
-func (k *Asker) Report(addr string, call messages.ReportCall, wait time.Duration) (r messages.Reported, err error) {
+func (k *Asker) Report(addr string, call messages.ReportCall, wait time.Duration) (r messages.ReportReply, err error) {
 	cut := time.Now().Add(wait)
 	for range 2 { // the first connection may be one that was kept and is no more
 		var raw []byte
--- a/internal/dataplane/walk_gate_test.go
+++ b/internal/dataplane/walk_gate_test.go
@@ -190,7 +190,7 @@
 		KeyWindow: time.Minute, AnswerBytes: 1 << 20, Net: w.net, Log: func(string, string) {}}, nil)
 	defer g.book.End()
 	defer l.Close()
-	g.Beat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 4, Count: 1, State: backends.Serving})
+	g.Beat(controlapi.Heartbeat{ID: "i-1", Service: "ledger", Capacity: 4, Sequence: 1, State: backends.Serving})
 	go w.serve(l, script)
 	before := ""
 	var last outcome
--- a/internal/dataplane/way_test.go
+++ b/internal/dataplane/way_test.go
@@ -69,7 +69,7 @@
 		LinkMbps: narrowMbps, Net: p, Council: quorum.New(p), Log: func(event, text string) { t.Log(event, text) }})
 	on.Gate.OnChange(func(b backends.Berth) { on.Hear(b) })
 	on.limit(t, route, "{}")
-	on.Gate.Beat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 2, Count: 1, State: backends.Serving})
+	on.Gate.Beat(controlapi.Heartbeat{ID: "i-1", Service: "ledger", Capacity: 2, Sequence: 1, State: backends.Serving})
 	go on.Serve(listen(on.front))
 	t.Cleanup(func() {
 		p.End()
@@ -197,7 +197,7 @@
 			KeyWindow: time.Minute, Net: m, Log: func(string, string) {}}, nil)
 		go there.Serve(l, nil)
 		defer func() { m.End(); there.CloseAll(); there.book.End() }()
-		there.Beat(controlapi.Beat{ID: "i-2", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
+		there.Beat(controlapi.Heartbeat{ID: "i-2", Service: "ledger", Capacity: 1, Sequence: 1, State: backends.Serving})
 		there.enter(context.Background(), &ask{Instance: "i-2", Service: "ledger"}) // takes its only place
 		w.Gate.Leave("i-1")
 		w.Learn([]backends.Berth{there.Berth()})
@@ -213,7 +213,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWay(t, lookup, func(io.Writer, *http.Request) {})
 		w.sea.Machine("10.0.0.9", "north") // nobody listens there
-		w.o.Council.Take(messages.Roll{Epoch: 1, Voters: []messages.Voter{{Addr: "10.0.0.9:1"}, {Addr: "10.0.0.9:2"}, {Addr: "10.0.0.9:3"}}})
+		w.o.Council.Take(messages.VoterSet{Epoch: 1, Voters: []messages.Voter{{Addr: "10.0.0.9:1"}, {Addr: "10.0.0.9:2"}, {Addr: "10.0.0.9:3"}}})
 		m := w.sea.Machine("10.0.0.2", "north").Start()
 		l, err := m.Listen("10.0.0.2:82", 0)
 		if err != nil {
--- a/internal/dataplane/woken_test.go
+++ b/internal/dataplane/woken_test.go
@@ -11,7 +11,7 @@
 // A proxy that slept does not hold its backend, whose beats it has yet to read, for gone; one that is silent it does.
 func TestBeatsAfterASleep(t *testing.T) {
 	g := newGate(Options{Heartbeat: time.Second, Log: func(string, string) {}, AnswerBytes: 1 << 20}, nil)
-	beat := controlapi.Beat{ID: "a", Service: "pump", State: backends.Serving, Capacity: 2, Count: 7}
+	beat := controlapi.Heartbeat{ID: "a", Service: "pump", State: backends.Serving, Capacity: 2, Sequence: 7}
 	g.Beat(beat)
 	begun := time.Now()
 	look := func(at time.Duration) backends.State { g.Watch(begun.Add(at)); return g.Berth().State }
@@ -25,11 +25,11 @@
 			t.Fatal("a silent backend is not gone")
 		}
 	}
-	beat.Count = 6
+	beat.Sequence = 6
 	if g.Beat(beat); g.Berth().State != backends.None {
 		t.Error("a beat from before its last one counts")
 	}
-	beat.Count = 8
+	beat.Sequence = 8
 	if g.Beat(beat); g.Berth().State != backends.Serving {
 		t.Error("it is not back")
 	}
--- a/internal/integration/asleep_test.go
+++ b/internal/integration/asleep_test.go
@@ -33,8 +33,8 @@
 			return err == nil && status == want
 		})
 	}
-	harbour := func(x *Machine) string { return x.Addr(free + messages.HarbourPort) }
-	pull := func(c *rpc.Client) (n messages.News, err error) {
+	harbour := func(x *Machine) string { return x.Addr(free + messages.RegistryPort) }
+	pull := func(c *rpc.Client) (n messages.PullReply, err error) {
 		err = c.Call(messages.Pull, messages.PullCall{}, &n, Patience)
 		return n, err
 	}
@@ -79,7 +79,7 @@
 		t.Fatal(err)
 	}
 	woke, mark := time.Now(), asleep.Harbour.Mark()
-	told := make(chan messages.News, 1)
+	told := make(chan messages.PullReply, 1)
 	go func() {
 		n, err := pull(c)
 		if err != nil {
--- a/internal/integration/roll_test.go
+++ b/internal/integration/roll_test.go
@@ -19,15 +19,15 @@
 	d.Purser.AwaitSaid(t, 0, "state", "apart")
 	m.Cores[2].Kill()
 	m.Cores[2].LoseDisk()
-	c := rpc.NewClient(nil, m.Cores[0].Addr(free+messages.HarbourPort))
+	c := rpc.NewClient(nil, m.Cores[0].Addr(free+messages.RegistryPort))
 	defer c.Close()
-	var told messages.RollsTold
+	var told messages.ChangeVotersReply
 	Await(t, "another roll", func() bool { // the new machine has to be heard of first
-		told = messages.RollsTold{}
-		err := c.Call(messages.Rolls, messages.RollsCall{Replace: [][2]string{{m.Cores[2].IP, d.Name}}}, &told, 8*time.Second)
-		return err == nil && told.Why == ""
+		told = messages.ChangeVotersReply{}
+		err := c.Call(messages.ChangeVoters, messages.ChangeVotersCall{Replace: [][2]string{{m.Cores[2].IP, d.Name}}}, &told, 8*time.Second)
+		return err == nil && told.Error == ""
 	})
-	t.Logf("epoch %d after %d ms", told.Roll.Epoch, told.TookMs)
+	t.Logf("epoch %d after %d ms", told.VoterSet.Epoch, told.TookMs)
 	ops.run(t)
 	d.Purser.AwaitSaid(t, 0, "state", "serving")
 	m.Cores[1].Kill()
--- a/internal/loadline/hollow.go
+++ b/internal/loadline/hollow.go
@@ -309,7 +309,7 @@
 				return
 			default:
 			}
-			var news messages.News
+			var news messages.PullReply
 			if c.Call(messages.Pull, call, &news, hold+10*time.Second) != nil {
 				break
 			}
@@ -329,10 +329,10 @@
 }
 
 // next is the pull after one that was answered so. Items come in parts, which are whole with the last alone.
-func next(call messages.PullCall, news messages.News) messages.PullCall {
-	call.Life, call.At, call.Sum, call.Cursor = news.Life, news.At, news.Sum, news.Cursor
-	if news.Roll != nil {
-		call.Epoch = news.Roll.Epoch
+func next(call messages.PullCall, news messages.PullReply) messages.PullCall {
+	call.Incarnation, call.Revision, call.RegistriesDigest, call.Cursor = news.Incarnation, news.Revision, news.RegistriesDigest, news.Cursor
+	if news.VoterSet != nil {
+		call.Epoch = news.VoterSet.Epoch
 	}
 	if call.Have.Less(news.Chosen) {
 		call.Have = news.Chosen
--- a/internal/loadline/loadline.go
+++ b/internal/loadline/loadline.go
@@ -238,10 +238,10 @@
 				return err
 			}
 			if program == "purser" {
-				p.addr = x.l.CoreAddr(i, free+messages.PurserPort)
+				p.addr = x.l.CoreAddr(i, free+messages.StorePort)
 				x.pursers = append(x.pursers, p)
 			} else {
-				p.addr = x.l.CoreAddr(i, free+messages.HarbourPort)
+				p.addr = x.l.CoreAddr(i, free+messages.RegistryPort)
 				x.harbours = append(x.harbours, p)
 			}
 			if err := p.start(0); err != nil {
@@ -267,15 +267,15 @@
 	c := rpc.NewClient(nil, x.pursers[0].addr)
 	defer c.Close()
 	if err := x.until(fmt.Sprintf("a roll of %d", x.o.Voters), 20*time.Second, func() bool { // three found it, and it grows by itself
-		var w messages.Watched
+		var w messages.WatchReply
 		err := c.Call(messages.Watch, messages.WatchCall{Have: configuration.Ballot{N: 1 << 62}}, &w, time.Second)
-		return err == nil && len(w.Roll.Voters) == x.o.Voters && !w.Shut
+		return err == nil && len(w.VoterSet.Voters) == x.o.Voters && !w.Sealed
 	}); err != nil {
 		return err
 	}
 	for i := range x.o.Tugs {
 		n := x.o.Agents + i
-		p := &runningProgram{name: fmt.Sprintf("tug-%d", i), args: x.part("part", "tug", "--counters", "0"), addr: x.l.Addr(n, free+messages.GatePort),
+		p := &runningProgram{name: fmt.Sprintf("tug-%d", i), args: x.part("part", "tug", "--counters", "0"), addr: x.l.Addr(n, free+messages.InboundPort),
 			settings: filepath.Join(x.o.Dir, fmt.Sprintf("tug-%d.yaml", i))}
 		if err := x.settings(p.settings, n, false, false, "tug"); err != nil {
 			return err
@@ -297,9 +297,9 @@
 		n := x.o.Agents + x.o.Tugs + i
 		all = append(all, entry(x.l, n, 1, 1))
 	}
-	var news messages.News
+	var news messages.PullReply
 	for part := range slices.Chunk(all, 64) { // as many as a proxy tells at a time
-		call := messages.PullCall{Others: part, Life: news.Life, At: ^uint64(0), Have: configuration.Ballot{N: 1 << 62}}
+		call := messages.PullCall{Relayed: part, Incarnation: news.Incarnation, Revision: ^uint64(0), Have: configuration.Ballot{N: 1 << 62}}
 		if err := c.Call(messages.Pull, call, &news, 10*time.Second); err != nil {
 			return fmt.Errorf("entries: %w", err)
 		}
@@ -309,7 +309,7 @@
 
 // entry is what agent i tells of itself and of its backend.
 func entry(l Layout, i int, version, life uint64) backends.Berth {
-	return backends.Berth{Node: l.Node(i), Addr: l.Addr(i, free+messages.GatePort), Zone: l.Zone(i), Version: version, Life: life,
+	return backends.Berth{Node: l.Node(i), Addr: l.Addr(i, free+messages.InboundPort), Zone: l.Zone(i), Version: version, Life: life,
 		Instance: fmt.Sprintf("i-%d-%06x", i, life&0xffffff), Service: l.Service(i), Release: "v1", Capacity: 8, State: backends.Serving}
 }
 
@@ -427,7 +427,7 @@
 		}
 		tugs = 0
 		for _, p := range x.tugs {
-			if r, err := x.report(p); err == nil && r.Tug != nil && r.Tug.Ready {
+			if r, err := x.report(p); err == nil && r.Proxy != nil && r.Proxy.Ready {
 				tugs++
 			}
 		}
@@ -452,14 +452,14 @@
 				continue
 			}
 			r, err := x.report(p)
-			if err != nil || r.BerthsAll < nodes || i > 0 && sum != 0 && r.BerthsSum != sum {
+			if err != nil || r.BackendsTotal < nodes || i > 0 && sum != 0 && r.BackendsDigest != sum {
 				return false
 			}
-			sum = r.BerthsSum
+			sum = r.BackendsDigest
 		}
 		for _, addr := range x.sample() {
 			r, err := x.asker.Report(addr, messages.ReportCall{Brief: true}, 5*time.Second)
-			if err != nil || r.BerthsSum != sum {
+			if err != nil || r.BackendsDigest != sum {
 				return false
 			}
 		}
@@ -476,13 +476,13 @@
 	}
 	if !x.o.Thin {
 		for i := range min(sampled, x.o.Agents) {
-			out = append(out, x.l.Addr(i*x.o.Agents/min(sampled, x.o.Agents), free+messages.GatePort))
+			out = append(out, x.l.Addr(i*x.o.Agents/min(sampled, x.o.Agents), free+messages.InboundPort))
 		}
 	}
 	return out
 }
 
-func (x *run) report(p *runningProgram) (r messages.Reported, err error) {
+func (x *run) report(p *runningProgram) (r messages.ReportReply, err error) {
 	if slices.Contains(x.tugs, p) {
 		return x.asker.Report(p.addr, messages.ReportCall{Brief: true}, 5*time.Second)
 	}
@@ -598,8 +598,8 @@
 }
 
 var kindNames = map[uint8]string{messages.Prepare: "prepare", messages.Accept: "accept", messages.Learn: "learn", messages.Watch: "watch",
-	messages.Claim: "claim", messages.Release: "release", messages.Muster: "muster", messages.Pull: "pull", messages.Report: "report", messages.Lease: "lease",
-	messages.Ready: "ready", messages.Known: "known"}
+	messages.Claim: "claim", messages.Release: "release", messages.Recover: "muster", messages.Pull: "pull", messages.Report: "report", messages.Lease: "lease",
+	messages.Ready: "ready", messages.LastMark: "known"}
 
 func name(kind uint8) string {
 	if s := kindNames[kind]; s != "" {
--- a/internal/loadline/loadline_test.go
+++ b/internal/loadline/loadline_test.go
@@ -90,8 +90,8 @@
 	stands, chosen := configuration.Set{}.With(items...), configuration.Ballot{N: 3000}
 	call, got, parts := messages.PullCall{}, 0, 0
 	for ; call.Have.IsZero() && parts < 20; parts++ {
-		news := messages.News{Life: 1}
-		news.Tell(call, backends.New(), chosen, stands, configuration.Ballot{})
+		news := messages.PullReply{Incarnation: 1}
+		news.Fill(call, backends.New(), chosen, stands, configuration.Ballot{})
 		got += len(news.Items)
 		call = next(call, news)
 	}
--- a/internal/loadline/phases.go
+++ b/internal/loadline/phases.go
@@ -135,13 +135,13 @@
 
 // ballots learns by which ballot each change was chosen: it pulls from a harbourmaster, as a proxy does, until stopped.
 func (x *run) ballots(from int) (stop func() map[string]uint64) {
-	c := rpc.NewClient(nil, x.l.CoreAddr(from, free+messages.HarbourPort))
+	c := rpc.NewClient(nil, x.l.CoreAddr(from, free+messages.RegistryPort))
 	var over atomic.Bool
 	known := map[string]uint64{}
 	done := make(chan struct{})
 	call := messages.PullCall{HoldMs: 200}
 	pull := func() bool {
-		var news messages.News
+		var news messages.PullReply
 		if c.Call(messages.Pull, call, &news, 5*time.Second) != nil {
 			return false
 		}
@@ -238,11 +238,11 @@
 	defer co.Close()
 	c := rpc.NewClient(nil, x.pursers[0].addr)
 	defer c.Close()
-	var w messages.Watched
+	var w messages.WatchReply
 	if err := c.Call(messages.Watch, messages.WatchCall{Have: configuration.Ballot{N: 1 << 62}}, &w, 2*time.Second); err != nil {
 		return Phase{}, err
 	}
-	co.Take(w.Roll)
+	co.Take(w.VoterSet)
 	took := newTimes()
 	var mu sync.Mutex
 	lost := 0
@@ -255,16 +255,16 @@
 				for time.Now().Before(end) && x.ctx.Err() == nil {
 					k := n.Add(1)
 					begun := time.Now()
-					call := rpc.Encode(messages.ClaimCall{Key: fmt.Sprintf("scale-key-%012d", k), ID: idempotency.ID{Life: 1, N: k, At: x.l.Addr(0, free)}, Epoch: w.Roll.Epoch})
+					call := rpc.Encode(messages.ClaimCall{Key: fmt.Sprintf("scale-key-%012d", k), ID: idempotency.ID{Life: 1, N: k, At: x.l.Addr(0, free)}, Epoch: w.VoterSet.Epoch})
 					votes := 0
 					co.Gather(messages.Claim, func(int) []byte { return call }, time.Second, func(t quorum.Told) bool {
 						if t.Err == nil {
 							votes++
 						}
-						return votes >= consensus.Majority(len(w.Roll.Voters))
+						return votes >= consensus.Majority(len(w.VoterSet.Voters))
 					})
 					mu.Lock()
-					if votes >= consensus.Majority(len(w.Roll.Voters)) {
+					if votes >= consensus.Majority(len(w.VoterSet.Voters)) {
 						took.RecordValue(time.Since(begun).Microseconds())
 					} else {
 						lost++
@@ -406,8 +406,8 @@
 		h, err := x.report(x.harbours[1])
 		s, err2 := x.report(x.pursers[1])
 		o, err3 := x.report(x.pursers[0])
-		return err == nil && err2 == nil && err3 == nil && s.Purser != nil && s.Purser.State == "serving" && s.Chosen == o.Chosen &&
-			(x.o.Mute || h.BerthsAll >= x.o.Agents+x.o.Tugs)
+		return err == nil && err2 == nil && err3 == nil && s.Store != nil && s.Store.State == "serving" && s.Chosen == o.Chosen &&
+			(x.o.Mute || h.BackendsTotal >= x.o.Agents+x.o.Tugs)
 	})
 	p.Figures["back_s"] = time.Since(begun).Seconds()
 	return p, err
--- a/internal/membership/transport/masthead_test.go
+++ b/internal/membership/transport/masthead_test.go
@@ -28,15 +28,15 @@
 			said = append(said, event+" "+text)
 		}
 		var machines []*network.Machine
-		var heads []*Masthead
+		var heads []*Membership
 		for i := range 7 {
 			m := s.Machine("10.0.0."+strconv.Itoa(i+1), "east")
 			p := m.Start()
 			set := &settings.Settings{NodeName: "n" + strconv.Itoa(i), IP: m.IP, Zone: "east", Ports: [2]int{7000, 7010},
 				Seeds: []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}}
-			role, place, port := messages.RoleTug, messages.RosterTugPort, messages.GatePort
+			role, place, port := messages.RoleProxy, messages.ProxyGossipPort, messages.InboundPort
 			if i < 3 {
-				role, place, port = messages.RoleHarbour, messages.RosterPort, messages.HarbourPort
+				role, place, port = messages.RoleRegistry, messages.RegistryGossipPort, messages.RegistryPort
 			}
 			machines = append(machines, m)
 			heads = append(heads, Start(set, role, place, port, uint64(i+1), p, log))
@@ -44,7 +44,7 @@
 		time.Sleep(5 * time.Second)
 		tug := func(i int) string { return net.JoinHostPort(machines[i].IP, "7002") }
 		first := heads[3]
-		if n, m := len(first.Peers(messages.RoleTug)), len(first.Peers(messages.RoleHarbour)); n != 3 || m != 3 || !first.Lives(tug(4)) {
+		if n, m := len(first.Peers(messages.RoleProxy)), len(first.Peers(messages.RoleRegistry)); n != 3 || m != 3 || !first.IsLive(tug(4)) {
 			t.Fatalf("%d and %d others are known", n, m)
 		}
 		if len(said) > 0 {
@@ -55,7 +55,7 @@
 		// Each probes the six others in turn, so the first knows it within a turn and the time of a probe; the others soon after.
 		hold := func() (n int) {
 			for i, h := range heads {
-				if silent := h.Silent(messages.RoleTug); i != 5 && len(silent) == 1 && silent[tug(5)] {
+				if silent := h.Unresponsive(messages.RoleProxy); i != 5 && len(silent) == 1 && silent[tug(5)] {
 					n++
 				} else if len(silent) > 0 {
 					t.Errorf("%d: silent are %v", i, silent)
@@ -72,30 +72,30 @@
 				time.Sleep(50 * time.Millisecond)
 			}
 		}
-		within(7*Period, 1)
-		within(Period, 6)
-		first.Heard(tug(5))
-		if len(first.Silent(messages.RoleTug)) > 0 {
+		within(7*ProbePeriod, 1)
+		within(ProbePeriod, 6)
+		first.RecordContact(tug(5))
+		if len(first.Unresponsive(messages.RoleProxy)) > 0 {
 			t.Error("one that was heard just now is silent")
 		}
 		machines[5].Freeze(false)
 		time.Sleep(3 * time.Second)
 		for i, h := range heads {
-			if silent := h.Silent(messages.RoleTug); i != 5 && len(silent) > 0 {
+			if silent := h.Unresponsive(messages.RoleProxy); i != 5 && len(silent) > 0 {
 				t.Errorf("%d: silent are still %v", i, silent)
 			}
 		}
 
 		before, after := map[string]int64{}, map[string]int64{}
-		first.Count(before)
+		first.AddCounters(before)
 		for range 200 {
 			for i := range 7 {
-				first.Heard(tug(i))
-				first.Heard(net.JoinHostPort(machines[i].IP, "7000"))
+				first.RecordContact(tug(i))
+				first.RecordContact(net.JoinHostPort(machines[i].IP, "7000"))
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		first.Count(after)
+		first.AddCounters(after)
 		if n := after["roster_probes"] - before["roster_probes"]; n > 5 {
 			t.Errorf("%d probes in 20 s in which traffic told all", n)
 		}
@@ -117,10 +117,10 @@
 				t.Errorf("nobody says %s: %q", want, said)
 			}
 		}
-		var none *Masthead
-		none.Heard("x")
+		var none *Membership
+		none.RecordContact("x")
 		none.Close()
-		if !none.Alone() || !none.Lives("x") || none.State("x") != membership.Unknown || len(none.Silent(messages.RoleTug)) > 0 {
+		if !none.IsAlone() || !none.IsLive("x") || none.State("x") != membership.Unknown || len(none.Unresponsive(messages.RoleProxy)) > 0 {
 			t.Error("without a roster somebody is told apart")
 		}
 	})
@@ -133,13 +133,13 @@
 		const members, names = 9, 5
 		s := network.New(1)
 		var machines []*network.Machine
-		var heads []*Masthead
+		var heads []*Membership
 		for i := range members {
 			m := s.Machine("10.0.0."+strconv.Itoa(i+1), "east")
 			set := &settings.Settings{NodeName: "n" + strconv.Itoa(i), IP: m.IP, Zone: "east", Ports: [2]int{7000, 7010}, Seeds: []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}}
-			role, place, port := messages.RoleTug, messages.RosterTugPort, messages.GatePort
+			role, place, port := messages.RoleProxy, messages.ProxyGossipPort, messages.InboundPort
 			if i < 3 {
-				role, place, port = messages.RoleHarbour, messages.RosterPort, messages.HarbourPort
+				role, place, port = messages.RoleRegistry, messages.RegistryGossipPort, messages.RegistryPort
 			}
 			machines = append(machines, m)
 			heads = append(heads, start(set, role, place, port, uint64(i+1), m.Start(), func(string, string) {}, names))
@@ -152,7 +152,7 @@
 				if i == j {
 					continue
 				}
-				if !h.Lives(tug(j)) {
+				if !h.IsLive(tug(j)) {
 					t.Errorf("%d takes %d for gone", i, j)
 				}
 				if h.State(tug(j)) == membership.Unknown {
@@ -171,9 +171,9 @@
 		for i, h := range heads {
 			switch st := h.State(tug(frozen)); {
 			case i == frozen:
-			case st == membership.Unknown && !h.Lives(tug(frozen)):
+			case st == membership.Unknown && !h.IsLive(tug(frozen)):
 				t.Errorf("%d has no place for it and takes it for gone", i)
-			case st != membership.Unknown && h.Lives(tug(frozen)):
+			case st != membership.Unknown && h.IsLive(tug(frozen)):
 				t.Errorf("%d holds the frozen one %v", i, st)
 			case st != membership.Unknown:
 				gone++
--- a/internal/proxy/age_test.go
+++ b/internal/proxy/age_test.go
@@ -19,7 +19,7 @@
 		}{{100, 1000, 1010 * time.Millisecond, 110}, {100, 1000, 21 * time.Second, 20_100}, {0, 0, 0, 0}, {messages.Never, 0, time.Second, messages.Never}, {5, 900, 0, 5}} {
 			sent := time.Now()
 			time.Sleep(c.took)
-			n := messages.News{FreshMs: c.fresh, HeldMs: c.held}
+			n := messages.PullReply{FreshMs: c.fresh, HeldMs: c.held}
 			if age(&n, sent); n.FreshMs != c.want {
 				t.Errorf("%+v: %d", c, n.FreshMs)
 			}
@@ -29,9 +29,9 @@
 
 // A harbourmaster that hears no majority, as one that has just begun behind a cut, takes no other off the list.
 func TestListed(t *testing.T) {
-	a, b, moved := messages.Master{Name: "a", Addr: "1"}, messages.Master{Name: "b", Addr: "2"}, messages.Master{Name: "a", Addr: "3"}
-	known, told := []messages.Master{a, b}, []messages.Master{moved}
-	if got := listed(known, told, true); !slices.Equal(got, []messages.Master{moved, b}) {
+	a, b, moved := messages.Registry{Name: "a", Addr: "1"}, messages.Registry{Name: "b", Addr: "2"}, messages.Registry{Name: "a", Addr: "3"}
+	known, told := []messages.Registry{a, b}, []messages.Registry{moved}
+	if got := listed(known, told, true); !slices.Equal(got, []messages.Registry{moved, b}) {
 		t.Error("stale:", got)
 	}
 	if got := listed(known, told, false); !slices.Equal(got, told) {
--- a/internal/proxy/parts.go
+++ b/internal/proxy/parts.go
@@ -18,22 +18,22 @@
 }
 
 // add takes an answer. Items of a part are kept back, and told by the last one, which names what was chosen.
-func (p *parts) add(n *messages.News) {
-	if n.Whole || p.life != n.Life || p.cursor == nil { // it tells from the beginning
-		p.items, p.whole = nil, n.Whole
+func (p *parts) add(n *messages.PullReply) {
+	if n.Snapshot || p.life != n.Incarnation || p.cursor == nil { // it tells from the beginning
+		p.items, p.whole = nil, n.Snapshot
 	}
-	p.life, p.at, p.more, p.cursor = n.Life, n.At, n.More, n.Cursor
+	p.life, p.at, p.more, p.cursor = n.Incarnation, n.Revision, n.MoreBackends, n.Cursor
 	p.items = append(p.items, n.Items...)
 	if p.cursor != nil {
-		n.Items, n.Whole = nil, false
+		n.Items, n.Snapshot = nil, false
 		return
 	}
-	n.Items, n.Whole, p.items = p.items, p.whole, nil
+	n.Items, n.Snapshot, p.items = p.items, p.whole, nil
 }
 
 // goOn has a call go on behind the last answer.
 func (p *parts) goOn(call *messages.PullCall) {
-	call.Life, call.At, call.Cursor = p.life, p.at, p.cursor
+	call.Incarnation, call.Revision, call.Cursor = p.life, p.at, p.cursor
 }
 
 // sources are how far each source that was asked has told its table, by address: who comes back to one goes on there.
@@ -51,8 +51,8 @@
 
 // inForce is what stands once news is taken whose ballot is higher than what was in force. A proxy keeps no tombstones: its
 // ballot alone keeps older news out. bare is the last ballot that one may have had.
-func inForce(stands configuration.Set, bare configuration.Ballot, n messages.News) (configuration.Set, configuration.Ballot) {
-	if n.Whole {
+func inForce(stands configuration.Set, bare configuration.Ballot, n messages.PullReply) (configuration.Set, configuration.Ballot) {
+	if n.Snapshot {
 		stands, bare = stands.Moved(configuration.SetOf(n.Items...)), n.Chosen
 	} else {
 		stands = stands.With(n.Items...)
--- a/internal/proxy/parts_test.go
+++ b/internal/proxy/parts_test.go
@@ -19,8 +19,8 @@
 // anew, what it puts in force is always one value that was chosen, whole, and never an older one; and once a source says that
 // there are no more entries, there is none that it has and this one lacks.
 func TestPartsAreOneWhole(t *testing.T) {
-	spec := bytes.Repeat([]byte("x"), messages.PartBytes/3) // a few items fill a message
-	release := strings.Repeat("x", messages.PartBytes/7)    // and a few entries
+	spec := bytes.Repeat([]byte("x"), messages.MaxPartBytes/3) // a few items fill a message
+	release := strings.Repeat("x", messages.MaxPartBytes/7)    // and a few entries
 	history := func(t *rapid.T) {
 		b := func(n int) configuration.Ballot { return configuration.Ballot{N: uint64(n), By: uint32(n % 3)} }
 		chosen := []configuration.Set{{}} // by ballot
@@ -51,31 +51,31 @@
 			moor()
 		}
 		call := func(at uint64, to *proxied) { // of one message
-			n := messages.News{Life: lives[at]}
+			n := messages.PullReply{Incarnation: lives[at]}
 			var m messages.PullCall
 			m.Have = to.have
 			to.got.goOn(&m)
 			if at == 3 {
-				n.Tell(m, proxy.table, proxy.have, proxy.stands, proxy.bare)
+				n.Fill(m, proxy.table, proxy.have, proxy.stands, proxy.bare)
 			} else {
 				k := knows[at-1]
-				n.Tell(m, tables[at], b(k), chosen[k], configuration.Ballot{})
+				n.Fill(m, tables[at], b(k), chosen[k], configuration.Ballot{})
 			}
 			size := 0
 			for _, i := range n.Items {
 				size += len(i.Spec)
 			}
-			for _, x := range n.Berths {
+			for _, x := range n.Backends {
 				size += len(x.Release)
 				to.table.Join(x)
 			}
-			if size > messages.PartBytes {
+			if size > messages.MaxPartBytes {
 				t.Fatalf("a message of %d bytes", size)
 			}
 			to.got.add(&n)
 			to.sources.keep(fmt.Sprint(at), &to.got)
 			for _, x := range tables[at].All() {
-				if have, _ := to.table.Get(x.Node); !n.More && have.Version < x.Version {
+				if have, _ := to.table.Get(x.Node); !n.MoreBackends && have.Version < x.Version {
 					t.Fatalf("no more entries, and %s is %d, not %d", x.Node, have.Version, x.Version)
 				}
 			}
@@ -124,7 +124,7 @@
 					moor()
 				}
 			case 8: // another harbourmaster hears of some of them
-				entries, _, _ := tables[1].Part(0, rapid.IntRange(1, messages.PartBytes).Draw(t, "bytes"))
+				entries, _, _ := tables[1].Part(0, rapid.IntRange(1, messages.MaxPartBytes).Draw(t, "bytes"))
 				for _, x := range entries {
 					tables[2].Join(x)
 				}
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -24,19 +24,19 @@
 		}
 	}
 	s, roll := t.s.Load(), t.council.Roll()
-	r := messages.Reported{Program: messages.TheTug, Version: process.Version, Node: s.NodeName, Zone: s.Zone, Addr: s.Port(messages.GatePort),
-		Life: t.life, UpMs: uint64(t.way.Up().Milliseconds()), Epoch: roll.Epoch, Voters: roll.Voters, Counts: t.Counts()}
-	own := &messages.TugReport{Ready: t.ready() == nil, Stopping: t.stopping.Load(), FromMs: messages.Never, FreshMs: messages.Never}
+	r := messages.ReportReply{Program: messages.ProgramProxy, Version: process.Version, Node: s.NodeName, Zone: s.Zone, Addr: s.Port(messages.InboundPort),
+		Incarnation: t.life, UpMs: uint64(t.way.Up().Milliseconds()), Epoch: roll.Epoch, Voters: roll.Voters, Counts: t.Counts()}
+	own := &messages.ProxyReport{Ready: t.ready() == nil, Stopping: t.stopping.Load(), RegistryMs: messages.Never, FreshMs: messages.Never}
 	if p := t.from.Load(); p != nil {
-		own.From, own.FreshMs = p.addr, p.freshMs
-		own.FromMs = uint32(min(time.Since(p.at).Milliseconds(), messages.Never))
+		own.RegistryAddr, own.FreshMs = p.addr, p.freshMs
+		own.RegistryMs = uint32(min(time.Since(p.at).Milliseconds(), messages.Never))
 	}
 	t.mu.Lock()
 	r.Chosen = t.chosen
-	items := messages.ItemReports(t.stands)
+	items := messages.NewItemReports(t.stands)
 	t.mu.Unlock()
 	r.SetItems(items)
-	r.Tug = own
+	r.Proxy = own
 	r.Traffic = rpc.Totals()
 	t.way.Tell(&r, own, call.Brief)
 	return rpc.Encode(r), nil
--- a/internal/proxy/start_test.go
+++ b/internal/proxy/start_test.go
@@ -39,8 +39,8 @@
 	mu      sync.Mutex // once it serves: of chosen, table and what it counts
 	chosen  configuration.Ballot
 	table   *backends.Table
-	onPart  func(part int64, n *messages.News) // before it is told
-	parts   atomic.Int64                       // messages with items or entries
+	onPart  func(part int64, n *messages.PullReply) // before it is told
+	parts   atomic.Int64                            // messages with items or entries
 	largest atomic.Int64
 	breakAt int64 // it ends with this part untold; 0: never
 	onBreak func()
@@ -56,14 +56,14 @@
 		if c.Kind != messages.Pull || rpc.Decode(c.Body, &m) != nil {
 			return
 		}
-		n := messages.News{Life: s.life, FreshMs: s.freshMs}
+		n := messages.PullReply{Incarnation: s.life, FreshMs: s.freshMs}
 		s.mu.Lock()
 		if s.table == nil {
 			s.table = backends.New()
 		}
-		n.Tell(m, s.table, s.chosen, s.stands, configuration.Ballot{})
+		n.Fill(m, s.table, s.chosen, s.stands, configuration.Ballot{})
 		s.mu.Unlock()
-		if len(n.Items)+len(n.Berths) == 0 {
+		if len(n.Items)+len(n.Backends) == 0 {
 			time.Sleep(time.Duration(m.HoldMs) * time.Millisecond)
 		} else if s.parts.Add(1) == s.breakAt {
 			go s.onBreak()
@@ -121,7 +121,7 @@
 			p := m.Start()
 			h.stands, h.chosen = set, configuration.Ballot{N: 1, By: 1}
 			h.onBreak = p.End
-			h.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+messages.HarbourPort)))
+			h.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+messages.RegistryPort)))
 			cores = append(cores, m)
 			ends = append(ends, p.End)
 		}
@@ -131,7 +131,7 @@
 			t.Fatalf("%v: %d items", err, first.stands.Len())
 		}
 		for i, h := range tellers {
-			if h.largest.Load() > messages.PartBytes*5/4 {
+			if h.largest.Load() > messages.MaxPartBytes*5/4 {
 				t.Errorf("teller %d: a message of %d bytes", i, h.largest.Load())
 			}
 		}
@@ -167,7 +167,7 @@
 // told, and is itself a source of all of it.
 func TestTableByParts(t *testing.T) {
 	const backendCount = 40
-	release := strings.Repeat("x", messages.PartBytes/5)
+	release := strings.Repeat("x", messages.MaxPartBytes/5)
 	for breakAt := int64(1); breakAt <= backendCount/4+1; breakAt++ {
 		synctest.Test(t, func(t *testing.T) {
 			s := network.New(1)
@@ -186,7 +186,7 @@
 				if i == 0 {
 					h.breakAt = breakAt
 				}
-				h.onPart = func(part int64, n *messages.News) {
+				h.onPart = func(part int64, n *messages.PullReply) {
 					told.Lock()
 					defer told.Unlock()
 					if part <= breakAt { // and another one changes meanwhile
@@ -195,13 +195,13 @@
 					if g := first.Load(); g != nil && g.ready() == nil && !whole {
 						t.Errorf("ready with part %d", part)
 					}
-					if !n.More && partial > 0 { // it has begun a moment ago itself
+					if !n.MoreBackends && partial > 0 { // it has begun a moment ago itself
 						partial--
 						n.Partial = true
 					}
-					whole = whole || !n.More && !n.Partial
+					whole = whole || !n.MoreBackends && !n.Partial
 				}
-				h.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+messages.HarbourPort)))
+				h.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+messages.RegistryPort)))
 				cores, ends = append(cores, m), append(ends, p.End)
 			}
 			knows := func(g *Tug) (n int) {
@@ -272,21 +272,21 @@
 				for to.got.more = true; to.got.more; parts++ {
 					m := messages.PullCall{}
 					to.got.goOn(&m)
-					told := messages.News{Life: 1}
-					told.Tell(m, table, configuration.Ballot{}, configuration.Set{}, configuration.Ballot{})
+					told := messages.PullReply{Incarnation: 1}
+					told.Fill(m, table, configuration.Ballot{}, configuration.Set{}, configuration.Ballot{})
 					raw := rpc.Encode(told)
 					bytes, most = bytes+len(raw), max(most, len(raw))
-					var news messages.News
+					var news messages.PullReply
 					if err := rpc.Decode(raw, &news); err != nil {
 						b.Fatal(err)
 					}
 					to.got.add(&news)
-					for _, x := range news.Berths {
+					for _, x := range news.Backends {
 						to.table.Join(x)
 					}
-					balancer.Learn(0, news.Berths)
+					balancer.Learn(0, news.Backends)
 				}
-				if to.table.Len() != n || most > messages.PartBytes {
+				if to.table.Len() != n || most > messages.MaxPartBytes {
 					b.Fatal(to.table.Len(), most)
 				}
 				kept = append(kept, to, balancer)
@@ -309,14 +309,14 @@
 		tell := func(b *testing.B, to *proxied, at configuration.Ballot) (bytes int) {
 			for to.have.Less(at) {
 				var m messages.PullCall
-				if err := rpc.Decode(rpc.Encode(messages.PullCall{Life: to.got.life, Have: to.have, Cursor: to.got.cursor}), &m); err != nil {
+				if err := rpc.Decode(rpc.Encode(messages.PullCall{Incarnation: to.got.life, Have: to.have, Cursor: to.got.cursor}), &m); err != nil {
 					b.Fatal(err)
 				}
-				told := messages.News{Life: 1}
-				told.Tell(m, backends.New(), at, set, configuration.Ballot{})
+				told := messages.PullReply{Incarnation: 1}
+				told.Fill(m, backends.New(), at, set, configuration.Ballot{})
 				raw := rpc.Encode(told)
 				bytes += len(raw)
-				var news messages.News
+				var news messages.PullReply
 				if err := rpc.Decode(raw, &news); err != nil {
 					b.Fatal(err)
 				}
@@ -365,7 +365,7 @@
 		var cut atomic.Pointer[time.Time]
 		var late atomic.Int64 // pulls of the near one, begun 3 s after the cut and later
 		near, far := &teller{life: 11, stands: many(1), chosen: configuration.Ballot{N: 1, By: 1}}, &teller{life: 12, stands: many(1), chosen: configuration.Ballot{N: 1, By: 1}}
-		near.onPart = func(_ int64, n *messages.News) {
+		near.onPart = func(_ int64, n *messages.PullReply) {
 			if n.FreshMs = 400; cut.Load() != nil {
 				out := time.Since(*cut.Load())
 				n.FreshMs += uint32(out.Milliseconds())
@@ -378,12 +378,12 @@
 		for i, h := range []*teller{near, far} {
 			ip := fmt.Sprintf("10.1.0.%d", 2+i)
 			p := s.Machine(ip, fmt.Sprint("zone-", 1+i)).Start()
-			h.serve(t, p, net.JoinHostPort(ip, fmt.Sprint(7380+messages.HarbourPort)))
+			h.serve(t, p, net.JoinHostPort(ip, fmt.Sprint(7380+messages.RegistryPort)))
 			ends = append(ends, p.End)
 		}
 		g, _, p := side(t, s, "10.1.0.10", "zone-1", "10.1.0.2:80", "10.1.0.3:80")
 		g.mu.Lock()
-		g.masters = []messages.Master{{Name: "near", Addr: "10.1.0.2:7380", Zone: "zone-1"}, {Name: "far", Addr: "10.1.0.3:7380", Zone: "zone-2"}}
+		g.masters = []messages.Registry{{Name: "near", Addr: "10.1.0.2:7380", Zone: "zone-1"}, {Name: "far", Addr: "10.1.0.3:7380", Zone: "zone-2"}}
 		g.mu.Unlock()
 		time.Sleep(12 * time.Second)
 		if from := g.from.Load(); from == nil || from.addr != "10.1.0.2:7380" {
@@ -416,7 +416,7 @@
 		h := &teller{life: 11, stands: many(1), chosen: configuration.Ballot{N: 1, By: 1}}
 		core := s.Machine("10.1.0.2", "zone-1")
 		pc := core.Start()
-		h.serve(t, pc, net.JoinHostPort(core.IP, fmt.Sprint(7380+messages.HarbourPort)))
+		h.serve(t, pc, net.JoinHostPort(core.IP, fmt.Sprint(7380+messages.RegistryPort)))
 		first, _, p1 := side(t, s, "10.1.0.10", "zone-1", "10.1.0.2:80")
 		within(5*time.Second, func() bool { return first.ready() == nil })
 		second, m2, p2 := side(t, s, "10.1.0.11", "zone-1", "10.1.0.2:80")
--- a/internal/proxy/tug.go
+++ b/internal/proxy/tug.go
@@ -35,11 +35,11 @@
 	net     sock.Net
 	way     *dataplane.DataPlane
 	council *quorum.Council
-	head    *transport.Masthead
+	head    *transport.Membership
 	life    uint64
 
 	mu      sync.Mutex
-	masters []messages.Master
+	masters []messages.Registry
 	table   *backends.Table
 	stands  configuration.Set
 	chosen  configuration.Ballot
@@ -94,9 +94,9 @@
 		}
 		return l, err
 	}
-	gateAddr := s.Port(messages.GatePort)
+	gateAddr := s.Port(messages.InboundPort)
 	if gateAddr == "" {
-		return nil, fmt.Errorf("%s: %d ephemeral-ports wanted", s.Path, messages.GatePort+1)
+		return nil, fmt.Errorf("%s: %d ephemeral-ports wanted", s.Path, messages.InboundPort+1)
 	}
 	answers := 24 << 20
 	if s.MemoryMB > 0 {
@@ -110,7 +110,7 @@
 		Life: t.life, Begun: time.Now(), Heartbeat: s.Heartbeat, Ratio: s.Bounds.RetryRatio, Allowance: s.Bounds.RetryAllowance,
 		Window: s.Bounds.RetryWindow, KeyWindow: s.Bounds.DedupWindow + keyMargin, AnswerBytes: answers, MaxConns: conns, LinkMbps: s.BandwidthMbps,
 		Net: on, Council: t.council, News: t.newsFor, Report: t.report, Vouched: t.vouched, Log: log,
-		Heard: func(addr string) { t.head.Heard(addr) }})
+		Heard: func(addr string) { t.head.RecordContact(addr) }})
 	t.way.Gate.OnChange(func(b backends.Berth) {
 		t.way.Hear(b)
 		t.tell()
@@ -132,9 +132,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("readiness: %w", err)
 	}
-	t.head = transport.Start(s, messages.RoleTug, messages.RosterTugPort, messages.GatePort, t.life, on, log)
-	t.http(control, &controlapi.Port{Beat: t.way.Gate.Beat, Leave: t.way.Gate.Leave, Refused: t.refused})
-	t.http(ready, &controlapi.Port{Ready: t.ready})
+	t.head = transport.Start(s, messages.RoleProxy, messages.ProxyGossipPort, messages.InboundPort, t.life, on, log)
+	t.http(control, &controlapi.Handler{Heartbeat: t.way.Gate.Beat, Leave: t.way.Gate.Leave, OnRejected: t.refused})
+	t.http(ready, &controlapi.Handler{Ready: t.ready})
 	go t.way.ServeGate(gate)
 	go t.way.Serve(out)
 	go t.pull()
@@ -149,11 +149,11 @@
 	return err
 }
 
-func (t *Tug) http(l net.Listener, p *controlapi.Port) {
+func (t *Tug) http(l net.Listener, p *controlapi.Handler) {
 	if l == nil {
 		return
 	}
-	s := controlapi.Server(p)
+	s := controlapi.NewServer(p)
 	t.servers = append(t.servers, s)
 	go s.Serve(l)
 }
@@ -206,7 +206,7 @@
 		case <-t.ended:
 			return
 		}
-		if now := t.head.Silent(messages.RoleTug); !maps.Equal(now, silent) {
+		if now := t.head.Unresponsive(messages.RoleProxy); !maps.Equal(now, silent) {
 			silent = now
 			t.way.Silence(now)
 		}
@@ -216,12 +216,12 @@
 // sweep drops the entries of machines that are long gone, while this one hears the core and others: one that is cut off knows
 // nothing of who is gone.
 func (t *Tug) sweep(now time.Duration) {
-	alive := t.head.Alive(messages.RoleTug)
+	alive := t.head.AliveNodes(messages.RoleProxy)
 	node := t.s.Load().NodeName
 	t.mu.Lock()
 	var gone []string
-	if !t.head.Alone() && time.Since(t.heard) < 2*staleMs*time.Millisecond {
-		gone = t.table.Sweep(now, transport.GoneAfter, func(b backends.Berth) bool { return b.Node == node || t.head.Lives(b.Addr) })
+	if !t.head.IsAlone() && time.Since(t.heard) < 2*staleMs*time.Millisecond {
+		gone = t.table.Sweep(now, transport.ForgetAfter, func(b backends.Berth) bool { return b.Node == node || t.head.IsLive(b.Addr) })
 	}
 	t.whole = t.whole || t.table.Lacks(alive)
 	t.mu.Unlock()
@@ -251,21 +251,21 @@
 	for _, m := range t.masters {
 		add(m.Addr, m.Zone)
 	}
-	for _, p := range t.head.Peers(messages.RoleHarbour) {
+	for _, p := range t.head.Peers(messages.RoleRegistry) {
 		if p.State.Live() {
 			add(p.Addr, p.Zone)
 		}
 	}
 	for _, x := range s.Seeds {
-		add(messages.Beside(x, s.Ports[0], messages.HarbourPort), "")
+		add(messages.AddrOnHost(x, s.Ports[0], messages.RegistryPort), "")
 	}
 	for _, v := range t.council.Roll().Voters { // a harbourmaster that has just begun knows of no other, but it knows who counts
-		add(messages.Beside(v.Addr, s.Ports[0], messages.HarbourPort), "")
+		add(messages.AddrOnHost(v.Addr, s.Ports[0], messages.RegistryPort), "")
 	}
 	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
 	rand.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
 	all = append(near, far...)
-	silent := t.head.Silent(messages.RoleHarbour)
+	silent := t.head.Unresponsive(messages.RoleRegistry)
 	rank := func(a string) int {
 		switch {
 		case silent[a]:
@@ -352,14 +352,14 @@
 		call.Self, call.Have, call.Epoch = &b, t.chosen, t.council.Roll().Epoch
 		t.anew(&got)
 		got.goOn(&call)
-		call.Others = slices.Clone(t.others)
+		call.Relayed = slices.Clone(t.others)
 		t.mu.Unlock()
 		done := make(chan result, 1)
 		sent := time.Now()
 		id := c.Go(messages.Pull, rpc.Encode(call), func(body []byte, err error) { done <- result{body, err} })
 		timer := time.NewTimer(pullHold + pullTime)
 		var r result
-		var n messages.News
+		var n messages.PullReply
 	wait:
 		for {
 			select {
@@ -370,7 +370,7 @@
 				t.mu.Lock()
 				others := slices.Clone(t.others)
 				t.mu.Unlock()
-				c.Go(messages.Pull, rpc.Encode(messages.PullCall{Self: &b, Others: others, Life: call.Life, At: messages.Tells, Have: configuration.Ballot{N: 1 << 62}, Sum: call.Sum, Epoch: call.Epoch}), func([]byte, error) {})
+				c.Go(messages.Pull, rpc.Encode(messages.PullCall{Self: &b, Relayed: others, Incarnation: call.Incarnation, Revision: messages.SkipBackends, Have: configuration.Ballot{N: 1 << 62}, RegistriesDigest: call.RegistriesDigest, Epoch: call.Epoch}), func([]byte, error) {})
 			case <-timer.C:
 				c.Forget(id)
 				r.err = errcode.New(errcode.TimedOut, "")
@@ -388,10 +388,10 @@
 		age(&n, sent)
 		t.from.Store(&pulled{addr, time.Now(), n.FreshMs})
 		good = true
-		t.head.Heard(addr)
-		call.Sum = n.Sum
+		t.head.RecordContact(addr)
+		call.RegistriesDigest = n.RegistriesDigest
 		t.mu.Lock()
-		t.others = t.others[min(len(call.Others), len(t.others)):]
+		t.others = t.others[min(len(call.Relayed), len(t.others)):]
 		t.mu.Unlock()
 		got.add(&n)
 		better := t.take(n)
@@ -431,7 +431,7 @@
 		if ip == "" || ip == s.IP {
 			return
 		}
-		from = messages.Beside(net.JoinHostPort(ip, "0"), s.Ports[0], messages.GatePort)
+		from = messages.AddrOnHost(net.JoinHostPort(ip, "0"), s.Ports[0], messages.InboundPort)
 	}
 	got := t.sources[from]
 	for !t.over() {
@@ -443,7 +443,7 @@
 		t.mu.Unlock()
 		sent := time.Now()
 		raw, err := t.way.AskNews(from, rpc.Encode(call), pullTime)
-		var n messages.News
+		var n messages.PullReply
 		if err != nil || rpc.Decode(raw, &n) != nil {
 			return
 		}
@@ -469,10 +469,10 @@
 	if told {
 		t.others = append(t.others, *call.Self)
 	}
-	n := messages.News{Life: t.life, FreshMs: messages.Never, Partial: !t.full}
-	n.Tell(call, t.table, t.chosen, t.stands, t.bare)
+	n := messages.PullReply{Incarnation: t.life, FreshMs: messages.Never, Partial: !t.full}
+	n.Fill(call, t.table, t.chosen, t.stands, t.bare)
 	if r := t.council.Roll(); r.Epoch != call.Epoch && r.Epoch > 0 {
-		n.Roll = &r
+		n.VoterSet = &r
 	}
 	if !t.heard.IsZero() {
 		n.FreshMs = uint32(min(time.Since(t.heard).Milliseconds(), messages.Never))
@@ -505,24 +505,24 @@
 }
 
 // age adds the time that news took on its way, of a call sent then: either end may have slept meanwhile.
-func age(n *messages.News, sent time.Time) {
+func age(n *messages.PullReply, sent time.Time) {
 	way := max(0, time.Since(sent).Milliseconds()-int64(n.HeldMs))
 	n.FreshMs = uint32(min(int64(n.FreshMs)+way, messages.Never))
 }
 
 // take takes news. A configuration of one who hears no majority is left there while another may have a newer one: seek.
-func (t *Tug) take(n messages.News) (seek bool) {
-	if n.Roll != nil && t.council.Take(*n.Roll) {
-		t.log("roll", fmt.Sprintf("epoch %d, %d count", n.Roll.Epoch, len(n.Roll.Voters)))
+func (t *Tug) take(n messages.PullReply) (seek bool) {
+	if n.VoterSet != nil && t.council.Take(*n.VoterSet) {
+		t.log("roll", fmt.Sprintf("epoch %d, %d count", n.VoterSet.Epoch, len(n.VoterSet.Voters)))
 	}
 	var news []backends.Berth
 	var chart *configuration.Chart
 	t.mu.Lock()
-	if len(n.Masters) > 0 {
-		t.masters = listed(t.masters, n.Masters, n.FreshMs > staleMs)
+	if len(n.Registries) > 0 {
+		t.masters = listed(t.masters, n.Registries, n.FreshMs > staleMs)
 	}
 	node := t.s.Load().NodeName
-	for _, b := range n.Berths {
+	for _, b := range n.Backends {
 		if t.table.Join(b) {
 			news = append(news, b)
 		}
@@ -534,7 +534,7 @@
 		chart = t.stands.Chart()
 	}
 	if n.FreshMs <= staleMs && !n.Chosen.IsZero() {
-		t.full = t.full || !n.More && !n.Partial
+		t.full = t.full || !n.MoreBackends && !n.Partial
 		if at := time.Now().Add(-time.Duration(n.FreshMs) * time.Millisecond); at.After(t.heard) { // hearsay does not grow younger by being told
 			t.heard = at
 		}
@@ -556,11 +556,11 @@
 }
 
 // listed is the list of harbourmasters after another was told. One who hears no majority may know few: it takes nobody off.
-func listed(known, told []messages.Master, stale bool) []messages.Master {
+func listed(known, told []messages.Registry, stale bool) []messages.Registry {
 	out := slices.Clone(told)
 	if stale {
 		for _, m := range known {
-			if !slices.ContainsFunc(told, func(x messages.Master) bool { return x.Name == m.Name }) {
+			if !slices.ContainsFunc(told, func(x messages.Registry) bool { return x.Name == m.Name }) {
 				out = append(out, m)
 			}
 		}
@@ -588,7 +588,7 @@
 	t.mu.Lock()
 	out["berths"], out["masters"] = int64(t.table.Len()), int64(len(t.masters))
 	t.mu.Unlock()
-	t.head.Count(out)
+	t.head.AddCounters(out)
 	return out
 }
 
--- a/internal/quorum/council.go
+++ b/internal/quorum/council.go
@@ -19,7 +19,7 @@
 type Council struct {
 	net     sock.Net
 	mu      sync.Mutex
-	roll    messages.Roll
+	roll    messages.VoterSet
 	clients []*rpc.Client
 	newer   chan struct{} // closed when a newer roll is taken
 
@@ -30,14 +30,14 @@
 func New(n sock.Net) *Council { return &Council{net: n, newer: make(chan struct{})} }
 
 // Roll is the newest roll.
-func (c *Council) Roll() messages.Roll {
+func (c *Council) Roll() messages.VoterSet {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.roll
 }
 
 // Take takes a roll if it is newer, and reports whether it was.
-func (c *Council) Take(r messages.Roll) bool {
+func (c *Council) Take(r messages.VoterSet) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r.Epoch <= c.roll.Epoch {
@@ -91,9 +91,9 @@
 	call := messages.WatchCall{Have: configuration.Ballot{N: 1 << 62}, HoldMs: uint32(learnTime.Milliseconds()), Epoch: epoch}
 	go func() {
 		defer c.learning.Store(false)
-		var w messages.Watched
+		var w messages.WatchReply
 		if cl.Call(messages.Watch, call, &w, 2*learnTime) == nil {
-			c.Take(w.Roll)
+			c.Take(w.VoterSet)
 		}
 	}()
 }
--- a/internal/registry/contact_test.go
+++ b/internal/registry/contact_test.go
@@ -23,42 +23,42 @@
 		time.Sleep(time.Minute)
 		for name, c := range map[string]struct {
 			ago    time.Duration
-			change func(*messages.Watched)
+			change func(*messages.WatchReply)
 			most   uint32
 		}{
-			"a majority spoke":              {0, func(*messages.Watched) {}, 0},
-			"it was read late":              {20 * time.Second, func(*messages.Watched) {}, 20_000},
-			"one is sealed":                 {0, func(w *messages.Watched) { w.Shut = true }, messages.Never},
-			"one is of another epoch":       {0, func(w *messages.Watched) { w.Roll.Epoch = 1 }, messages.Never},
-			"one may know of a newer value": {0, func(w *messages.Watched) { w.Accepted.N = 9 }, messages.Never},
-			"one makes up for its disk":     {0, func(w *messages.Watched) { w.State = "repairing" }, messages.Never},
-			"one speaks for another":        {0, func(w *messages.Watched) { w.Vouch.By = 0 }, messages.Never},
-			"one has yet to hear what is chosen": {0, func(w *messages.Watched) {
-				w.Chosen, w.Accepted, w.Known, w.Upto = configuration.Ballot{}, configuration.Ballot{}, configuration.Ballot{}, configuration.Ballot{}
+			"a majority spoke":              {0, func(*messages.WatchReply) {}, 0},
+			"it was read late":              {20 * time.Second, func(*messages.WatchReply) {}, 20_000},
+			"one is sealed":                 {0, func(w *messages.WatchReply) { w.Sealed = true }, messages.Never},
+			"one is of another epoch":       {0, func(w *messages.WatchReply) { w.VoterSet.Epoch = 1 }, messages.Never},
+			"one may know of a newer value": {0, func(w *messages.WatchReply) { w.Accepted.N = 9 }, messages.Never},
+			"one makes up for its disk":     {0, func(w *messages.WatchReply) { w.State = "repairing" }, messages.Never},
+			"one speaks for another":        {0, func(w *messages.WatchReply) { w.Origin.By = 0 }, messages.Never},
+			"one has yet to hear what is chosen": {0, func(w *messages.WatchReply) {
+				w.Chosen, w.Accepted, w.KnownChosen, w.UpTo = configuration.Ballot{}, configuration.Ballot{}, configuration.Ballot{}, configuration.Ballot{}
 			}, 0},
-			"one catches up with a newer value": {0, func(w *messages.Watched) { w.Known.N = 9 }, messages.Never},
+			"one catches up with a newer value": {0, func(w *messages.WatchReply) { w.KnownChosen.N = 9 }, messages.Never},
 		} {
-			h, b := ashore(t)
-			roll := messages.Roll{Epoch: 2, Voters: make([]messages.Voter, 3)}
-			h.council.Take(roll)
-			b.leases = map[lease.Name]*lease.Lease{}
-			b.heard, b.vouched, b.pending, b.behind, b.shut = make([]time.Time, 3), make([]time.Time, 3), make([]time.Time, 3), make([]int, 3), make([]time.Time, 3)
-			b.marks, b.upto, b.taught, b.answered = make([]messages.Mark, 3), make([]configuration.Ballot, 3), make([]bool, 3), make([]time.Time, 3)
+			reg, st := newTestRegistry(t)
+			voterSet := messages.VoterSet{Epoch: 2, Voters: make([]messages.Voter, 3)}
+			reg.quorum.Take(voterSet)
+			st.leases = map[lease.Name]*lease.Lease{}
+			st.servingAt, st.currentAt, st.pendingSince, st.behindCount, st.sealedSince = make([]time.Time, 3), make([]time.Time, 3), make([]time.Time, 3), make([]int, 3), make([]time.Time, 3)
+			st.marks, st.completeUpTo, st.teaching, st.answeredAt = make([]messages.Mark, 3), make([]configuration.Ballot, 3), make([]bool, 3), make([]time.Time, 3)
 			for i := range 2 {
-				w := messages.Watched{State: "serving", Vouch: consensus.Vouch{By: i}, Roll: roll, Chosen: configuration.Ballot{N: 3}, Accepted: configuration.Ballot{N: 3},
-					Known: configuration.Ballot{N: 3}, Upto: configuration.Ballot{N: 3}}
+				w := messages.WatchReply{State: "serving", Origin: consensus.Vouch{By: i}, VoterSet: voterSet, Chosen: configuration.Ballot{N: 3}, Accepted: configuration.Ballot{N: 3},
+					KnownChosen: configuration.Ballot{N: 3}, UpTo: configuration.Ballot{N: 3}}
 				ago := c.ago
 				if i == 1 {
 					c.change(&w)
 				} else {
 					ago = 0
 				}
-				b.watched(i, w, time.Now().Add(-ago))
+				st.handleWatchReply(i, w, time.Now().Add(-ago))
 			}
-			if got := b.fresh(); got != c.most {
+			if got := st.majorityContactMs(); got != c.most {
 				t.Errorf("%s: %d ms, wanted %d", name, got, c.most)
 			}
-			h.council.Close()
+			reg.quorum.Close()
 		}
 	})
 }
@@ -66,32 +66,32 @@
 // Who slept, or heard no majority, holds no voter for lost that was silent meanwhile.
 func TestNobodyIsLostByASleep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, b := ashore(t)
-		h.o.Lost = 10 * time.Second
-		b.begun, b.since = time.Now(), time.Now()
+		reg, st := newTestRegistry(t)
+		reg.options.LostAfter = 10 * time.Second
+		st.started, st.observedSince = time.Now(), time.Now()
 		held := &lease.Lease{Members: 1}
-		b.leases = map[lease.Name]*lease.Lease{lease.Roll: held}
+		st.leases = map[lease.Name]*lease.Lease{lease.Roll: held}
 		n := func() []time.Time { return []time.Time{time.Now(), time.Now(), time.Now()} }
-		b.heard, b.vouched, b.answered = n(), n(), n()
+		st.servingAt, st.currentAt, st.answeredAt = n(), n(), n()
 		lost := func() bool {
-			held.Due(time.Since(b.begun))
+			held.Due(time.Since(st.started))
 			held.Granted(held.Asked(), 0)
-			b.tend(time.Now())
-			return !b.sought.IsZero()
+			st.maintainVoters(time.Now())
+			return !st.lastReplacement.IsZero()
 		}
 		time.Sleep(time.Minute) // it sleeps; then two of three are heard first
-		b.tend(time.Now())
+		st.maintainVoters(time.Now())
 		for i := range 2 {
-			b.heard[i], b.vouched[i], b.answered[i] = time.Now(), time.Now(), time.Now()
+			st.servingAt[i], st.currentAt[i], st.answeredAt[i] = time.Now(), time.Now(), time.Now()
 		}
 		if lost() {
 			t.Error("lost by a sleep")
 		}
-		close(h.ended) // no change is begun
+		close(reg.closed) // no change is begun
 		for range 11 {
 			time.Sleep(time.Second)
 			for i := range 2 {
-				b.heard[i], b.vouched[i], b.answered[i] = time.Now(), time.Now(), time.Now()
+				st.servingAt[i], st.currentAt[i], st.answeredAt[i] = time.Now(), time.Now(), time.Now()
 			}
 			lost()
 		}
@@ -104,21 +104,21 @@
 // The same where two answer, and are read, before it looks: the third's answer is on its way.
 func TestNobodyIsLostByAnswersAfterASleep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, b := ashore(t)
-		defer h.council.Close()
-		h.o.Lost = 2 * time.Second
-		roll := messages.Roll{Epoch: 2, Voters: make([]messages.Voter, 3)}
-		h.council.Take(roll)
-		b.adopted(roll)
+		reg, st := newTestRegistry(t)
+		defer reg.quorum.Close()
+		reg.options.LostAfter = 2 * time.Second
+		voterSet := messages.VoterSet{Epoch: 2, Voters: make([]messages.Voter, 3)}
+		reg.quorum.Take(voterSet)
+		st.resetVoterTables(voterSet)
 		for _, sleep := range []time.Duration{0, 500 * time.Millisecond, 500 * time.Millisecond, time.Minute} {
 			time.Sleep(sleep)
 			for i := range 3 {
 				if i < 2 || sleep < time.Minute {
-					b.watched(i, messages.Watched{State: "serving", Vouch: consensus.Vouch{By: i}, Roll: roll}, time.Now())
+					st.handleWatchReply(i, messages.WatchReply{State: "serving", Origin: consensus.Vouch{By: i}, VoterSet: voterSet}, time.Now())
 				}
 			}
 		}
-		if b.tend(time.Now()) || !b.since.Equal(time.Now()) {
+		if st.maintainVoters(time.Now()) || !st.observedSince.Equal(time.Now()) {
 			t.Error("a voter counts as silent for the time of a sleep")
 		}
 	})
@@ -130,13 +130,13 @@
 		s := network.New(1)
 		p := s.Machine("10.0.0.1", "north").Start()
 		var voters []messages.Voter
-		var all []*voter
-		var h *Harbour
+		var all []*testVoter
+		var reg *Registry
 		sleeps := false
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		for i, ip := range []string{"10.0.0.2", "10.0.0.3", "10.0.0.4"} {
-			v := &voter{acc: consensus.NewAcceptor(), by: i}
+			v := &testVoter{acceptor: consensus.NewAcceptor(), index: i}
 			l, err := s.Machine(ip, "north").Start().Listen(ip+":80", 0)
 			if err != nil {
 				t.Fatal(err)
@@ -145,7 +145,7 @@
 				if c.Kind == messages.Prepare {
 					cancel()
 					if sleeps {
-						h.own.Send(func(*books) { time.Sleep(20 * time.Second) })
+						reg.owner.Send(func(*state) { time.Sleep(20 * time.Second) })
 					}
 				}
 				v.handle(c)
@@ -153,30 +153,30 @@
 			defer server.Close()
 			voters, all = append(voters, messages.Voter{Addr: ip + ":80"}), append(all, v)
 		}
-		var b *books
-		h, b = ashore(t)
-		h.council = quorum.New(p)
-		defer h.council.Close()
-		h.council.Take(messages.Roll{Epoch: 1, Voters: voters})
-		h.own = rpc.Own(b, 16)
-		defer h.own.End()
+		var st *state
+		reg, st = newTestRegistry(t)
+		reg.quorum = quorum.New(p)
+		defer reg.quorum.Close()
+		reg.quorum.Take(messages.VoterSet{Epoch: 1, Voters: voters})
+		reg.owner = rpc.Own(st, 16)
+		defer reg.owner.End()
 		items := []configuration.Item{{Key: configuration.Key{Kind: configuration.Services, Name: "s"}, Version: 1, Spec: []byte("{}")}}
 		begun := time.Now()
-		if k := errcode.Of(h.propose(ctx, consensus.Order{Items: items})); k != errcode.CoreOut {
+		if k := errcode.Of(reg.propose(ctx, consensus.Order{Items: items})); k != errcode.CoreOut {
 			t.Error("a call whose caller has gone:", k)
 		}
 		if took := time.Since(begun); took > 10*time.Millisecond {
 			t.Error("it kept the turn from others for", took)
 		}
-		if err := h.tryRound(t.Context(), consensus.Order{Items: items}, time.Now().Add(-20*time.Second)); errcode.Of(err) != errcode.CoreOut {
+		if err := reg.runRound(t.Context(), consensus.Order{Items: items}, time.Now().Add(-20*time.Second)); errcode.Of(err) != errcode.CoreOut {
 			t.Error("a call from before a sleep:", err)
 		}
 		sleeps = true
-		if k := errcode.Of(h.propose(t.Context(), consensus.Order{})); k != errcode.CoreOut {
+		if k := errcode.Of(reg.propose(t.Context(), consensus.Order{})); k != errcode.CoreOut {
 			t.Error("a read whose answers are of before a sleep:", k)
 		}
 		for _, v := range all {
-			if v.acc.Value.Len() > 0 {
+			if v.acceptor.Value.Len() > 0 {
 				t.Error("it is in force")
 			}
 		}
@@ -189,32 +189,32 @@
 	synctest.Test(t, func(t *testing.T) {
 		time.Sleep(time.Minute)
 		p := network.New(1).Machine("10.0.0.1", "north").Start()
-		h, b := ashore(t)
-		h.council = quorum.New(p)
-		h.council.Take(messages.Roll{Epoch: 1, Voters: []messages.Voter{{Addr: "10.0.0.2:80"}, {Addr: "10.0.0.3:80"}, {Addr: "10.0.0.4:80"}}})
-		h.own = rpc.Own(b, 16)
+		reg, st := newTestRegistry(t)
+		reg.quorum = quorum.New(p)
+		reg.quorum.Take(messages.VoterSet{Epoch: 1, Voters: []messages.Voter{{Addr: "10.0.0.2:80"}, {Addr: "10.0.0.3:80"}, {Addr: "10.0.0.4:80"}}})
+		reg.owner = rpc.Own(st, 16)
 		for _, c := range []struct {
 			name   string
 			silent time.Duration // of two; the third was heard just now
 			held   bool
-		}{{"never heard", -1, true}, {"heard lately", contactMs * time.Millisecond, true}, {"cut off", (contactMs + 1) * time.Millisecond, false}} {
-			h.own.Ask(func(b *books) {
-				b.heard = make([]time.Time, 3)
+		}{{"never heard", -1, true}, {"heard lately", maxContactAgeMs * time.Millisecond, true}, {"cut off", (maxContactAgeMs + 1) * time.Millisecond, false}} {
+			reg.owner.Ask(func(st *state) {
+				st.servingAt = make([]time.Time, 3)
 				if c.silent >= 0 {
 					now := time.Now()
-					b.heard = []time.Time{now, now.Add(-c.silent), now.Add(-c.silent)}
+					st.servingAt = []time.Time{now, now.Add(-c.silent), now.Add(-c.silent)}
 				}
 			})
 			begun := time.Now()
-			if k := errcode.Of(h.propose(t.Context(), consensus.Order{})); k != errcode.CoreOut {
+			if k := errcode.Of(reg.propose(t.Context(), consensus.Order{})); k != errcode.CoreOut {
 				t.Errorf("%s: %v", c.name, k)
 			}
 			if took := time.Since(begun); (took > 0) != c.held {
 				t.Errorf("%s: after %v", c.name, took)
 			}
 		}
-		h.council.Close()
-		h.own.End()
+		reg.quorum.Close()
+		reg.owner.End()
 		p.End()
 	})
 }
@@ -222,28 +222,28 @@
 // Who sees that voters share what is to be borne, and has no lease for the duty yet, looks again soon: by then it has it, or another one.
 func TestDutyForASpreadIsAskedForSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, b := ashore(t)
-		defer h.council.Close()
-		h.o.Lost, h.o.Bears.Zones = 2*time.Second, 1
-		roll := messages.Roll{Epoch: 2}
+		reg, st := newTestRegistry(t)
+		defer reg.quorum.Close()
+		reg.options.LostAfter, reg.options.Tolerance.Zones = 2*time.Second, 1
+		voterSet := messages.VoterSet{Epoch: 2}
 		for i, zone := range []string{"east", "east", "west"} {
 			name := string(rune('a' + i))
-			roll.Voters = append(roll.Voters, messages.Voter{Name: name, Addr: name + ":1", Zone: zone})
+			voterSet.Voters = append(voterSet.Voters, messages.Voter{Name: name, Addr: name + ":1", Zone: zone})
 		}
-		h.council.Take(roll)
-		close(h.ended) // no change is begun
+		reg.quorum.Take(voterSet)
+		close(reg.closed) // no change is begun
 		time.Sleep(time.Minute)
 		now := time.Now()
-		b.begun, b.since, b.epoch = now.Add(-time.Minute), now.Add(-time.Minute), 2
-		b.heard, b.answered = []time.Time{now, now, now}, []time.Time{now, now, now}
+		st.started, st.observedSince, st.voterEpoch = now.Add(-time.Minute), now.Add(-time.Minute), 2
+		st.servingAt, st.answeredAt = []time.Time{now, now, now}, []time.Time{now, now, now}
 		held := &lease.Lease{Members: 3}
-		b.leases = map[lease.Name]*lease.Lease{lease.Roll: held}
-		held.Due(time.Since(b.begun)) // asked just now, and nobody has answered
-		if b.tend(now) {
+		st.leases = map[lease.Name]*lease.Lease{lease.Roll: held}
+		held.Due(time.Since(st.started)) // asked just now, and nobody has answered
+		if st.maintainVoters(now) {
 			t.Error("soon, with nobody who could take a place")
 		}
-		b.masters["d"] = messages.Master{Name: "d", Addr: "d:1", Zone: "south"}
-		if !b.tend(now) {
+		st.registries["d"] = messages.Registry{Name: "d", Addr: "d:1", Zone: "south"}
+		if !st.maintainVoters(now) {
 			t.Error("a look later at the earliest")
 		}
 	})
--- a/internal/registry/number_test.go
+++ b/internal/registry/number_test.go
@@ -17,15 +17,15 @@
 	"saltmast/internal/simulation/network"
 )
 
-// chamber is a harbour without proxies, and three members that have accepted what a test says, the last of its sets at each.
-func chamber(t *testing.T, left [3][]configuration.Set, do func(t *testing.T, h *Harbour, voters []*voter)) {
+// withTestVoters is a harbour without proxies, and three members that have accepted what a test says, the last of its sets at each.
+func withTestVoters(t *testing.T, left [3][]configuration.Set, do func(t *testing.T, reg *Registry, voters []*testVoter)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := network.New(1).Machine("10.0.0.1", "north").Start()
-		h, b := ashore(t)
-		h.council = quorum.New(p)
-		h.own = rpc.Own(b, 16)
-		roll := messages.Roll{Epoch: 1}
-		var voters []*voter
+		reg, st := newTestRegistry(t)
+		reg.quorum = quorum.New(p)
+		reg.owner = rpc.Own(st, 16)
+		voterSet := messages.VoterSet{Epoch: 1}
+		var voters []*testVoter
 		var servers []*rpc.Server
 		for n, sets := range left {
 			addr := fmt.Sprintf("10.0.0.1:%d", n+1)
@@ -33,7 +33,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			v := &voter{acc: consensus.NewAcceptor(), by: n}
+			v := &testVoter{acceptor: consensus.NewAcceptor(), index: n}
 			for _, s := range sets {
 				var newest configuration.Ballot
 				for i := range s.All() {
@@ -41,26 +41,26 @@
 						newest = i.Ballot
 					}
 				}
-				v.acc.Accept(newest, slices.Collect(s.All()))
-				b.raise(newest)
+				v.acceptor.Accept(newest, slices.Collect(s.All()))
+				st.observeBallot(newest)
 			}
 			voters, servers = append(voters, v), append(servers, rpc.Serve(l, v.handle))
-			roll.Voters = append(roll.Voters, messages.Voter{Addr: addr})
+			voterSet.Voters = append(voterSet.Voters, messages.Voter{Addr: addr})
 		}
-		h.council.Take(roll)
-		b.upto, b.taught = make([]configuration.Ballot, 3), make([]bool, 3)
-		do(t, h, voters)
-		h.council.Close()
+		reg.quorum.Take(voterSet)
+		st.completeUpTo, st.teaching = make([]configuration.Ballot, 3), make([]bool, 3)
+		do(t, reg, voters)
+		reg.quorum.Close()
 		for _, s := range servers {
 			s.Close()
 		}
-		h.own.End()
+		reg.owner.End()
 		p.End()
 	})
 }
 
-// laid is a set with the items of a call laid over it, under ballot n.
-func laid(t *testing.T, s configuration.Set, n uint64, text string) (configuration.Set, []configuration.Item) {
+// applyCall is a set with the items of a call laid over it, under ballot n.
+func applyCall(t *testing.T, s configuration.Set, n uint64, text string) (configuration.Set, []configuration.Item) {
 	c, err := configuration.DecodeCall([]byte(`{"upsert":{"resources":[` + text + `]}}`))
 	if err != nil {
 		t.Fatal(err)
@@ -80,20 +80,20 @@
 // A call that is refused for what a majority has accepted does not come into force when a member is back that alone holds a later
 // value, with the call and what it hangs on: by a copy of it that another agent had left there.
 func TestRefusalHoldsAgainstWhatOneMemberHas(t *testing.T) {
-	base, _ := laid(t, configuration.Set{}, 5, serviceText("s"))
-	more, _ := laid(t, base, 6, serviceText("late"))
-	all, order := laid(t, more, 7, routeText("r1", "late"))
-	chamber(t, [3][]configuration.Set{{base, all}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
-		voters[0].mute = true
-		if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(order, configuration.Set{}))); k != errcode.Invalid {
+	base, _ := applyCall(t, configuration.Set{}, 5, serviceText("s"))
+	more, _ := applyCall(t, base, 6, serviceText("late"))
+	all, order := applyCall(t, more, 7, routeText("r1", "late"))
+	withTestVoters(t, [3][]configuration.Set{{base, all}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
+		voters[0].silent = true
+		if k := errcode.Of(reg.propose(t.Context(), consensus.NewOrder(order, configuration.Set{}))); k != errcode.Invalid {
 			t.Errorf("while nobody tells of its service: %v", k)
 		}
-		voters[0].mute, voters[1].mute = false, true
-		if err := h.propose(t.Context(), consensus.Order{}); err != nil {
+		voters[0].silent, voters[1].silent = false, true
+		if err := reg.propose(t.Context(), consensus.Order{}); err != nil {
 			t.Error(err)
 		}
-		h.own.Ask(func(b *books) {
-			if _, ok := b.stands.Get(order[0].Key); ok {
+		reg.owner.Ask(func(st *state) {
+			if _, ok := st.chosenSet.Get(order[0].Key); ok {
 				t.Error("what was refused is in force")
 			}
 		})
@@ -102,10 +102,10 @@
 
 // A copy that waits at an agent while the other is refused is never taken, whatever comes meanwhile; one that is sent anew is.
 func TestCopyBesideARefusal(t *testing.T) {
-	base, _ := laid(t, configuration.Set{}, 5, serviceText("s"))
-	_, order := laid(t, base, 6, routeText("r1", "late"))
-	_, late := laid(t, base, 6, serviceText("late"))
-	chamber(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, h *Harbour, _ []*voter) {
+	base, _ := applyCall(t, configuration.Set{}, 5, serviceText("s"))
+	_, order := applyCall(t, base, 6, routeText("r1", "late"))
+	_, late := applyCall(t, base, 6, serviceText("late"))
+	withTestVoters(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, reg *Registry, _ []*testVoter) {
 		waits := consensus.NewOrder(order, base)
 		for _, step := range []struct {
 			what  string
@@ -113,13 +113,13 @@
 			want  errcode.Kind
 		}{{"a copy", consensus.NewOrder(order, base), errcode.Invalid}, {"its service", consensus.NewOrder(late, base), errcode.OK},
 			{"the copy that waited", waits, errcode.Unsure}} {
-			if k := errcode.Of(h.propose(t.Context(), step.order)); k != step.want {
+			if k := errcode.Of(reg.propose(t.Context(), step.order)); k != step.want {
 				t.Errorf("%s: %v, want %v", step.what, k, step.want)
 			}
 		}
 		var anew consensus.Order
-		h.own.Ask(func(b *books) { anew = consensus.NewOrder(order, b.stands) })
-		if err := h.propose(t.Context(), anew); err != nil {
+		reg.owner.Ask(func(st *state) { anew = consensus.NewOrder(order, st.chosenSet) })
+		if err := reg.propose(t.Context(), anew); err != nil {
 			t.Errorf("sent anew: %v", err)
 		}
 	})
@@ -127,17 +127,17 @@
 
 // A call whose sender has gone is proposed no more: it would come into force where nobody waits for it.
 func TestSenderHasGone(t *testing.T) {
-	base, _ := laid(t, configuration.Set{}, 5, serviceText("s"))
-	_, order := laid(t, base, 6, routeText("r1", "s"))
-	chamber(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
+	base, _ := applyCall(t, configuration.Set{}, 5, serviceText("s"))
+	_, order := applyCall(t, base, 6, routeText("r1", "s"))
+	withTestVoters(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
 		ctx, gone := context.WithCancel(t.Context())
 		gone()
-		if k := errcode.Of(h.propose(ctx, consensus.NewOrder(order, base))); k.Answer().Status != 503 {
+		if k := errcode.Of(reg.propose(ctx, consensus.NewOrder(order, base))); k.Answer().Status != 503 {
 			t.Errorf("answered %v", k)
 		}
 		for _, v := range voters {
 			v.mu.Lock()
-			if _, ok := v.acc.Value.Get(order[0].Key); ok {
+			if _, ok := v.acceptor.Value.Get(order[0].Key); ok {
 				t.Error("a member has it")
 			}
 			v.mu.Unlock()
@@ -165,19 +165,19 @@
 		all[i].Past, all[i].Ballot = past.Past, configuration.Ballot{N: 1, By: 9}
 	}
 	base := configuration.SetOf(all...)
-	chamber(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
+	withTestVoters(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
 		last := past.Version + 1
 		for _, c := range []struct {
 			version configuration.Version
 			want    errcode.Kind
 		}{{last, errcode.OK}, {last - 1, errcode.OK}, {1, errcode.Unsure}, {last - 17, errcode.OK}, {last - 18, errcode.Unsure}} {
-			if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(call(c.version), base))); k != c.want {
+			if k := errcode.Of(reg.propose(t.Context(), consensus.NewOrder(call(c.version), base))); k != c.want {
 				t.Errorf("%s: %v, want %v", c.version, k, c.want)
 			}
 		}
 		for _, v := range voters {
-			if v.most > consensus.DeltaMax {
-				t.Errorf("a member keeps %d bytes beside its base", v.most)
+			if v.largestCall > consensus.DeltaMax {
+				t.Errorf("a member keeps %d bytes beside its base", v.largestCall)
 			}
 		}
 	})
@@ -185,13 +185,13 @@
 
 // A call whose refusal a round left with one member, and did not come through, hears of it from the next round.
 func TestRefusalThatWasLeft(t *testing.T) {
-	base, _ := laid(t, configuration.Set{}, 5, serviceText("s"))
-	_, items := laid(t, base, 6, routeText("r1", "late"))
+	base, _ := applyCall(t, configuration.Set{}, 5, serviceText("s"))
+	_, items := applyCall(t, base, 6, routeText("r1", "late"))
 	order := consensus.NewOrder(items, base)
 	left := order.Lay(base, configuration.Ballot{N: 6, By: 9}, configuration.Set.Check).Next
-	chamber(t, [3][]configuration.Set{{base, left}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
-		voters[1].mute = true
-		if k := errcode.Of(h.propose(t.Context(), order)); k != errcode.Invalid {
+	withTestVoters(t, [3][]configuration.Set{{base, left}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
+		voters[1].silent = true
+		if k := errcode.Of(reg.propose(t.Context(), order)); k != errcode.Invalid {
 			t.Errorf("%v", k)
 		}
 	})
@@ -199,19 +199,19 @@
 
 // A round that a majority has turned down is over then, though one member says nothing: the next begins at once.
 func TestSilentMemberHoldsUpNoNextRound(t *testing.T) {
-	base, _ := laid(t, configuration.Set{}, 5, serviceText("s"))
-	_, order := laid(t, base, 6, routeText("r1", "s"))
-	for what, begin := range map[string]func(v *voter){
-		"they have promised a higher ballot": func(v *voter) { v.acc.Prepare(configuration.Ballot{N: 50, By: 9}) },
-		"they promise one before the accept": func(v *voter) { v.overtaken = 1 },
+	base, _ := applyCall(t, configuration.Set{}, 5, serviceText("s"))
+	_, order := applyCall(t, base, 6, routeText("r1", "s"))
+	for what, begin := range map[string]func(v *testVoter){
+		"they have promised a higher ballot": func(v *testVoter) { v.acceptor.Prepare(configuration.Ballot{N: 50, By: 9}) },
+		"they promise one before the accept": func(v *testVoter) { v.overtakes = 1 },
 	} {
 		t.Run(what, func(t *testing.T) {
-			chamber(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
-				voters[2].mute = true
+			withTestVoters(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
+				voters[2].silent = true
 				begin(voters[0])
 				begin(voters[1])
 				begun := time.Now()
-				err := h.propose(t.Context(), consensus.NewOrder(order, base))
+				err := reg.propose(t.Context(), consensus.NewOrder(order, base))
 				if took := time.Since(begun); err != nil || took > 100*time.Millisecond {
 					t.Errorf("%v after %v", err, took)
 				}
--- /dev/null
+++ b/internal/registry/registry_test.go
@@ -0,0 +1,200 @@
+package registry
+
+import (
+	"fmt"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"saltmast/internal/backends"
+	"saltmast/internal/configuration"
+	"saltmast/internal/consensus"
+	"saltmast/internal/errcode"
+	"saltmast/internal/messages"
+	"saltmast/internal/quorum"
+	"saltmast/internal/rpc"
+	"saltmast/internal/simulation/network"
+)
+
+// newTestRegistry is a harbour without goroutines, sockets or members.
+func newTestRegistry(t testing.TB) (*Registry, *state) {
+	reg := &Registry{options: Options{Incarnation: 1, Log: func(event, text string) { t.Log(event, text) }}, quorum: quorum.New(nil),
+		closed: make(chan struct{}), roundSlot: make(chan struct{}, 1)}
+	return reg, &state{registry: reg, backends: backends.New(), registries: map[string]messages.Registry{}, registryLostSince: map[string]time.Time{},
+		pulls: map[string]chan struct{}{}, entriesReceived: map[string]bool{}, pullers: map[*pullWaiter]struct{}{}}
+}
+
+// A puller waits unless there is something that it lacks: one that knows more than is known here is not answered at once,
+// again and again.
+func TestNews(t *testing.T) {
+	reg, st := newTestRegistry(t)
+	wants := func(m messages.PullCall) bool { m.Incarnation = 1; return st.hasUpdate(&pullWaiter{request: m}) }
+	if wants(messages.PullCall{Epoch: 1, RegistriesDigest: st.registriesDigest, Have: configuration.Ballot{N: 1}}) {
+		t.Error("news for one who knows more")
+	}
+	reg.quorum.Take(messages.VoterSet{Epoch: 2})
+	st.backends.Join(backends.Berth{Node: "n", Version: 1})
+	st.setChosen(configuration.Ballot{N: 1}, configuration.Set{})
+	st.putRegistry(messages.Registry{Name: "m"})
+	all := messages.PullCall{Revision: 1, Epoch: 2, RegistriesDigest: st.buildReply(messages.PullCall{}).RegistriesDigest, Have: configuration.Ballot{N: 1}}
+	for name, change := range map[string]func(*messages.PullCall){
+		"":              func(*messages.PullCall) {},
+		"a berth":       func(m *messages.PullCall) { m.Revision = 0 },
+		"the roll":      func(m *messages.PullCall) { m.Epoch = 1 },
+		"a master":      func(m *messages.PullCall) { m.RegistriesDigest = 0 },
+		"configuration": func(m *messages.PullCall) { m.Have = configuration.Ballot{} },
+	} {
+		m := all
+		if change(&m); wants(m) != (name != "") {
+			t.Errorf("lacking %q: news %v", name, wants(m))
+		}
+	}
+}
+
+// While rounds fail, those that settle what is pending do not pile up before the operator's, which wait no longer than their
+// callers.
+func TestRoundsInTurn(t *testing.T) {
+	reg, st := newTestRegistry(t)
+	st.servingAt, st.pendingSince, st.behindCount, st.sealedSince = make([]time.Time, 3), make([]time.Time, 3), make([]int, 3), make([]time.Time, 3)
+	st.marks, st.currentAt, st.completeUpTo, st.teaching, st.answeredAt = make([]messages.Mark, 3), make([]time.Time, 3), make([]configuration.Ballot, 3), make([]bool, 3), make([]time.Time, 3)
+	reg.roundSlot <- struct{}{} // a round that takes long
+	long := time.Now().Add(-time.Minute)
+	for i := range 30 {
+		st.pendingSince[i%3] = long
+		st.handleWatchReply(i%3, messages.WatchReply{State: "serving", Origin: consensus.Vouch{By: i % 3}, Accepted: configuration.Ballot{N: 1}}, time.Now())
+	}
+	if reg.startSettling() {
+		t.Error("another that settles was begun")
+	}
+	if reg.acquireRound(time.Now()) {
+		t.Error("two have the turn")
+	}
+	close(reg.closed)
+	if reg.acquireRound(time.Now().Add(time.Hour)) {
+		t.Error("a turn after the end")
+	}
+	<-reg.roundSlot
+}
+
+// testVoter is a member of those that count, in memory alone.
+type testVoter struct {
+	mu          sync.Mutex
+	acceptor    *consensus.Acceptor
+	index       int
+	silent      bool
+	largestCall int // bytes of a call that told items
+
+	overtakes int // by another's higher ballot, ahead of so many accepts
+}
+
+func (v *testVoter) handle(c rpc.Call) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	vouch := consensus.Vouch{By: v.index, Incs: []uint64{1, 1, 1}}
+	var p messages.PrepareCall
+	var a messages.AcceptCall
+	var l messages.LearnCall
+	var turn messages.SendPageCall
+	switch {
+	case v.silent:
+	case c.Kind == messages.Prepare && rpc.Decode(c.Body, &p) == nil:
+		if v.acceptor.Prepare(p.B) {
+			c.Reply(v.acceptor.Promise(vouch, p.Have), nil)
+		} else {
+			c.Reply(consensus.Promise{Vouch: vouch, Promised: v.acceptor.Promised, Accepted: v.acceptor.Accepted}, nil)
+		}
+	case c.Kind == messages.Accept && rpc.Decode(c.Body, &a) == nil:
+		if v.overtakes > 0 {
+			v.overtakes--
+			v.acceptor.Prepare(configuration.Ballot{N: a.B.N + 10, By: 9})
+		}
+		taken := v.acceptor.May(a.B, a.Base)
+		if taken {
+			v.acceptor.Accept(a.B, v.acceptor.Delta(a.Changes))
+		}
+		v.largestCall = max(v.largestCall, len(c.Body))
+		c.Reply(messages.AcceptReply{Origin: vouch, Taken: taken, Promised: v.acceptor.Promised, Accepted: v.acceptor.Accepted}, nil)
+	case c.Kind == messages.Learn && rpc.Decode(c.Body, &l) == nil:
+		v.acceptor.Learn(l.B)
+	case c.Kind == messages.SendPage && rpc.Decode(c.Body, &turn) == nil:
+		v.largestCall = max(v.largestCall, len(c.Body))
+		taken := v.acceptor.Turns(turn.Page)
+		if taken {
+			v.acceptor.Turn(turn.Page)
+		}
+		c.Reply(messages.AcceptReply{Origin: vouch, Taken: taken, Promised: v.acceptor.Promised, Accepted: v.acceptor.Accepted, Chosen: v.acceptor.Chosen}, nil)
+	}
+}
+
+// A call that is refused for what another one left with a single member does not come into force when that member is gone,
+// though its own first round had left it with another.
+func TestRefusedStaysRefused(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := network.New(1)
+		p := s.Machine("10.0.0.1", "north").Start()
+		ballotOf := func(n uint64) configuration.Ballot { return configuration.Ballot{N: n, By: 9} }
+		call := func(n uint64, text string) (items []configuration.Item) {
+			c, err := configuration.DecodeCall([]byte(`{"upsert":{"resources":[` + text + `]}}`))
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, i := range c.Items {
+				i.Ballot = ballotOf(n)
+				items = append(items, i)
+			}
+			return items
+		}
+		route := func(name string) string {
+			return `{"resource-kind":"routes","metadata":{"name":"` + name + `","version":"r1"},"specification":` +
+				`{"host":"h","path-prefix":"/a/","route-kind":"idempotent","deadline-s":1,"target-s":1,"service":"s","max-attempts":1}}`
+		}
+		base := configuration.Set{}
+		for _, i := range call(5, `{"resource-kind":"services","metadata":{"name":"s","version":"r1"},"specification":{}}`) {
+			base, _ = base.Join(i)
+		}
+		ours, theirs := call(6, route("ours")), call(7, route("theirs"))
+		reg, st := newTestRegistry(t)
+		reg.quorum = quorum.New(p)
+		st.observeBallot(ballotOf(7))
+		reg.owner = rpc.Own(st, 16)
+		voterSet := messages.VoterSet{Epoch: 1}
+		var voters []*testVoter
+		var servers []*rpc.Server
+		for n, left := range [][]configuration.Item{ours, theirs, nil} {
+			addr := fmt.Sprintf("10.0.0.1:%d", n+1)
+			l, err := p.Listen(addr, 0)
+			if err != nil {
+				t.Fatal(err)
+			}
+			v := &testVoter{acceptor: consensus.NewAcceptor(), index: n}
+			v.acceptor.Accept(ballotOf(5), slices.Collect(base.All()))
+			if left != nil {
+				v.acceptor.Accept(left[0].Ballot, slices.Collect(v.acceptor.Value.With(left...).All()))
+			}
+			voters, servers = append(voters, v), append(servers, rpc.Serve(l, v.handle))
+			voterSet.Voters = append(voterSet.Voters, messages.Voter{Addr: addr})
+		}
+		reg.quorum.Take(voterSet)
+		voters[0].silent = true
+		if k := errcode.Of(reg.propose(t.Context(), consensus.NewOrder(ours, configuration.Set{}))); k != errcode.Invalid {
+			t.Errorf("beside theirs: %v", k)
+		}
+		voters[0].silent, voters[1].silent = false, true
+		if err := reg.propose(t.Context(), consensus.Order{}); err != nil {
+			t.Error(err)
+		}
+		reg.owner.Ask(func(st *state) {
+			if _, ok := st.chosenSet.Get(ours[0].Key); ok {
+				t.Error("what was refused is in force")
+			}
+		})
+		reg.quorum.Close()
+		for _, s := range servers {
+			s.Close()
+		}
+		reg.owner.End()
+		p.End()
+	})
+}
--- a/internal/registry/report.go
+++ b/internal/registry/report.go
@@ -13,8 +13,8 @@
 	"saltmast/internal/rpc"
 )
 
-// report tells what is known here. The owner hands over copies; ordering, cutting and encoding are done beside it.
-func (h *Harbour) report(c rpc.Call) {
+// handleReport answers with a report of the state. The owner hands over copies; sorting, truncating and encoding run outside it.
+func (reg *Registry) handleReport(c rpc.Call) {
 	var call messages.ReportCall
 	if len(c.Body) > 0 {
 		if err := rpc.Decode(c.Body, &call); err != nil {
@@ -22,36 +22,36 @@
 			return
 		}
 	}
-	h.own.Send(func(b *books) {
-		roll := h.council.Roll()
-		r := messages.Reported{Program: messages.TheHarbour, Version: process.Version, Node: h.o.Self.Name, Zone: h.o.Self.Zone, Addr: h.o.Self.Addr,
-			Life: h.o.Life, UpMs: uint64(time.Since(b.begun).Milliseconds()), Chosen: b.chosen, Epoch: roll.Epoch, Voters: roll.Voters}
-		own := &messages.HarbourReport{Masters: slices.Collect(maps.Values(b.masters)), FreshMs: b.fresh(),
-			Teaches: b.holds(lease.Teach)}
-		own.HeardMs, own.AnsweredMs = sinceMs(b.heard), sinceMs(b.answered)
+	reg.owner.Send(func(st *state) {
+		voterSet := reg.quorum.Roll()
+		r := messages.ReportReply{Program: messages.ProgramRegistry, Version: process.Version, Node: reg.options.Self.Name, Zone: reg.options.Self.Zone, Addr: reg.options.Self.Addr,
+			Incarnation: reg.options.Incarnation, UpMs: uint64(time.Since(st.started).Milliseconds()), Chosen: st.chosenBallot, Epoch: voterSet.Epoch, Voters: voterSet.Voters}
+		own := &messages.RegistryReport{Registries: slices.Collect(maps.Values(st.registries)), FreshMs: st.majorityContactMs(),
+			HoldsTeachLease: st.holdsLease(lease.Teach)}
+		own.HeardMs, own.AnsweredMs = sinceMs(st.servingAt), sinceMs(st.answeredAt)
 		var pullers []string
-		for p := range b.pullers {
+		for p := range st.pullers {
 			switch {
-			case p.m.Self != nil:
-				pullers = append(pullers, p.m.Self.Node)
-			case p.m.Master != nil:
-				pullers = append(pullers, p.m.Master.Name)
+			case p.request.Self != nil:
+				pullers = append(pullers, p.request.Self.Node)
+			case p.request.Registry != nil:
+				pullers = append(pullers, p.request.Registry.Name)
 			}
 		}
-		items, all := messages.ItemReports(b.stands), b.berths.All()
+		items, backends := messages.NewItemReports(st.chosenSet), st.backends.All()
 		go func() {
-			slices.SortFunc(own.Masters, func(x, y messages.Master) int { return cmp.Compare(x.Name, y.Name) })
+			slices.SortFunc(own.Registries, func(x, y messages.Registry) int { return cmp.Compare(x.Name, y.Name) })
 			own.SetPullers(pullers)
-			r.Harbour = own
+			r.Registry = own
 			r.SetItems(items)
-			r.SetBerths(reports(all), call.Brief)
-			r.Counts, r.Traffic = Running{H: h}.Counts(), rpc.Totals()
+			r.SetBackends(backendReports(backends), call.Brief)
+			r.Counts, r.Traffic = Running{Registry: reg}.Counts(), rpc.Totals()
 			c.Reply(r, nil)
 		}()
 	})
 }
 
-// sinceMs are the milliseconds since each of the times; Never for a zero one.
+// sinceMs returns the milliseconds since each of the times; messages.Never for a zero time.
 func sinceMs(times []time.Time) (out []uint32) {
 	for _, t := range times {
 		ms := uint32(messages.Never)
@@ -63,15 +63,15 @@
 	return out
 }
 
-func (b *books) holds(d lease.Name) bool {
-	l := b.leases[d]
-	return l != nil && l.Holds(time.Since(b.begun))
+func (st *state) holdsLease(d lease.Name) bool {
+	l := st.leases[d]
+	return l != nil && l.Holds(time.Since(st.started))
 }
 
-func reports(all []backends.Berth) []messages.BerthReport {
-	out := make([]messages.BerthReport, len(all))
+func backendReports(all []backends.Berth) []messages.BackendReport {
+	out := make([]messages.BackendReport, len(all))
 	for i, b := range all {
-		out[i] = messages.Reports(b)
+		out[i] = messages.NewBackendReport(b)
 	}
 	return out
 }
--- a/internal/simulation/contact_test.go
+++ b/internal/simulation/contact_test.go
@@ -28,13 +28,13 @@
 		says string
 	}{
 		{"a harbourmaster that says that it hears a majority, and keeps proxies that are in touch", day("long-lure"),
-			Flaw{News: func(c *coreMachine, n *messages.News) {
+			Flaw{News: func(c *coreMachine, n *messages.PullReply) {
 				if c.away.Load() {
 					n.FreshMs = 0
 				}
 			}}, "CONFIG", "late"},
 		{"a harbourmaster that vouches for what it does not tell on, where one other hears it", day("long-triangle"),
-			Flaw{News: func(c *coreMachine, n *messages.News) {
+			Flaw{News: func(c *coreMachine, n *messages.PullReply) {
 				if c.away.Load() {
 					n.Items = nil
 				}
@@ -54,7 +54,7 @@
 				return status
 			}}, "CONTACT", "cut off since"},
 		{"a harbourmaster that says that it hears a majority while it is cut off", day("long-cut"),
-			Flaw{News: func(c *coreMachine, n *messages.News) {
+			Flaw{News: func(c *coreMachine, n *messages.PullReply) {
 				if c.away.Load() {
 					n.FreshMs = 0
 				}
--- a/internal/simulation/epochs.go
+++ b/internal/simulation/epochs.go
@@ -38,11 +38,11 @@
 }
 
 // replace asks a harbourmaster to have one core machine take another's place among those that count.
-func (o *operator) replace(at, old, by *coreMachine) (t messages.RollsTold, err error) {
-	c := rpc.NewClient(o.p, messages.Beside(at.m.IP, firstFree, messages.HarbourPort))
+func (o *operator) replace(at, old, by *coreMachine) (t messages.ChangeVotersReply, err error) {
+	c := rpc.NewClient(o.p, messages.AddrOnHost(at.m.IP, firstFree, messages.RegistryPort))
 	defer c.Close()
-	err = c.Call(messages.Rolls, messages.RollsCall{Replace: [][2]string{{old.name, by.name}}}, &t, 6*time.Second)
-	o.w.note("operator")("roll", fmt.Sprintf("%s by %s at %s: epoch %d after %d ms, %q, %v", old.name, by.name, at.name, t.Roll.Epoch, t.TookMs, t.Why, err))
+	err = c.Call(messages.ChangeVoters, messages.ChangeVotersCall{Replace: [][2]string{{old.name, by.name}}}, &t, 6*time.Second)
+	o.w.note("operator")("roll", fmt.Sprintf("%s by %s at %s: epoch %d after %d ms, %q, %v", old.name, by.name, at.name, t.VoterSet.Epoch, t.TookMs, t.Error, err))
 	return t, err
 }
 
@@ -100,8 +100,8 @@
 	over := w.trouble("kill", down.name, true)
 	down.kill()
 	w.pause(time.Duration(r.IntN(800)) * time.Millisecond)
-	if t, err := op.replace([]*coreMachine{old, rest, d}[r.IntN(3)], old, d); err != nil || t.Why != "" {
-		w.must(fmt.Errorf("the roll was not changed: %v, %s", err, t.Why))
+	if t, err := op.replace([]*coreMachine{old, rest, d}[r.IntN(3)], old, d); err != nil || t.Error != "" {
+		w.must(fmt.Errorf("the roll was not changed: %v, %s", err, t.Error))
 	}
 	w.becomes(d, store.Serving, 2, time.Second)
 	w.becomes(old, store.Apart, 2, time.Second)
--- a/internal/simulation/flaws.go
+++ b/internal/simulation/flaws.go
@@ -106,7 +106,7 @@
 // giveBack has the members give back the claim of a key, whoever holds it.
 func (m *tugMachine) giveBack(key string) {
 	for _, core := range m.w.core {
-		c := rpc.NewClient(m.crowd(), net.JoinHostPort(core.m.IP, strconv.Itoa(firstFree+messages.PurserPort)))
+		c := rpc.NewClient(m.crowd(), net.JoinHostPort(core.m.IP, strconv.Itoa(firstFree+messages.StorePort)))
 		var g idempotency.Grant
 		mine := idempotency.ID{Life: 1, N: 1, At: "nowhere"}
 		if c.Call(messages.Claim, messages.ClaimCall{Key: key, ID: mine, Epoch: 1}, &g, time.Second) == nil {
--- a/internal/simulation/loss.go
+++ b/internal/simulation/loss.go
@@ -197,8 +197,8 @@
 	w.instant(down, store.Serving, 1, 2*time.Second)
 	at = r.IntN(3)
 	ask := func() {
-		if t, err := op.replace([]*coreMachine{old, rest, d}[at], old, d); !w.flaw.Hasty && (err != nil || t.Why != "" || t.Holds < 2) {
-			w.must(fmt.Errorf("the roll was not changed: %v, %s, held by %d", err, t.Why, t.Holds))
+		if t, err := op.replace([]*coreMachine{old, rest, d}[at], old, d); !w.flaw.Hasty && (err != nil || t.Error != "" || t.Active < 2) {
+			w.must(fmt.Errorf("the roll was not changed: %v, %s, held by %d", err, t.Error, t.Active))
 		}
 	}
 	if w.flaw.Hasty {
--- a/internal/simulation/missed.go
+++ b/internal/simulation/missed.go
@@ -50,8 +50,8 @@
 	if how == 2 { // the roll is of the other three from here on, and the one that comes last has all to learn
 		d := w.another()
 		op.grow(40, 30, 30, next.n)
-		if t, err := op.replace(next, down, d); err != nil || t.Why != "" {
-			w.must(fmt.Errorf("the roll was not changed: %v, %s", err, t.Why))
+		if t, err := op.replace(next, down, d); err != nil || t.Error != "" {
+			w.must(fmt.Errorf("the roll was not changed: %v, %s", err, t.Error))
 		}
 		w.becomes(d, store.Serving, 2, wholeIn)
 		over()
--- a/internal/simulation/numbers.go
+++ b/internal/simulation/numbers.go
@@ -345,8 +345,8 @@
 		over := w.trouble("kill", down.name, true)
 		down.kill()
 		w.pause(time.Duration(r.IntN(800)) * time.Millisecond)
-		if t, err := op.replace([]*coreMachine{old, rest, d}[r.IntN(3)], old, d); err != nil || t.Why != "" {
-			w.must(fmt.Errorf("the roll was not changed: %v, %s", err, t.Why))
+		if t, err := op.replace([]*coreMachine{old, rest, d}[r.IntN(3)], old, d); err != nil || t.Error != "" {
+			w.must(fmt.Errorf("the roll was not changed: %v, %s", err, t.Error))
 		}
 		w.pause(time.Duration(r.IntN(1500)) * time.Millisecond)
 		w.must(down.start())
@@ -370,8 +370,8 @@
 		w.middle(r)
 		for n, old := range w.core[:3] {
 			at := []*coreMachine{old, next[n], next[max(0, n-1)]}[r.IntN(3)]
-			if t, err := op.replace(at, old, next[n]); err != nil || t.Why != "" {
-				w.must(fmt.Errorf("the roll was not changed: %v, %s", err, t.Why))
+			if t, err := op.replace(at, old, next[n]); err != nil || t.Error != "" {
+				w.must(fmt.Errorf("the roll was not changed: %v, %s", err, t.Error))
 				return
 			}
 			w.becomes(next[n], store.Serving, uint64(n+2), 5*time.Second)
--- a/internal/simulation/roster_test.go
+++ b/internal/simulation/roster_test.go
@@ -30,9 +30,9 @@
 		side.proc = nil
 		known := func(node string) (masters, berths int) {
 			for _, c := range w.core[:2] {
-				s := c.hr.H.Status()
-				masters += len(s.Masters)
-				for _, b := range s.Berths {
+				s := c.hr.Registry.Status()
+				masters += len(s.Registries)
+				for _, b := range s.Backends {
 					if b.Node == node {
 						berths++
 					}
--- a/internal/simulation/spoilt.go
+++ b/internal/simulation/spoilt.go
@@ -32,7 +32,7 @@
 	flaw := n.c.w.flaw
 	switch {
 	case err != nil:
-	case flaw.News != nil && strings.HasSuffix(addr, ":"+strconv.Itoa(firstFree+messages.HarbourPort)):
+	case flaw.News != nil && strings.HasSuffix(addr, ":"+strconv.Itoa(firstFree+messages.RegistryPort)):
 		return &spoiltListener{l, func(x net.Conn) net.Conn { return &toldConn{x, n.c} }}, nil
 	case flaw.Deaf && strings.HasSuffix(addr, ":"+portControl):
 		return &spoiltListener{l, func(x net.Conn) net.Conn { return &deafConn{x, make(chan struct{})} }}, nil
@@ -89,7 +89,7 @@
 		n := 4 + int(binary.BigEndian.Uint32(rest))
 		head, body := rest[:10], rest[10:n]
 		rest = rest[n:]
-		var news messages.News
+		var news messages.PullReply
 		if head[8] == messages.Pull && errcode.Kind(head[9]) == errcode.OK && rpc.Decode(body, &news) == nil {
 			t.c.w.flaw.News(t.c, &news)
 			body = rpc.Encode(news)
--- a/internal/simulation/syncs_test.go
+++ b/internal/simulation/syncs_test.go
@@ -24,7 +24,7 @@
 
 // grants asks the voters of a roll for the key on behalf of a claimant, and gives how many grant it, of how many.
 func (q *quay) grants(id idempotency.ID) (given, of int) {
-	var roll messages.Roll
+	var roll messages.VoterSet
 	for _, c := range q.core {
 		if r := c.pr.P.Status().Roll; r.Epoch > roll.Epoch {
 			roll = r
@@ -43,7 +43,7 @@
 
 // known waits until the first harbourmaster knows so many.
 func (q *quay) known(n int) {
-	for end := q.now() + 4*time.Second; len(q.core[0].hr.H.Status().Masters) < n; q.pause(10 * time.Millisecond) {
+	for end := q.now() + 4*time.Second; len(q.core[0].hr.Registry.Status().Registries) < n; q.pause(10 * time.Millisecond) {
 		if q.now() > end {
 			q.must(fmt.Errorf("fewer than %d harbourmasters are known", n))
 			return
@@ -176,7 +176,7 @@
 	done := make(chan string, 1)
 	go func() {
 		told, err := q.op.replace(q.core[0], q.core[1], d)
-		done <- fmt.Sprint(told.Why, err)
+		done <- fmt.Sprint(told.Error, err)
 	}()
 	came := q.struck(hit, back, func() { <-done }, s)
 	for range 10 { // its proposer may have ended before anybody was sealed
@@ -271,7 +271,7 @@
 			a.left.Store(2) // the first puts its number there
 			d.amid.Store(a)
 			told, err := q.op.replace(q.core[0], q.core[1], d)
-			if err != nil || told.Why != "" || told.Roll.Epoch != 2 || told.Holds != held {
+			if err != nil || told.Error != "" || told.VoterSet.Epoch != 2 || told.Active != held {
 				t.Errorf("%d hold it: %+v, %v", held, told, err)
 			}
 			w.must(d.start())
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -107,7 +107,7 @@
 	Hasty    bool                                               // a voter that is replaced goes with its disk before its successor has the books
 	Early    time.Duration                                      // disks answer so long before they have kept what they were given
 	Order    func(c *coreMachine, status int) int               // what an operator gets instead
-	News     func(c *coreMachine, n *messages.News)             // what a harbourmaster tells those who pull
+	News     func(c *coreMachine, n *messages.PullReply)        // what a harbourmaster tells those who pull
 	Blind    func(addr string) bool                             // proxies don't notice that who connected there has left
 	Deaf     bool                                               // harbourmasters don't notice that their callers have gone
 }
--- a/internal/store/amid_test.go
+++ b/internal/store/amid_test.go
@@ -56,14 +56,14 @@
 // next repair makes up for all.
 func TestRepairThatDiesAtEachSync(t *testing.T) {
 	items, claims := much()
-	m := mustered{m: messages.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: configuration.Ballot{N: 9},
+	m := mustered{m: messages.RecoverReply{Origin: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: configuration.Ballot{N: 9},
 		Chosen: configuration.Ballot{N: 9}}, claims: claims, base: configuration.SetOf(items...)}
 	for _, fails := range []bool{false, true} {
 		n, done := 0, false
 		for ; !done; n++ {
 			d := newDesk(t, Options{})
 			d.open()
-			d.roll = messages.Roll{Epoch: 1, Voters: voters}
+			d.roll = messages.VoterSet{Epoch: 1, Voters: voters}
 			d.place()
 			d.paper.rows[tableMeta] = map[string][]byte{"roll": d.putRoll().Value, "incs": d.putIncs().Value}
 			d.set(Repairing)
@@ -95,8 +95,8 @@
 // own books whole for those that need them.
 func TestTakingOverThatDiesAtEachSync(t *testing.T) {
 	items, claims := much()
-	next := messages.Roll{Epoch: 2, Voters: voters, Was: voters}
-	h := handed{base: configuration.SetOf(items...), claims: claims, h: messages.Handed{Estate: reconfig.Estate{Vouch: consensus.Vouch{By: 1, Incs: []uint64{1, 1, 1}},
+	next := messages.VoterSet{Epoch: 2, Voters: voters, Was: voters}
+	h := handed{base: configuration.SetOf(items...), claims: claims, h: messages.HandoverReply{Handover: reconfig.Estate{Vouch: consensus.Vouch{By: 1, Incs: []uint64{1, 1, 1}},
 		Promised: configuration.Ballot{N: 9}, Accepted: configuration.Ballot{N: 9}, Chosen: configuration.Ballot{N: 9}}}}
 	older := items[0]
 	older.Version, older.Ballot.N = 1, 3
@@ -117,7 +117,7 @@
 					d.settle()
 					d.ledger.Claim(0, "own", id(99))
 				} else {
-					d.roll = messages.Roll{Epoch: 1, Voters: []messages.Voter{{Addr: "x:1"}, {Addr: "b:1"}, {Addr: "c:1"}}}
+					d.roll = messages.VoterSet{Epoch: 1, Voters: []messages.Voter{{Addr: "x:1"}, {Addr: "b:1"}, {Addr: "c:1"}}}
 					d.place()
 					d.paper.rows[tableMeta] = map[string][]byte{"roll": d.putRoll().Value, "incs": d.putIncs().Value}
 					d.set(Apart)
--- a/internal/store/program.go
+++ b/internal/store/program.go
@@ -31,16 +31,16 @@
 func Launch(s *settings.Settings, log func(event, text string), on sock.Net, disk func() error) (Running, error) {
 	r := Running{s: &atomic.Pointer[settings.Settings]{}}
 	r.s.Store(s)
-	if s.DataDir == "" || s.Port(messages.GatePort) == "" {
-		return r, fmt.Errorf("%s: data-directory and %d ephemeral-ports wanted", s.Path, messages.GatePort+1)
+	if s.DataDir == "" || s.Port(messages.InboundPort) == "" {
+		return r, fmt.Errorf("%s: data-directory and %d ephemeral-ports wanted", s.Path, messages.InboundPort+1)
 	}
-	o := Options{Addr: s.Port(messages.PurserPort), Dir: s.DataDir, Zone: s.Zone, Bootstrap: s.Bootstrap, Quorum: s.QuorumMember,
+	o := Options{Addr: s.Port(messages.StorePort), Dir: s.DataDir, Zone: s.Zone, Bootstrap: s.Bootstrap, Quorum: s.QuorumMember,
 		Window: s.Bounds.DedupWindow + keyMargin, MaxBytes: int64(s.DiskMB * (1 << 20) / 2), First: s.Ports[0],
 		Net: on, Disk: disk, Log: log,
 		Seeds: func() (out []string) {
 			s := r.s.Load()
 			for _, x := range s.Seeds {
-				out = append(out, messages.Beside(x, s.Ports[0], messages.PurserPort))
+				out = append(out, messages.AddrOnHost(x, s.Ports[0], messages.StorePort))
 			}
 			return out
 		}}
--- a/internal/store/purser.go
+++ b/internal/store/purser.go
@@ -77,12 +77,12 @@
 	ended  chan struct{}
 	disks  sync.WaitGroup // openings of the disk, and closings ahead of one
 	begin  func(storage.Options) (disk, storage.Start, error)
-	aside  func(func() func(*books))           // does what waits beside the owner's goroutine, and queues the command that it gives
-	later  func(func(*books))                  // queues a command from where nobody may wait
-	known  func(messages.Roll) []messages.Mark // asks harbourmasters what this member told last
-	marked atomic.Uint64                       // the last mark that is on disk
-	adrift atomic.Int64                        // writes of claims that failed: these may be held in memory alone
-	ailing atomic.Int64                        // since when, by books.now and plus one, each write failed that ended; 0: the last did not
+	aside  func(func() func(*books))               // does what waits beside the owner's goroutine, and queues the command that it gives
+	later  func(func(*books))                      // queues a command from where nobody may wait
+	known  func(messages.VoterSet) []messages.Mark // asks harbourmasters what this member told last
+	marked atomic.Uint64                           // the last mark that is on disk
+	adrift atomic.Int64                            // writes of claims that failed: these may be held in memory alone
+	ailing atomic.Int64                            // since when, by books.now and plus one, each write failed that ended; 0: the last did not
 }
 
 // disk is what a purser asks of its hold.
@@ -102,7 +102,7 @@
 	acc       *consensus.Acceptor
 	ledger    *idempotency.Ledger
 	duties    *lease.Ledger
-	roll      messages.Roll
+	roll      messages.VoterSet
 	me        int      // place in the roll; -1: none
 	incs      []uint64 // by place
 	seal      reconfig.Seal
@@ -203,7 +203,7 @@
 	State  State
 	Keys   int
 	Chosen configuration.Ballot
-	Roll   messages.Roll
+	Roll   messages.VoterSet
 	Shut   bool // its epoch has ended here
 	Stall  time.Duration
 }
@@ -244,7 +244,7 @@
 // forget forgets all that a disk told.
 func (b *books) forget() {
 	b.clear()
-	b.roll, b.incs, b.me = messages.Roll{}, nil, -1
+	b.roll, b.incs, b.me = messages.VoterSet{}, nil, -1
 	b.seal, b.sealed, b.former, b.number, b.past = reconfig.Seal{}, false, configuration.Ballot{}, 0, nil
 }
 
@@ -333,7 +333,7 @@
 
 // found begins the very first epoch.
 func (b *books) found() {
-	b.roll = messages.Roll{Epoch: 1, Voters: b.p.o.Found}
+	b.roll = messages.VoterSet{Epoch: 1, Voters: b.p.o.Found}
 	b.incs = make([]uint64, len(b.roll.Voters))
 	b.place()
 	if b.me >= 0 {
@@ -553,7 +553,7 @@
 	if b.me < 0 || b.incs[b.me] == 0 {
 		return
 	}
-	mine := messages.Mark{Epoch: b.roll.Epoch, Inc: b.incs[b.me], N: b.mark}
+	mine := messages.Mark{Epoch: b.roll.Epoch, Incarnation: b.incs[b.me], Counter: b.mark}
 	for _, m := range b.p.known(b.roll) {
 		if mine.Behind(m) && b.old.Behind(m) {
 			b.old = m
@@ -562,15 +562,15 @@
 }
 
 // askKnown asks the harbourmasters beside all members.
-func (p *Purser) askKnown(roll messages.Roll) []messages.Mark {
+func (p *Purser) askKnown(roll messages.VoterSet) []messages.Mark {
 	if p.o.First == 0 {
 		return nil
 	}
 	var addrs []string
 	for _, v := range roll.Voters {
-		addrs = append(addrs, messages.Beside(v.Addr, p.o.First, messages.HarbourPort))
+		addrs = append(addrs, messages.AddrOnHost(v.Addr, p.o.First, messages.RegistryPort))
 	}
-	out, _ := ask[messages.Mark](p, addrs, messages.Known, messages.KnownCall{Addr: p.o.Addr}, knownTime)
+	out, _ := ask[messages.Mark](p, addrs, messages.LastMark, messages.LastMarkCall{Addr: p.o.Addr}, knownTime)
 	return out
 }
 
@@ -619,7 +619,7 @@
 		return with(c, b.accept)
 	case messages.Learn:
 		return with(c, b.learn)
-	case messages.Turn:
+	case messages.SendPage:
 		return with(c, b.turn)
 	case messages.Watch:
 		return with(c, b.watch)
@@ -627,15 +627,15 @@
 		return with(c, b.claim)
 	case messages.Release:
 		return with(c, b.release)
-	case messages.Muster:
+	case messages.Recover:
 		return with(c, b.muster)
 	case messages.Lease:
 		return with(c, b.lease)
 	case messages.Ready:
 		return with(c, b.ready)
-	case messages.Succeed:
+	case messages.ProposeVoters:
 		return with(c, b.succeed)
-	case messages.Relieve:
+	case messages.AdoptVoters:
 		return with(c, b.relieve)
 	case messages.Handover:
 		return with(c, b.handover)
@@ -758,8 +758,8 @@
 }
 
 // accepted answers who brought a part of the register.
-func (b *books) accepted(taken bool) messages.Accepted {
-	return messages.Accepted{Vouch: b.vouch(), Taken: taken, Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: b.acc.Chosen}
+func (b *books) accepted(taken bool) messages.AcceptReply {
+	return messages.AcceptReply{Origin: b.vouch(), Taken: taken, Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: b.acc.Chosen}
 }
 
 // alter writes a change of the register, and takes it once it is on disk. What comes meanwhile waits.
@@ -809,7 +809,7 @@
 }
 
 // turn takes a page of a chosen value that this member missed.
-func (b *books) turn(c rpc.Call, m messages.TurnCall) error {
+func (b *books) turn(c rpc.Call, m messages.SendPageCall) error {
 	if err := b.counts(m.Epoch); err != nil {
 		return err
 	}
@@ -848,12 +848,12 @@
 	}
 }
 
-func (b *books) watched(have configuration.Ballot) messages.Watched {
-	w := messages.Watched{Vouch: b.vouch(), Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: b.acc.Chosen,
-		Known: b.acc.Known(), Roll: b.roll, State: string(b.state), Keys: b.ledger.Len(), Shut: b.seal.Shut(), Mark: b.p.marked.Load()}
+func (b *books) watched(have configuration.Ballot) messages.WatchReply {
+	w := messages.WatchReply{Origin: b.vouch(), Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: b.acc.Chosen,
+		KnownChosen: b.acc.Known(), VoterSet: b.roll, State: string(b.state), Keys: b.ledger.Len(), Sealed: b.seal.Shut(), Mark: b.p.marked.Load()}
 	if have.Less(b.acc.Chosen) && !b.acc.CatchesUp() {
 		p := consensus.PageOf(b.acc.Stands, b.acc.Chosen, have)
-		w.Items, w.From, w.Upto = p.Items, p.From, p.Upto
+		w.Items, w.From, w.UpTo = p.Items, p.From, p.Upto
 	}
 	return w
 }
@@ -875,7 +875,7 @@
 }
 
 func (b *books) news(w *watcher) bool {
-	return w.w.Have.Less(b.acc.Chosen) && !b.acc.CatchesUp() || w.w.Epoch < b.roll.Epoch || w.w.Open && b.sealed
+	return w.w.Have.Less(b.acc.Chosen) && !b.acc.CatchesUp() || w.w.Epoch < b.roll.Epoch || w.w.NotifySealed && b.sealed
 }
 
 func (b *books) answer(w *watcher) {
@@ -939,19 +939,19 @@
 
 // lease grants a duty, or takes it back.
 func (b *books) lease(c rpc.Call, m messages.LeaseCall) error {
-	if m.Give {
-		b.duties.Give(m.Duty, m.By)
-		c.Reply(messages.Leased{}, nil)
+	if m.Release {
+		b.duties.Give(m.Name, m.Holder)
+		c.Reply(messages.LeaseReply{}, nil)
 		return nil
 	}
 	speaks := b.counts
-	if m.Duty == lease.Roll { // whoever finishes a change of the roll asks those that are sealed
+	if m.Name == lease.Roll { // whoever finishes a change of the roll asks those that are sealed
 		speaks = b.member
 	}
 	if err := speaks(m.Epoch); err != nil {
 		return err
 	}
-	c.Reply(messages.Leased{Given: b.duties.Grant(b.now(), m.Duty, m.By)}, nil)
+	c.Reply(messages.LeaseReply{Granted: b.duties.Grant(b.now(), m.Name, m.Holder)}, nil)
 	return nil
 }
 
--- a/internal/store/purser_test.go
+++ b/internal/store/purser_test.go
@@ -100,7 +100,7 @@
 	p := &Purser{o: o, later: func(f func(*books)) { d.later = append(d.later, f) }}
 	p.begin = func(storage.Options) (disk, storage.Start, error) { return d.paper, d.as, nil }
 	p.aside = func(f func() func(*books)) { f()(d.books) }
-	p.known = func(messages.Roll) []messages.Mark { return d.told }
+	p.known = func(messages.VoterSet) []messages.Mark { return d.told }
 	p.own = rpc.Own(&books{}, 64) // hears of what a repair found, which no test here waits for
 	t.Cleanup(p.own.End)
 	d.books = &books{p: p, begun: time.Now(), state: NoDisk, me: -1}
@@ -214,11 +214,11 @@
 func TestRepairThatTakesLong(t *testing.T) {
 	d := newDesk(t, Options{})
 	d.open()
-	d.roll = messages.Roll{Epoch: 1, Voters: voters}
+	d.roll = messages.VoterSet{Epoch: 1, Voters: voters}
 	d.place()
 	d.set(Repairing)
 	told := func(by int, inc uint64, claims ...messages.ClaimCall) mustered {
-		return mustered{m: messages.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{inc, 1, 1}}}, claims: claims}
+		return mustered{m: messages.RecoverReply{Origin: consensus.Vouch{By: by, Incs: []uint64{inc, 1, 1}}}, claims: claims}
 	}
 	d.mustering = true // as since it began
 	d.restore(2, []mustered{told(1, 2), told(2, 2)}, d.left(t))
@@ -238,11 +238,11 @@
 	left := configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: "stale"}, Version: 3, Spec: []byte("{}")}
 	d.paper.rows[tableItems] = map[string][]byte{string(itemKey(left.Key)): putItem(left).Value}
 	d.open()
-	d.roll = messages.Roll{Epoch: 1, Voters: voters}
+	d.roll = messages.VoterSet{Epoch: 1, Voters: voters}
 	d.place()
 	d.set(Repairing)
 	one := configuration.Ballot{N: 1}
-	m := mustered{m: messages.Mustered{Vouch: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: one, Chosen: one, Base: one, Upto: one}}
+	m := mustered{m: messages.RecoverReply{Origin: consensus.Vouch{By: 1, Incs: []uint64{2, 1, 1}}, Accepted: one, Chosen: one, Base: one, UpTo: one}}
 	const keys, items = 60000, 1500
 	for i := range keys {
 		m.claims = append(m.claims, messages.ClaimCall{Key: fmt.Sprintf("key-of-some-length-%040d", i), ID: id(uint64(i + 1))})
@@ -316,7 +316,7 @@
 		acc := d.call(messages.Accept, messages.AcceptCall{B: b1, Changes: []configuration.Item{item}, Epoch: 1})
 		learn := d.call(messages.Learn, messages.LearnCall{B: b1})
 		prep := d.call(messages.Prepare, messages.PrepareCall{B: b2, Epoch: 1})
-		must := d.call(messages.Muster, messages.MusterCall{Addr: "b:1", Inc: 2})
+		must := d.call(messages.Recover, messages.RecoverCall{Addr: "b:1", Incarnation: 2})
 		if acc.n+learn.n+prep.n+must.n != 0 {
 			t.Fatal("answered before the disk")
 		}
@@ -327,11 +327,11 @@
 		}
 		d.settle()
 		var p consensus.Promise
-		var m messages.Mustered
+		var m messages.RecoverReply
 		if err := errors.Join(prep.err, learn.err, must.err, rpc.Decode(prep.body, &p), rpc.Decode(must.body, &m)); err != nil {
 			t.Fatal(err)
 		}
-		if (acc.err != nil) != fails || !p.Given || p.Accepted != want || m.Accepted != want || m.Promised != b2 || m.Vouch.Incs[1] != 2 || d.acc.Chosen != want {
+		if (acc.err != nil) != fails || !p.Given || p.Accepted != want || m.Accepted != want || m.Promised != b2 || m.Origin.Incs[1] != 2 || d.acc.Chosen != want {
 			t.Errorf("fails %v: %v, promise %+v, muster %+v", fails, acc.err, p, m)
 		}
 		if d.accepting || len(d.queued) > 0 {
@@ -345,11 +345,11 @@
 func TestRepairBetweenTwoClaims(t *testing.T) {
 	d := newDesk(t, Options{})
 	d.open()
-	d.roll = messages.Roll{Epoch: 1, Voters: voters}
+	d.roll = messages.VoterSet{Epoch: 1, Voters: voters}
 	d.place()
 	d.set(Repairing)
 	told := func(by int, n uint64) mustered {
-		return mustered{m: messages.Mustered{Vouch: consensus.Vouch{By: by, Incs: []uint64{2, 1, 1}}}, claims: []messages.ClaimCall{{Key: "k", ID: id(n)}}}
+		return mustered{m: messages.RecoverReply{Origin: consensus.Vouch{By: by, Incs: []uint64{2, 1, 1}}}, claims: []messages.ClaimCall{{Key: "k", ID: id(n)}}}
 	}
 	d.restore(2, []mustered{told(1, 1), told(2, 2)}, d.left(t))
 	d.save([]storage.Put{d.putRoll()}, func(*books, error) {})
@@ -366,7 +366,7 @@
 				t.Errorf("%d: %+v", n, g)
 			}
 		}
-		if m := x.tell(messages.MusterCall{}); len(m.Claims) != 1 || !m.Claims[0].ID.IsZero() {
+		if m := x.tell(messages.RecoverCall{}); len(m.Claims) != 1 || !m.Claims[0].ID.IsZero() {
 			t.Errorf("tells %+v", m.Claims)
 		}
 	}
@@ -379,12 +379,12 @@
 	item := func(v configuration.Version, b uint64) configuration.Item {
 		return configuration.Item{Key: configuration.Key{Kind: configuration.Limits}, Version: v, Ballot: configuration.Ballot{N: b}, Spec: []byte("{}")}
 	}
-	accept := func(b uint64, chosen bool) (a messages.Accepted) {
+	accept := func(b uint64, chosen bool) (a messages.AcceptReply) {
 		x := configuration.Ballot{N: b}
 		changes := []configuration.Item{item(configuration.Version(b), b)}
 		kind, v := messages.Accept, any(messages.AcceptCall{B: x, Changes: changes, Epoch: 1})
 		if chosen {
-			kind, v = messages.Turn, messages.TurnCall{Page: consensus.Page{Upto: x, Target: x, Items: changes}, Epoch: 1}
+			kind, v = messages.SendPage, messages.SendPageCall{Page: consensus.Page{Upto: x, Target: x, Items: changes}, Epoch: 1}
 		}
 		r := d.call(kind, v)
 		d.settle()
@@ -420,7 +420,7 @@
 	d.open() // as after a restart
 	r := d.call(messages.Accept, messages.AcceptCall{B: configuration.Ballot{N: 1}, Epoch: 1})
 	d.settle()
-	var a messages.Accepted
+	var a messages.AcceptReply
 	if r.err != nil || rpc.Decode(r.body, &a) != nil || a.Taken || a.Accepted.N != 2 {
 		t.Errorf("a lower ballot: %+v, %v", a, r.err)
 	}
@@ -434,7 +434,7 @@
 	d.open()
 	d.tick()
 	r := d.call(messages.Watch, messages.WatchCall{})
-	var w messages.Watched
+	var w messages.WatchReply
 	if r.n != 1 || r.err != nil || rpc.Decode(r.body, &w) != nil || w.State != string(NoDisk) {
 		t.Errorf("%d answers, %v, %+v", r.n, r.err, w)
 	}
@@ -507,7 +507,7 @@
 			if call(messages.Prepare, messages.PrepareCall{B: b, Epoch: 1}, &p) && p.Given {
 				promised = b
 			}
-			var a messages.Accepted
+			var a messages.AcceptReply
 			i := configuration.Item{Key: configuration.Key{Kind: configuration.Limits}, Version: configuration.Version(b.N), Ballot: b, Spec: []byte("{}")}
 			if call(messages.Accept, messages.AcceptCall{B: b, Changes: []configuration.Item{i}, Epoch: 1}, &a) && a.Taken {
 				accepted = b
@@ -521,8 +521,8 @@
 			delete(granted, "a")
 		}
 		claim("a", 3)
-		var m messages.Mustered
-		if call(messages.Muster, messages.MusterCall{Addr: "b:1", Inc: 2}, &m) {
+		var m messages.RecoverReply
+		if call(messages.Recover, messages.RecoverCall{Addr: "b:1", Incarnation: 2}, &m) {
 			inc = 2
 		}
 		change(ballots[1])
@@ -643,9 +643,9 @@
 			}
 		}
 	}
-	told := messages.Mark{Epoch: 1, Inc: 1, N: d.watched(configuration.Ballot{}).Mark}
-	if told.N != 3 {
-		t.Fatalf("mark %d after three writes that are some time apart", told.N)
+	told := messages.Mark{Epoch: 1, Incarnation: 1, Counter: d.watched(configuration.Ballot{}).Mark}
+	if told.Counter != 3 {
+		t.Fatalf("mark %d after three writes that are some time apart", told.Counter)
 	}
 	for _, c := range []struct {
 		name string
@@ -656,8 +656,8 @@
 		{"its own disk", d.paper, []messages.Mark{{}, told}, Serving},
 		{"a copy, and nobody who knows better", copied, []messages.Mark{{}}, Serving},
 		{"a copy", copied, []messages.Mark{{}, told}, Repairing},
-		{"a disk of before a repair", d.paper, []messages.Mark{{Epoch: 1, Inc: 2}}, Repairing},
-		{"a disk of before a change of the roll", d.paper, []messages.Mark{{Epoch: 2, Inc: 1}}, Repairing},
+		{"a disk of before a repair", d.paper, []messages.Mark{{Epoch: 1, Incarnation: 2}}, Repairing},
+		{"a disk of before a change of the roll", d.paper, []messages.Mark{{Epoch: 2, Incarnation: 1}}, Repairing},
 	} {
 		n := newDesk(t, Options{Bootstrap: true, Found: voters})
 		n.paper, n.told = newPaper(), c.told
--- a/internal/store/register_test.go
+++ b/internal/store/register_test.go
@@ -55,20 +55,20 @@
 func TestPages(t *testing.T) {
 	d := founded(t)
 	old, fork := sized("r", at(1), 3, 10), sized("fork", at(2), 2, 10)
-	told[messages.Accepted](t, d, messages.Accept, messages.AcceptCall{B: at(1), Changes: old, Epoch: 1})
-	told[messages.Accepted](t, d, messages.Learn, messages.LearnCall{B: at(1)})
-	told[messages.Accepted](t, d, messages.Accept, messages.AcceptCall{B: at(2), Base: at(1), Changes: fork, Epoch: 1})
+	told[messages.AcceptReply](t, d, messages.Accept, messages.AcceptCall{B: at(1), Changes: old, Epoch: 1})
+	told[messages.AcceptReply](t, d, messages.Learn, messages.LearnCall{B: at(1)})
+	told[messages.AcceptReply](t, d, messages.Accept, messages.AcceptCall{B: at(2), Base: at(1), Changes: fork, Epoch: 1})
 	seven := configuration.SetOf(old...).With(sized("r", at(5), 2, 10)...).With(sized("s", at(7), 700, 1000)...)
 	nine := seven.With(sized("s", at(9), 1, 20)...).With(sized("t", at(9), 1, 20)...)
 	turn := func(p consensus.Page) bool {
 		t.Helper()
-		return told[messages.Accepted](t, d, messages.Turn, messages.TurnCall{Page: p, Epoch: 1}).Taken
+		return told[messages.AcceptReply](t, d, messages.SendPage, messages.SendPageCall{Page: p, Epoch: 1}).Taken
 	}
 	first := consensus.PageOf(nine, at(9), at(1))
 	if first.Upto != at(5) || turn(consensus.PageOf(nine, at(9), at(5))) {
 		t.Fatalf("the first page is up to %v, or one that does not follow was taken", first.Upto)
 	}
-	r := d.call(messages.Turn, messages.TurnCall{Page: first, Epoch: 1})
+	r := d.call(messages.SendPage, messages.SendPageCall{Page: first, Epoch: 1})
 	d.paper.sync(storage.ErrDisk)
 	if d.settle(); errcode.Of(r.err) != errcode.DiskOut || d.acc.Accepted != at(2) || d.acc.CatchesUp() {
 		t.Fatalf("a page that did not come to disk: %v, accepted %v", r.err, d.acc.Accepted)
@@ -78,18 +78,18 @@
 			t.Fatalf("page %d: not taken, or twice", i)
 		}
 		d = restarted(t, d)
-		w := told[messages.Watched](t, d, messages.Watch, messages.WatchCall{})
-		m := d.tell(messages.MusterCall{})
+		w := told[messages.WatchReply](t, d, messages.Watch, messages.WatchCall{})
+		m := d.tell(messages.RecoverCall{})
 		state := d.standing()
 		if i == 2 {
-			if w.Chosen != at(9) || w.Known != at(9) || d.acc.Accepted != at(9) || !same(d.acc.Stands, nine) || !same(d.acc.Value, nine) || state != "serving" {
-				t.Errorf("behind the last: %s, chosen %v of %v, %d items", state, w.Chosen, w.Known, d.acc.Stands.Len())
+			if w.Chosen != at(9) || w.KnownChosen != at(9) || d.acc.Accepted != at(9) || !same(d.acc.Stands, nine) || !same(d.acc.Value, nine) || state != "serving" {
+				t.Errorf("behind the last: %s, chosen %v of %v, %d items", state, w.Chosen, w.KnownChosen, d.acc.Stands.Len())
 			}
 			break
 		}
 		p := told[consensus.Promise](t, d, messages.Prepare, messages.PrepareCall{B: at(20 + uint64(i)), Epoch: 1})
-		if w.Known != at(9) || w.Chosen != p.Chosen || len(w.Items) > 0 || !p.Given || !p.Accepted.IsZero() || len(p.Items) > 0 || p.Known != at(9) || state != "catching up" {
-			t.Errorf("behind page %d: %s, chosen %v of %v, %d items, promise %+v", i, state, w.Chosen, w.Known, len(w.Items), p)
+		if w.KnownChosen != at(9) || w.Chosen != p.Chosen || len(w.Items) > 0 || !p.Given || !p.Accepted.IsZero() || len(p.Items) > 0 || p.Known != at(9) || state != "catching up" {
+			t.Errorf("behind page %d: %s, chosen %v of %v, %d items, promise %+v", i, state, w.Chosen, w.KnownChosen, len(w.Items), p)
 		}
 		if !m.Accepted.IsZero() || !m.Chosen.IsZero() || len(m.Items)+len(m.Delta) > 0 {
 			t.Errorf("behind page %d, to a member that lost its disk: %+v", i, m)
@@ -102,11 +102,11 @@
 	d := founded(t)
 	nine := configuration.SetOf(sized("r", at(5), 300, 1000)...).With(sized("s", at(9), 3, 10)...)
 	next := nine.With(sized("r", at(11), 1, 10)...)
-	if !told[messages.Accepted](t, d, messages.Turn, messages.TurnCall{Page: consensus.PageOf(nine, at(9), at(0)), Epoch: 1}).Taken || !d.acc.CatchesUp() {
+	if !told[messages.AcceptReply](t, d, messages.SendPage, messages.SendPageCall{Page: consensus.PageOf(nine, at(9), at(0)), Epoch: 1}).Taken || !d.acc.CatchesUp() {
 		t.Fatalf("all up to %v of %v", d.acc.Chosen, d.acc.Target)
 	}
 	for base, want := range map[uint64]bool{9: false, 5: true} {
-		a := told[messages.Accepted](t, d, messages.Accept, messages.AcceptCall{B: at(11), Base: at(base), Changes: consensus.Since(next, at(base)), Epoch: 1})
+		a := told[messages.AcceptReply](t, d, messages.Accept, messages.AcceptCall{B: at(11), Base: at(base), Changes: consensus.Since(next, at(base)), Epoch: 1})
 		if a.Taken != want {
 			t.Errorf("told by what is after %d: %v", base, a.Taken)
 		}
@@ -115,7 +115,7 @@
 	if d.acc.Accepted != at(11) || !same(d.acc.Value, next) {
 		t.Errorf("accepted %v, %d items", d.acc.Accepted, d.acc.Value.Len())
 	}
-	told[messages.Accepted](t, d, messages.Learn, messages.LearnCall{B: at(11)})
+	told[messages.AcceptReply](t, d, messages.Learn, messages.LearnCall{B: at(11)})
 	for _, d := range []*desk{d, restarted(t, d)} {
 		if d.acc.CatchesUp() || d.acc.Chosen != at(11) || !same(d.acc.Stands, next) {
 			t.Errorf("chosen %v, %d items", d.acc.Chosen, d.acc.Stands.Len())
@@ -128,15 +128,15 @@
 func TestTakeOverOfMuch(t *testing.T) {
 	stands := configuration.SetOf(sized("r", at(5), 3000, 1000)...)
 	value := stands.With(sized("s", at(6), 4, 10)...)
-	next := messages.Roll{Epoch: 2, Voters: voters, Was: voters}
+	next := messages.VoterSet{Epoch: 2, Voters: voters, Was: voters}
 	got := func() []handed {
 		e := reconfig.Estate{Promised: at(6), Accepted: at(6), Chosen: at(5)}
-		return []handed{{h: messages.Handed{Estate: e, Delta: consensus.Since(value, at(5))}, base: stands}}
+		return []handed{{h: messages.HandoverReply{Handover: e, Delta: consensus.Since(value, at(5))}, base: stands}}
 	}
 	for dies := range 4 {
 		d := founded(t)
-		told[messages.Accepted](t, d, messages.Accept, messages.AcceptCall{B: at(1), Changes: sized("r", at(1), 3, 10), Epoch: 1})
-		told[messages.Accepted](t, d, messages.Learn, messages.LearnCall{B: at(1)})
+		told[messages.AcceptReply](t, d, messages.Accept, messages.AcceptCall{B: at(1), Changes: sized("r", at(1), 3, 10), Epoch: 1})
+		told[messages.AcceptReply](t, d, messages.Learn, messages.LearnCall{B: at(1)})
 		d.seal.Closed, d.sealed, d.taking = true, true, true
 		d.write([]storage.Put{d.putSeal()}, func(error) {})
 		d.settle()
@@ -149,9 +149,9 @@
 		}
 		if dies > 0 {
 			d.catchUp()
-			h := told[messages.Handed](t, restarted(t, d), messages.Handover, messages.HandoverCall{Epoch: 2})
-			if !h.Estate.Accepted.IsZero() || len(h.Items) > 0 || h.Estate.Promised.Less(at(5)) {
-				t.Errorf("handed over amid it: %+v", h.Estate)
+			h := told[messages.HandoverReply](t, restarted(t, d), messages.Handover, messages.HandoverCall{Epoch: 2})
+			if !h.Handover.Accepted.IsZero() || len(h.Items) > 0 || h.Handover.Promised.Less(at(5)) {
+				t.Errorf("handed over amid it: %+v", h.Handover)
 			}
 			d.paper.waits = nil // what waits is lost
 			d = restarted(t, d)
@@ -191,7 +191,7 @@
 		"nothing":       func(*desk) {},
 	} {
 		d := founded(t)
-		told[messages.Accepted](t, d, messages.Accept, messages.AcceptCall{B: at(1), Changes: sized("r", at(1), 3, 10), Epoch: 1})
+		told[messages.AcceptReply](t, d, messages.Accept, messages.AcceptCall{B: at(1), Changes: sized("r", at(1), 3, 10), Epoch: 1})
 		amid(d)
 		d.call(messages.Learn, messages.LearnCall{B: at(1)})
 		if n := len(d.paper.waits); (n > 0) != (name == "nothing") {
--- a/internal/store/relief.go
+++ b/internal/store/relief.go
@@ -47,12 +47,12 @@
 
 // ready tells how it stands, before a change of the roll.
 func (b *books) ready(c rpc.Call, m messages.ReadyCall) error {
-	r := messages.Readied{State: string(b.state), Epoch: b.roll.Epoch, Quorum: b.p.o.Quorum}
+	r := messages.ReadyReply{State: string(b.state), Epoch: b.roll.Epoch, Quorum: b.p.o.Quorum}
 	if b.state != Serving && b.state != Apart || b.disk.Stalled() > stalledAfter {
 		c.Reply(r, nil)
 		return nil
 	}
-	if m.Dry {
+	if m.DryRun {
 		c.Reply(r, nil)
 		return nil
 	}
@@ -65,7 +65,7 @@
 }
 
 // succeed promises, or accepts a successor of the roll, by which this voter is sealed.
-func (b *books) succeed(c rpc.Call, m messages.SucceedCall) error {
+func (b *books) succeed(c rpc.Call, m messages.ProposeVotersCall) error {
 	if err := b.member(m.Epoch); err != nil {
 		return err
 	}
@@ -102,19 +102,19 @@
 }
 
 // relieve hears of a roll that is chosen.
-func (b *books) relieve(c rpc.Call, m messages.RelieveCall) error {
-	if m.Roll.Epoch == 0 || len(m.Roll.Voters) == 0 {
+func (b *books) relieve(c rpc.Call, m messages.AdoptVotersCall) error {
+	if m.VoterSet.Epoch == 0 || len(m.VoterSet.Voters) == 0 {
 		return errcode.New(errcode.Malformed, "")
 	}
-	b.hear(m.Roll, func(err error) {
-		reply(c, messages.Relieved{State: string(b.state), Epoch: b.roll.Epoch}, err)
+	b.hear(m.VoterSet, func(err error) {
+		reply(c, messages.AdoptVotersReply{State: string(b.state), Epoch: b.roll.Epoch}, err)
 	})
 	return nil
 }
 
 // hear takes a roll that is chosen, if it is newer: it takes an office over there, or makes up for a lost disk, or goes.
 // done is called on the owner's goroutine.
-func (b *books) hear(r messages.Roll, done func(error)) {
+func (b *books) hear(r messages.VoterSet, done func(error)) {
 	switch {
 	case r.Epoch <= b.roll.Epoch:
 		done(nil)
@@ -145,7 +145,7 @@
 }
 
 // move goes to a newer epoch without books for it.
-func (b *books) move(r messages.Roll, done func(error)) {
+func (b *books) move(r messages.VoterSet, done func(error)) {
 	if b.state == Serving {
 		b.past = &past{b.roll.Epoch, b.me, slices.Clone(b.incs)}
 	}
@@ -184,9 +184,9 @@
 	default:
 		return errcode.New(errcode.Gone, "epoch %d, here %d", m.Epoch, b.roll.Epoch)
 	}
-	h := messages.Handed{Estate: e, Former: b.inherited(), Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta}
-	if h.Upto == h.Base {
-		h.Claims, h.More = b.page(m.From)
+	h := messages.HandoverReply{Handover: e, Inherited: b.inherited(), Items: r.items, UpTo: r.upto, Base: r.base, Delta: r.delta}
+	if h.UpTo == h.Base {
+		h.Claims, h.MoreClaims = b.page(m.AfterKey)
 	}
 	c.Reply(h, nil)
 	return nil
@@ -198,7 +198,7 @@
 )
 
 // takeOver takes the books over that the old voters of a chosen roll hand out, puts them on disk, and speaks in the new epoch.
-func (b *books) takeOver(r messages.Roll) {
+func (b *books) takeOver(r messages.VoterSet) {
 	kept := b.state == Serving
 	if kept && !b.sealed { // it slept through the vote: others may need its books
 		b.seal.Closed = true
@@ -235,13 +235,13 @@
 
 // handed is what one voter handed over.
 type handed struct {
-	h      messages.Handed   // the last part
-	base   configuration.Set // the value of h.Base
+	h      messages.HandoverReply // the last part
+	base   configuration.Set      // the value of h.Base
 	claims []messages.ClaimCall
 }
 
 // inherit asks for books, until there are enough of them.
-func (p *Purser) inherit(r messages.Roll) (got []handed, err error) {
+func (p *Purser) inherit(r messages.VoterSet) (got []handed, err error) {
 	var addrs []string
 	for _, v := range append(slices.Clone(r.Was), r.Voters...) {
 		if !slices.Contains(addrs, v.Addr) {
@@ -249,7 +249,7 @@
 		}
 	}
 	type told struct {
-		h    messages.Handed
+		h    messages.HandoverReply
 		addr string
 		err  error
 	}
@@ -258,7 +258,7 @@
 		c := rpc.NewClient(p.o.Net, addr)
 		defer c.Close()
 		t.addr = addr
-		t.err = c.Call(messages.Handover, messages.HandoverCall{Epoch: r.Epoch, From: from, Have: have}, &t.h, handTime)
+		t.err = c.Call(messages.Handover, messages.HandoverCall{Epoch: r.Epoch, AfterKey: from, Have: have}, &t.h, handTime)
 		return t
 	}
 	stop := make(chan struct{})
@@ -288,7 +288,7 @@
 		if t.err != nil {
 			continue
 		}
-		all, estates = append(all, t), append(estates, t.h.Estate)
+		all, estates = append(all, t), append(estates, t.h.Handover)
 		if take = reconfig.Enough(len(r.Was), estates); take != nil {
 			break
 		}
@@ -299,18 +299,18 @@
 	for _, i := range take {
 		h := all[i].h
 		o := handed{h, configuration.SetOf(h.Items...), h.Claims}
-		for h.More || h.Upto != h.Base {
+		for h.MoreClaims || h.UpTo != h.Base {
 			from := ""
-			if h.More {
+			if h.MoreClaims {
 				from = h.Claims[len(h.Claims)-1].Key
 			}
-			t := ask(all[i].addr, from, h.Upto)
+			t := ask(all[i].addr, from, h.UpTo)
 			if t.err != nil {
 				return nil, t.err
 			}
-			was := h.Estate
-			if h = t.h; h.Estate.Holds != was.Holds || !slices.Equal(h.Estate.Vouch.Incs, was.Vouch.Incs) ||
-				!pursues(h.Estate.Chosen, h.Estate.Accepted, was.Chosen, was.Accepted) {
+			was := h.Handover
+			if h = t.h; h.Handover.Holds != was.Holds || !slices.Equal(h.Handover.Vouch.Incs, was.Vouch.Incs) ||
+				!pursues(h.Handover.Chosen, h.Handover.Accepted, was.Chosen, was.Accepted) {
 				return nil, errors.New("it took over, or lost its disk, while it handed over")
 			}
 			o = handed{h, o.base.With(h.Items...), append(o.claims, h.Claims...)}
@@ -323,12 +323,12 @@
 // inherit puts what was handed over on disk. A voter of both rolls keeps what others may need of its own books until the last
 // write: claims are only added, and the register changes in one write with the roll, unless it lacks much. Then it is one that
 // catches up until then, which is no loss to others: what it lacks is chosen, and lives with a majority without it.
-func (b *books) inherit(r messages.Roll, got []handed, kept bool, left []storage.Put) {
+func (b *books) inherit(r messages.VoterSet, got []handed, kept bool, left []storage.Put) {
 	estates, take := make([]reconfig.Estate, len(got)), make([]int, len(got))
 	acc := consensus.NewAcceptor()
 	for i, o := range got {
-		estates[i], take[i] = o.h.Estate, i
-		if c := o.h.Estate.Chosen; acc.Chosen.Less(c) {
+		estates[i], take[i] = o.h.Handover, i
+		if c := o.h.Handover.Chosen; acc.Chosen.Less(c) {
 			acc.Chosen, acc.Stands = c, o.base
 		}
 	}
@@ -371,7 +371,7 @@
 		put(p)
 	}
 	former := acc.Accepted
-	if e := estates[at]; e.Holds && !got[at].h.Former {
+	if e := estates[at]; e.Holds && !got[at].h.Inherited {
 		former = configuration.Ballot{}
 	}
 	last := func(b *books, puts []storage.Put) {
@@ -476,7 +476,7 @@
 }
 
 // taken ends a taking over, and tells those that wait for it.
-func (b *books) taken(r messages.Roll, err error) {
+func (b *books) taken(r messages.VoterSet, err error) {
 	b.taking = false
 	if err == nil {
 		b.set(Serving)
--- a/internal/store/relief_test.go
+++ b/internal/store/relief_test.go
@@ -29,9 +29,9 @@
 	if k := claim(d, "before"); k != errcode.OK {
 		t.Fatal(k)
 	}
-	next := messages.Roll{Epoch: 2, Voters: voters, Was: voters}
-	accept := d.call(messages.Succeed, messages.SucceedCall{Epoch: 1, B: configuration.Ballot{N: 1, By: 1}, Next: &next})
-	hand := func(d *desk) (h messages.Handed, k errcode.Kind) {
+	next := messages.VoterSet{Epoch: 2, Voters: voters, Was: voters}
+	accept := d.call(messages.ProposeVoters, messages.ProposeVotersCall{Epoch: 1, B: configuration.Ballot{N: 1, By: 1}, Next: &next})
+	hand := func(d *desk) (h messages.HandoverReply, k errcode.Kind) {
 		r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2})
 		if r.err == nil {
 			if err := rpc.Decode(r.body, &h); err != nil {
@@ -64,11 +64,11 @@
 			t.Errorf("%s: a promise: %v", name, r.err)
 		}
 		for of, want := range map[lease.Name]errcode.Kind{lease.Teach: errcode.Gone, lease.Roll: errcode.OK} {
-			if r := d.call(messages.Lease, messages.LeaseCall{Duty: of, By: 7, Epoch: 1}); errcode.Of(r.err) != want {
+			if r := d.call(messages.Lease, messages.LeaseCall{Name: of, Holder: 7, Epoch: 1}); errcode.Of(r.err) != want {
 				t.Errorf("%s: the duty %s: %v", name, of, r.err)
 			}
 		}
-		if h, k := hand(d); k != errcode.OK || h.Estate.Holds || len(h.Claims) != 1 {
+		if h, k := hand(d); k != errcode.OK || h.Handover.Holds || len(h.Claims) != 1 {
 			t.Errorf("%s: handed over %v, %+v", name, k, h)
 		}
 	}
@@ -90,7 +90,7 @@
 		d.open()
 		d.settle()
 		d.mustering = true // no test here waits for a repair
-		d.call(messages.Relieve, messages.RelieveCall{Roll: messages.Roll{Epoch: 2, Voters: c.next, Was: voters}})
+		d.call(messages.AdoptVoters, messages.AdoptVotersCall{VoterSet: messages.VoterSet{Epoch: 2, Voters: c.next, Was: voters}})
 		if r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2}); errcode.Of(r.err) != errcode.Gone {
 			t.Errorf("%s: handed over before it is on disk: %v", c.name, r.err)
 		}
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -23,7 +23,7 @@
 
 // mustered is what one other told.
 type mustered struct {
-	m      messages.Mustered // the last part
+	m      messages.RecoverReply // the last part
 	claims []messages.ClaimCall
 	base   configuration.Set // the value of m.Base
 }
@@ -34,14 +34,14 @@
 )
 
 // muster tells a member that lost its disk what is held here.
-func (b *books) muster(c rpc.Call, m messages.MusterCall) error {
+func (b *books) muster(c rpc.Call, m messages.RecoverCall) error {
 	b.p.Counts.Muster.Add(1)
 	if b.roll.Epoch == 0 {
 		return errcode.New(errcode.CoreOut, "%s", b.state)
 	}
 	at := b.roll.Place(m.Addr)
-	if m.Inc == 0 || at < 0 || b.me < 0 {
-		c.Reply(messages.Mustered{Vouch: b.vouch(), Roll: b.roll}, nil)
+	if m.Incarnation == 0 || at < 0 || b.me < 0 {
+		c.Reply(messages.RecoverReply{Origin: b.vouch(), VoterSet: b.roll}, nil)
 		return nil
 	}
 	if b.state != Serving {
@@ -51,10 +51,10 @@
 		b.queued = append(b.queued, func(b *books) { b.again(c, b.muster(c, m)) })
 		return nil
 	}
-	if b.incs[at] > m.Inc {
-		return errcode.New(errcode.Preempted, "incarnation %d, here %d", m.Inc, b.incs[at])
+	if b.incs[at] > m.Incarnation {
+		return errcode.New(errcode.Preempted, "incarnation %d, here %d", m.Incarnation, b.incs[at])
 	}
-	b.incs[at] = m.Inc
+	b.incs[at] = m.Incarnation
 	b.write([]storage.Put{b.putIncs()}, func(err error) {
 		if err != nil {
 			reply(c, nil, err)
@@ -72,16 +72,16 @@
 }
 
 // tell is all that is held, the claims in parts by the order of their keys.
-func (b *books) tell(m messages.MusterCall) messages.Mustered {
+func (b *books) tell(m messages.RecoverCall) messages.RecoverReply {
 	r := b.register(m.Have)
-	t := messages.Mustered{Vouch: b.vouch(), Roll: b.roll, Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: r.chosen,
-		Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta, Former: b.inherited()}
+	t := messages.RecoverReply{Origin: b.vouch(), VoterSet: b.roll, Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: r.chosen,
+		Items: r.items, UpTo: r.upto, Base: r.base, Delta: r.delta, Inherited: b.inherited()}
 	if b.seal.Shut() || !b.seal.Promised.IsZero() {
 		s := b.seal
 		t.Seal = &s
 	}
-	if t.Upto == t.Base {
-		t.Claims, t.More = b.page(m.From)
+	if t.UpTo == t.Base {
+		t.Claims, t.MoreClaims = b.page(m.AfterKey)
 	}
 	return t
 }
@@ -200,11 +200,11 @@
 
 // enrol learns from others who counts.
 func (p *Purser) enrol(addrs []string) func(*books) {
-	told, _ := ask[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.o.Addr}, musterTime)
-	var roll messages.Roll
+	told, _ := ask[messages.RecoverReply](p, addrs, messages.Recover, messages.RecoverCall{Addr: p.o.Addr}, musterTime)
+	var roll messages.VoterSet
 	for _, t := range told {
-		if t.Roll.Epoch > roll.Epoch {
-			roll = t.Roll
+		if t.VoterSet.Epoch > roll.Epoch {
+			roll = t.VoterSet
 		}
 	}
 	if roll.Epoch == 0 {
@@ -232,15 +232,15 @@
 }
 
 // recover makes up for a lost disk.
-func (p *Purser) recover(addrs []string, roll messages.Roll, me int, d disk) func(*books) {
+func (p *Purser) recover(addrs []string, roll messages.VoterSet, me int, d disk) func(*books) {
 	n := len(roll.Voters)
 	need := n - consensus.Majority(n) + 1 // with fewer others heard, a majority that held this member may have none among them
-	known, _ := ask[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.o.Addr}, musterTime)
+	known, _ := ask[messages.RecoverReply](p, addrs, messages.Recover, messages.RecoverCall{Addr: p.o.Addr}, musterTime)
 	for _, k := range known {
-		if k.Roll.Epoch > roll.Epoch {
+		if k.VoterSet.Epoch > roll.Epoch {
 			return func(b *books) {
 				b.mustering = false
-				b.hear(k.Roll, func(error) {})
+				b.hear(k.VoterSet, func(error) {})
 			}
 		}
 	}
@@ -249,23 +249,23 @@
 	}
 	var inc uint64
 	for _, k := range known {
-		if me < len(k.Vouch.Incs) {
-			inc = max(inc, k.Vouch.Incs[me])
+		if me < len(k.Origin.Incs) {
+			inc = max(inc, k.Origin.Incs[me])
 		}
 	}
 	inc++
 	var got []mustered
-	first, from := ask[messages.Mustered](p, addrs, messages.Muster, messages.MusterCall{Addr: p.o.Addr, Inc: inc}, musterTime)
+	first, from := ask[messages.RecoverReply](p, addrs, messages.Recover, messages.RecoverCall{Addr: p.o.Addr, Incarnation: inc}, musterTime)
 	for i, m := range first {
 		one := mustered{m: m, claims: m.Claims, base: configuration.SetOf(m.Items...)}
 		c := rpc.NewClient(p.o.Net, from[i])
-		for m.More || m.Upto != m.Base {
-			call := messages.MusterCall{Addr: p.o.Addr, Inc: inc, Have: m.Upto}
-			if m.More {
-				call.From = m.Claims[len(m.Claims)-1].Key
+		for m.MoreClaims || m.UpTo != m.Base {
+			call := messages.RecoverCall{Addr: p.o.Addr, Incarnation: inc, Have: m.UpTo}
+			if m.MoreClaims {
+				call.AfterKey = m.Claims[len(m.Claims)-1].Key
 			}
-			m = messages.Mustered{}
-			if err := c.Call(messages.Muster, call, &m, musterTime); err != nil {
+			m = messages.RecoverReply{}
+			if err := c.Call(messages.Recover, call, &m, musterTime); err != nil {
 				c.Close()
 				return nil
 			}
@@ -276,7 +276,7 @@
 			one.m, one.claims, one.base = m, append(one.claims, m.Claims...), one.base.With(m.Items...)
 		}
 		c.Close()
-		if m.Vouch.By >= 0 && m.Roll.Epoch == roll.Epoch {
+		if m.Origin.By >= 0 && m.VoterSet.Epoch == roll.Epoch {
 			got = append(got, one)
 		}
 	}
@@ -304,7 +304,7 @@
 	voted := false // somebody accepted the value in this epoch
 	var value configuration.Set
 	for _, g := range got {
-		for i, k := range g.m.Vouch.Incs {
+		for i, k := range g.m.Origin.Incs {
 			if i < len(incs) && i != b.me {
 				incs[i] = max(incs[i], k)
 			}
@@ -319,7 +319,7 @@
 			b.acc.Accepted, voted = g.m.Accepted, false
 			value = g.base.With(g.m.Delta...)
 		}
-		voted = voted || g.m.Accepted == b.acc.Accepted && !g.m.Former
+		voted = voted || g.m.Accepted == b.acc.Accepted && !g.m.Inherited
 		if g.m.Seal != nil {
 			b.seal.Learn(*g.m.Seal)
 		}
--- a/internal/store/report.go
+++ b/internal/store/report.go
@@ -13,18 +13,18 @@
 // report tells what is known here. The owner hands over copies; ordering, cutting and encoding are done beside it.
 func (b *books) report(c rpc.Call) {
 	p, roll, me := b.p, b.roll, b.me
-	r := messages.Reported{Program: messages.ThePurser, Version: process.Version, Zone: p.o.Zone, Addr: p.o.Addr, UpMs: uint64(b.now().Milliseconds()),
+	r := messages.ReportReply{Program: messages.ProgramStore, Version: process.Version, Zone: p.o.Zone, Addr: p.o.Addr, UpMs: uint64(b.now().Milliseconds()),
 		Chosen: b.acc.Chosen, Epoch: roll.Epoch, Voters: roll.Voters}
-	own := &messages.PurserReport{State: b.standing(), Place: me, Incs: slices.Clone(b.incs), Promised: b.acc.Promised,
+	own := &messages.StoreReport{State: b.standing(), VoterIndex: me, Incarnations: slices.Clone(b.incs), Promised: b.acc.Promised,
 		Accepted: b.acc.Accepted, Keys: b.ledger.Len()}
 	if b.disk != nil {
 		own.StallMs = uint32(min(b.disk.Stalled(), time.Hour).Milliseconds())
 	}
 	b.duties.Each(b.now(), func(d lease.Name, by uint64, left time.Duration) {
-		own.Duties = append(own.Duties, messages.DutyReport{Duty: string(d), By: by, LeftMs: uint32(left.Milliseconds())})
+		own.Leases = append(own.Leases, messages.LeaseReport{Name: string(d), Holder: by, LeftMs: uint32(left.Milliseconds())})
 	})
-	r.Purser = own
-	items := messages.ItemReports(b.acc.Stands)
+	r.Store = own
+	items := messages.NewItemReports(b.acc.Stands)
 	go func() {
 		r.SetItems(items)
 		r.Counts, r.Traffic = Running{P: p}.Counts(), rpc.Totals()
