--- a/internal/registry/end_test.go
+++ b/internal/registry/close_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What would begin to run while this one ends is waited for or does not begin.
-func TestNothingBeginsBehindTheEnd(t *testing.T) {
+// TestNoTaskStartsAfterClose checks that a task spawned while the registry closes is either waited for or not started.
+func TestNoTaskStartsAfterClose(t *testing.T) {
 	for range 2000 {
 		reg := &Registry{closed: make(chan struct{})}
 		var all sync.WaitGroup
@@ -22,7 +22,7 @@
 		reg.mu.Unlock()
 		reg.tasks.Wait()
 		if len(ran) > 0 {
-			t.Fatal("something runs behind the end")
+			t.Fatal("a task runs after the end")
 		}
 		all.Wait()
 	}
--- a/internal/registry/contact_test.go
+++ b/internal/registry/contact_test.go
@@ -16,9 +16,9 @@
 	"saltmast/internal/simulation/network"
 )
 
-// Contact is with a majority that spoke lately, in this epoch, unsealed, and knows of nothing that is not known here; whatever
-// else comes, and whenever it is read.
-func TestContact(t *testing.T) {
+// TestMajorityContact checks that majority contact counts only voters that answered recently, in this epoch and unsealed, and that
+// know of no value unknown here, whenever their answers are read.
+func TestMajorityContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		time.Sleep(time.Minute)
 		for name, c := range map[string]struct {
@@ -26,14 +26,14 @@
 			change func(*messages.WatchReply)
 			most   uint32
 		}{
-			"a majority spoke":              {0, func(*messages.WatchReply) {}, 0},
-			"it was read late":              {20 * time.Second, func(*messages.WatchReply) {}, 20_000},
+			"a majority answered":           {0, func(*messages.WatchReply) {}, 0},
+			"an answer is read late":        {20 * time.Second, func(*messages.WatchReply) {}, 20_000},
 			"one is sealed":                 {0, func(w *messages.WatchReply) { w.Sealed = true }, messages.Never},
 			"one is of another epoch":       {0, func(w *messages.WatchReply) { w.VoterSet.Epoch = 1 }, messages.Never},
 			"one may know of a newer value": {0, func(w *messages.WatchReply) { w.Accepted.N = 9 }, messages.Never},
-			"one makes up for its disk":     {0, func(w *messages.WatchReply) { w.State = "repairing" }, messages.Never},
-			"one speaks for another":        {0, func(w *messages.WatchReply) { w.Origin.By = 0 }, messages.Never},
-			"one has yet to hear what is chosen": {0, func(w *messages.WatchReply) {
+			"one recovers its disk":         {0, func(w *messages.WatchReply) { w.State = "repairing" }, messages.Never},
+			"one has another index":         {0, func(w *messages.WatchReply) { w.Origin.By = 0 }, messages.Never},
+			"one has not learned the chosen value": {0, func(w *messages.WatchReply) {
 				w.Chosen, w.Accepted, w.KnownChosen, w.UpTo = configuration.Ballot{}, configuration.Ballot{}, configuration.Ballot{}, configuration.Ballot{}
 			}, 0},
 			"one catches up with a newer value": {0, func(w *messages.WatchReply) { w.KnownChosen.N = 9 }, messages.Never},
@@ -56,15 +56,16 @@
 				st.handleWatchReply(i, w, time.Now().Add(-ago))
 			}
 			if got := st.majorityContactMs(); got != c.most {
-				t.Errorf("%s: %d ms, wanted %d", name, got, c.most)
+				t.Errorf("%s: %d ms, want %d", name, got, c.most)
 			}
 			reg.quorum.Close()
 		}
 	})
 }
 
-// Who slept, or heard no majority, holds no voter for lost that was silent meanwhile.
-func TestNobodyIsLostByASleep(t *testing.T) {
+// TestSuspensionMakesNoVoterLost checks that a registry that was suspended, or heard no majority, doesn't treat a voter as lost
+// for its silence in that time.
+func TestSuspensionMakesNoVoterLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reg, st := newTestRegistry(t)
 		reg.options.LostAfter = 10 * time.Second
@@ -79,15 +80,15 @@
 			st.maintainVoters(time.Now())
 			return !st.lastReplacement.IsZero()
 		}
-		time.Sleep(time.Minute) // it sleeps; then two of three are heard first
+		time.Sleep(time.Minute) // suspended; then two of three answer first
 		st.maintainVoters(time.Now())
 		for i := range 2 {
 			st.servingAt[i], st.currentAt[i], st.answeredAt[i] = time.Now(), time.Now(), time.Now()
 		}
 		if lost() {
-			t.Error("lost by a sleep")
+			t.Error("a voter is lost after a suspension")
 		}
-		close(reg.closed) // no change is begun
+		close(reg.closed) // no change is started
 		for range 11 {
 			time.Sleep(time.Second)
 			for i := range 2 {
@@ -96,13 +97,14 @@
 			lost()
 		}
 		if !lost() {
-			t.Error("one that is silent to a majority that is heard is not lost")
+			t.Error("a silent voter is not lost while a majority answers")
 		}
 	})
 }
 
-// The same where two answer, and are read, before it looks: the third's answer is on its way.
-func TestNobodyIsLostByAnswersAfterASleep(t *testing.T) {
+// TestAnswersAfterSuspensionMakeNoVoterLost does the same with two answers processed before the check, while the third is on its
+// way.
+func TestAnswersAfterSuspensionMakeNoVoterLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reg, st := newTestRegistry(t)
 		defer reg.quorum.Close()
@@ -119,13 +121,14 @@
 			}
 		}
 		if st.maintainVoters(time.Now()) || !st.observedSince.Equal(time.Now()) {
-			t.Error("a voter counts as silent for the time of a sleep")
+			t.Error("a voter counts as silent for the time of a suspension")
 		}
 	})
 }
 
-// A call whose caller goes while its round runs comes to nothing, as does one of which the answers were read long after.
-func TestGivenUp(t *testing.T) {
+// TestAbandonedCallIsNotApplied checks that a call has no effect if its caller goes while its round runs, or if the answers are
+// read long after.
+func TestAbandonedCallIsNotApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := network.New(1)
 		p := s.Machine("10.0.0.1", "north").Start()
@@ -163,29 +166,30 @@
 		items := []configuration.Item{{Key: configuration.Key{Kind: configuration.Services, Name: "s"}, Version: 1, Spec: []byte("{}")}}
 		begun := time.Now()
 		if k := errcode.Of(reg.propose(ctx, consensus.Order{Items: items})); k != errcode.CoreOut {
-			t.Error("a call whose caller has gone:", k)
+			t.Error("call whose caller has gone:", k)
 		}
 		if took := time.Since(begun); took > 10*time.Millisecond {
-			t.Error("it kept the turn from others for", took)
+			t.Error("it held the round slot for", took)
 		}
 		if err := reg.runRound(t.Context(), consensus.Order{Items: items}, time.Now().Add(-20*time.Second)); errcode.Of(err) != errcode.CoreOut {
-			t.Error("a call from before a sleep:", err)
+			t.Error("call from before a suspension:", err)
 		}
 		sleeps = true
 		if k := errcode.Of(reg.propose(t.Context(), consensus.Order{})); k != errcode.CoreOut {
-			t.Error("a read whose answers are of before a sleep:", k)
+			t.Error("read with answers from before a suspension:", k)
 		}
 		for _, v := range all {
 			if v.acceptor.Value.Len() > 0 {
-				t.Error("it is in force")
+				t.Error("the call took effect")
 			}
 		}
 	})
 }
 
-// A call at a machine that has heard no majority for long is sent elsewhere at once: a round would hold it for most of a second.
-// One that has heard none yet, or one lately, runs its round.
-func TestCutOffAnswersAtOnce(t *testing.T) {
+// TestPartitionedRegistryAnswersAtOnce checks that a registry that has not heard a majority for long fails a call at once, so that
+// the caller tries another one: a round would hold it for most of a second. A registry that has never heard a majority, or has
+// recently, runs its round.
+func TestPartitionedRegistryAnswersAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		time.Sleep(time.Minute)
 		p := network.New(1).Machine("10.0.0.1", "north").Start()
@@ -195,9 +199,9 @@
 		reg.owner = rpc.Own(st, 16)
 		for _, c := range []struct {
 			name   string
-			silent time.Duration // of two; the third was heard just now
+			silent time.Duration // of two voters; the third was heard just now
 			held   bool
-		}{{"never heard", -1, true}, {"heard lately", maxContactAgeMs * time.Millisecond, true}, {"cut off", (maxContactAgeMs + 1) * time.Millisecond, false}} {
+		}{{"never heard", -1, true}, {"heard recently", maxContactAgeMs * time.Millisecond, true}, {"partitioned", (maxContactAgeMs + 1) * time.Millisecond, false}} {
 			reg.owner.Ask(func(st *state) {
 				st.servingAt = make([]time.Time, 3)
 				if c.silent >= 0 {
@@ -219,8 +223,9 @@
 	})
 }
 
-// Who sees that voters share what is to be borne, and has no lease for the duty yet, looks again soon: by then it has it, or another one.
-func TestDutyForASpreadIsAskedForSoon(t *testing.T) {
+// TestLeaseForZoneSpreadIsAcquiredSoon checks that a registry without the lease that sees too many voters in one zone checks again
+// soon: by then it, or another registry, holds the lease.
+func TestLeaseForZoneSpreadIsAcquiredSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reg, st := newTestRegistry(t)
 		defer reg.quorum.Close()
@@ -231,7 +236,7 @@
 			voterSet.Voters = append(voterSet.Voters, messages.Voter{Name: name, Addr: name + ":1", Zone: zone})
 		}
 		reg.quorum.Take(voterSet)
-		close(reg.closed) // no change is begun
+		close(reg.closed) // no change is started
 		time.Sleep(time.Minute)
 		now := time.Now()
 		st.started, st.observedSince, st.voterEpoch = now.Add(-time.Minute), now.Add(-time.Minute), 2
@@ -240,11 +245,11 @@
 		st.leases = map[lease.Name]*lease.Lease{lease.Roll: held}
 		held.Due(time.Since(st.started)) // asked just now, and nobody has answered
 		if st.maintainVoters(now) {
-			t.Error("soon, with nobody who could take a place")
+			t.Error("another check soon, though no store can become a voter")
 		}
 		st.registries["d"] = messages.Registry{Name: "d", Addr: "d:1", Zone: "south"}
 		if !st.maintainVoters(now) {
-			t.Error("a look later at the earliest")
+			t.Error("no other check soon")
 		}
 	})
 }
--- a/internal/registry/wake_test.go
+++ b/internal/registry/fanout_test.go
@@ -12,7 +12,7 @@
 	"saltmast/internal/rpc"
 )
 
-// newRegistryWithPullers is a harbour with so many proxies that wait for news, and a table of as many backends. answered counts answers.
+// newRegistryWithPullers returns a registry with n backends and n waiting pull calls. answered counts the answers to these.
 func newRegistryWithPullers(t testing.TB, n int, answered *atomic.Int64) (*Registry, *state) {
 	reg, st := newTestRegistry(t)
 	for i := range n {
@@ -25,8 +25,9 @@
 	return reg, st
 }
 
-// While all who wait are told, a call gets its turn after a few of them; and all of them are told of all that came meanwhile.
-func TestCallAmidAFanOut(t *testing.T) {
+// TestCallDuringFanOut checks that a call is served after at most one batch while all waiting pulls are answered, and that all of
+// them are answered.
+func TestCallDuringFanOut(t *testing.T) {
 	const proxies = 1000
 	var answered atomic.Int64
 	reg, st := newRegistryWithPullers(t, proxies, &answered)
@@ -39,10 +40,10 @@
 		st.notifyPullers()
 		st.notifyPullers()
 	})
-	reg.owner.Send(func(*state) { turn <- answered.Load() }) // it is queued while that command runs
+	reg.owner.Send(func(*state) { turn <- answered.Load() }) // queued while the command above runs
 	close(queued)
 	if n := <-turn; n > notifyBatch {
-		t.Errorf("a call has its turn behind %d answers", n)
+		t.Errorf("a call was served after %d answers", n)
 	}
 	for left, telling := -1, true; left != 0 || telling; {
 		reg.owner.Ask(func(st *state) { left, telling = len(st.pullers), st.notifying })
@@ -54,7 +55,7 @@
 	reg.owner.End()
 }
 
-// One change is told to all who wait. turn-µs: for how long the owner had no time for another call.
+// BenchmarkFanOut sends one change to all waiting pulls. turn-µs is the time for which the owner was busy for another call.
 func BenchmarkFanOut(b *testing.B) {
 	for _, n := range []int{437, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -88,25 +89,25 @@
 	}
 }
 
-// A harbourmaster that has begun says that it may lack entries until all others that it found have told theirs, or can't be reached,
-// and for 2 s at most; who waits hears of the end of that.
-func TestBegunWithAnEmptyTable(t *testing.T) {
+// TestStartWithEmptyTable checks that a starting registry marks its replies as partial until all others that it found have sent
+// their entries or can't be reached, for 2 s at most, and that waiting pulls are answered when that ends.
+func TestStartWithEmptyTable(t *testing.T) {
 	for name, end := range map[string]func(st *state){
-		"both have told":       func(st *state) { st.markEntriesReceived("b:1"); st.markEntriesReceived("c:1") },
-		"the time for it ends": func(st *state) { st.started = st.started.Add(-maxFillTime); st.updateComplete(true) },
+		"both have sent theirs": func(st *state) { st.markEntriesReceived("b:1"); st.markEntriesReceived("c:1") },
+		"the time is over":      func(st *state) { st.started = st.started.Add(-maxFillTime); st.updateComplete(true) },
 	} {
 		var answered atomic.Int64
 		_, st := newRegistryWithPullers(t, 1, &answered)
 		st.started = time.Now()
 		partial := func() bool { return st.buildReply(messages.PullCall{}).Partial }
 		if st.updateComplete(false); !partial() {
-			t.Errorf("%s: it vouches for its table before it looked for others", name)
+			t.Errorf("%s: the table counts as complete before other registries were looked for", name)
 		}
 		st.pulls["b:1"], st.pulls["c:1"] = nil, nil
 		st.updateComplete(true)
 		st.markEntriesReceived("b:1")
 		if !partial() || answered.Load() > 0 {
-			t.Errorf("%s: it vouches for its table while one of two others has told nothing", name)
+			t.Errorf("%s: the table counts as complete while one of two others has sent nothing", name)
 		}
 		if end(st); partial() || answered.Load() != 1 {
 			t.Errorf("%s: partial: %v, %d answered", name, partial(), answered.Load())
--- a/internal/registry/lag_test.go
+++ b/internal/registry/pages_test.go
@@ -18,23 +18,24 @@
 	"saltmast/internal/simulation/network"
 )
 
-// A member that lacks more than it can be told at once counts for nothing, until it has been taught in pages, which a
-// round that needs it begins at once, with another one lost. No message is larger than a page or a delta, and a proposer that holds nothing yet says so rather than go on from a part.
-func TestMemberThatLacksMuch(t *testing.T) {
+// TestFarBehindVoterIsSentPages checks that a voter that lacks more than one message may hold takes no part until it has been
+// sent pages, which a round that needs it, with another voter lost, starts at once. No message is larger than a page or a
+// delta, and a proposer without a complete value says so rather than continue from a part.
+func TestFarBehindVoterIsSentPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := network.New(1)
 		p := s.Machine("10.0.0.1", "north").Start()
 		service := configuration.Item{Key: configuration.Key{Kind: configuration.Services, Name: "s"}, Version: 1, Ballot: configuration.Ballot{N: 1, By: 9}, Spec: []byte("{}")}
-		stands := configuration.SetOf(service)
+		value := configuration.SetOf(service)
 		last := configuration.Ballot{N: 3001, By: 9}
 		for n := range uint64(3000) {
 			spec := fmt.Sprintf(`{"host":"h","path-prefix":"/%d/%s/","route-kind":"idempotent","deadline-s":1,"target-s":1,"service":"s","max-attempts":1}`, n, strings.Repeat("x", 900))
-			stands = stands.With(configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint("r", n)}, Version: 1,
+			value = value.With(configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint("r", n)}, Version: 1,
 				Ballot: configuration.Ballot{N: n + 2, By: 9}, Spec: []byte(spec)})
 		}
 		reg, voters, end := newRegistryWithVoters(t, p, func(v *testVoter) {
 			if v.index < 2 {
-				v.acceptor.Accept(last, slices.Collect(stands.All()))
+				v.acceptor.Accept(last, slices.Collect(value.All()))
 				v.acceptor.Learn(last)
 			}
 		})
@@ -45,47 +46,47 @@
 			return reg.propose(t.Context(), consensus.Order{Items: []configuration.Item{i}})
 		}
 		if err := change(2); errcode.Of(err) != errcode.CoreOut || !strings.Contains(err.Error(), "not read yet") {
-			t.Errorf("with nothing held: %v", err)
+			t.Errorf("without a value: %v", err)
 		}
 		reg.owner.Ask(func(st *state) {
-			st.setChosen(last, stands)
-			st.completeUpTo[0], st.completeUpTo[1] = last, last // as they were watched
+			st.setChosen(last, value)
+			st.completeUpTo[0], st.completeUpTo[1] = last, last // as watchVoter records it
 		})
 		if err := change(3); err != nil {
 			t.Error(err)
 		}
 		if voters[2].acceptor.Accepted.N > 0 || voters[2].acceptor.Stands.Len() > 0 {
-			t.Errorf("told at once: %v", voters[2].acceptor.Accepted)
+			t.Errorf("a voter that is far behind accepted %v", voters[2].acceptor.Accepted)
 		}
-		voters[1].silent = true // a round waits for it in vain, and has the other taught
-		if err := change(4); err != nil || voters[2].acceptor.Stands.Len() != stands.Len() {
-			t.Errorf("beside one that lagged: %v, it holds %d items of %d", err, voters[2].acceptor.Stands.Len(), stands.Len())
+		voters[1].silent = true // a round waits for it in vain, and sends the other pages
+		if err := change(4); err != nil || voters[2].acceptor.Stands.Len() != value.Len() {
+			t.Errorf("with one lagging voter: %v, it holds %d items of %d", err, voters[2].acceptor.Stands.Len(), value.Len())
 		}
 		for _, v := range voters {
 			if v.largestCall > consensus.PageMax*5/4 {
-				t.Errorf("member %d was told %d bytes at once", v.index, v.largestCall)
+				t.Errorf("voter %d was sent %d bytes at once", v.index, v.largestCall)
 			}
 		}
 		end()
 	})
 }
 
-// newRegistryWithVoters is a harbour without goroutines of its own, with three members in memory.
-func newRegistryWithVoters(t *testing.T, p *network.Process, begin func(*testVoter)) (reg *Registry, voters []*testVoter, end func()) {
+// newRegistryWithVoters returns a registry without goroutines of its own, and three voters in memory that setUp has prepared.
+func newRegistryWithVoters(t *testing.T, p *network.Process, setUp func(*testVoter)) (reg *Registry, voters []*testVoter, end func()) {
 	reg, st := newTestRegistry(t)
 	reg.quorum = quorum.New(p)
 	st.completeUpTo, st.teaching = make([]configuration.Ballot, 3), make([]bool, 3)
 	reg.owner = rpc.Own(st, 16)
 	voterSet := messages.VoterSet{Epoch: 1}
 	var servers []*rpc.Server
-	for n := range 3 {
-		addr := fmt.Sprintf("10.0.0.1:%d", n+1)
+	for i := range 3 {
+		addr := fmt.Sprintf("10.0.0.1:%d", i+1)
 		l, err := p.Listen(addr, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		v := &testVoter{acceptor: consensus.NewAcceptor(), index: n}
-		begin(v)
+		v := &testVoter{acceptor: consensus.NewAcceptor(), index: i}
+		setUp(v)
 		voters, servers = append(voters, v), append(servers, rpc.Serve(l, v.handle))
 		voterSet.Voters = append(voterSet.Voters, messages.Voter{Addr: addr})
 	}
@@ -101,9 +102,9 @@
 	}
 }
 
-// A large call behind a large one that one member alone has accepted: what was left is settled first, as both at once are more than
-// a member keeps beside its base.
-func TestLargeCallBehindALargeOne(t *testing.T) {
+// TestLargeCallAfterLargeLeftover proposes a large call while one voter alone has accepted another large one: the latter is settled
+// first, as both together exceed what a voter keeps besides its base.
+func TestLargeCallAfterLargeLeftover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := network.New(1)
 		p := s.Machine("10.0.0.1", "north").Start()
@@ -134,15 +135,16 @@
 		}
 		for _, v := range voters[:2] {
 			if v.acceptor.Value.Len() != 1401 || v.largestCall > consensus.DeltaMax {
-				t.Errorf("member %d: %d items, told %d bytes at once", v.index, v.acceptor.Value.Len(), v.largestCall)
+				t.Errorf("voter %d: %d items, sent %d bytes at once", v.index, v.acceptor.Value.Len(), v.largestCall)
 			}
 		}
 		end()
 	})
 }
 
-// What a watched member tells in pages is in force with the last. A page of a later value whose teller is gone holds up nobody.
-func TestPagesOfAWatch(t *testing.T) {
+// TestWatchPages checks that a value that a watched voter sends in pages is applied with its last page, and that a page of a newer
+// value from a voter that has gone blocks nothing.
+func TestWatchPages(t *testing.T) {
 	_, st := newTestRegistry(t)
 	st.leases = map[lease.Name]*lease.Lease{}
 	st.servingAt, st.pendingSince, st.behindCount, st.sealedSince = make([]time.Time, 1), make([]time.Time, 1), make([]int, 1), make([]time.Time, 1)
@@ -152,35 +154,35 @@
 	}
 	five := configuration.SetOf(item("a", 1), item("b", 2), item("c", 3), item("d", 5))
 	six := five.With(item("a", 6))
-	tell := func(s configuration.Set, of uint64, catches bool) {
-		p := consensus.PageOf(s, configuration.Ballot{N: of}, st.pages.Have(st.chosenBallot))
+	receive := func(s configuration.Set, ballot uint64, catchingUp bool) {
+		p := consensus.PageOf(s, configuration.Ballot{N: ballot}, st.pages.Have(st.chosenBallot))
 		w := messages.WatchReply{State: "serving", Accepted: p.Target, Chosen: p.Target, KnownChosen: p.Target, From: p.From, UpTo: p.Upto, Items: p.Items}
-		if catches {
+		if catchingUp {
 			w.KnownChosen.N++
 		}
 		st.handleWatchReply(0, w, time.Now())
 	}
-	if tell(five, 5, true); !st.pages.Have(st.chosenBallot).IsZero() {
-		t.Error("a page of a member that catches up")
+	if receive(five, 5, true); !st.pages.Have(st.chosenBallot).IsZero() {
+		t.Error("a page of a voter that is catching up was taken")
 	}
-	tell(six, 6, false)
+	receive(six, 6, false)
 	if !st.chosenBallot.IsZero() || st.pages.Have(st.chosenBallot).N != 2 {
-		t.Fatalf("behind the first page: %v, all up to %v", st.chosenBallot, st.pages.Have(st.chosenBallot))
+		t.Fatalf("after the first page: chosen %v, complete up to %v", st.chosenBallot, st.pages.Have(st.chosenBallot))
 	}
 	for range 8 {
-		if tell(five, 5, false); st.chosenBallot.N > 0 {
+		if receive(five, 5, false); st.chosenBallot.N > 0 {
 			break
 		}
 	}
 	if st.chosenBallot.N != 5 || st.chosenSet.Len() != 4 {
 		t.Errorf("chosen %v, %d items", st.chosenBallot, st.chosenSet.Len())
 	}
-	if tell(six, 6, false); st.chosenBallot.N != 6 || st.pages.Have(st.chosenBallot).N != 6 {
+	if receive(six, 6, false); st.chosenBallot.N != 6 || st.pages.Have(st.chosenBallot).N != 6 {
 		t.Errorf("chosen %v", st.chosenBallot)
 	}
-	seven := configuration.Ballot{N: 7} // from a purser that knows of no pages
+	seven := configuration.Ballot{N: 7} // from a store that doesn't use pages
 	st.handleWatchReply(0, messages.WatchReply{State: "serving", Accepted: seven, Chosen: seven, Items: []configuration.Item{item("b", 7)}}, time.Now())
 	if x, _ := st.chosenSet.Get(item("b", 7).Key); st.chosenBallot != seven || x.Ballot != seven || st.chosenSet.Len() != 4 {
-		t.Errorf("told all at once: chosen %v, %d items", st.chosenBallot, st.chosenSet.Len())
+		t.Errorf("all items at once: chosen %v, %d items", st.chosenBallot, st.chosenSet.Len())
 	}
 }
--- a/internal/registry/number_test.go
+++ b/internal/registry/refusal_test.go
@@ -17,7 +17,7 @@
 	"saltmast/internal/simulation/network"
 )
 
-// withTestVoters is a harbour without proxies, and three members that have accepted what a test says, the last of its sets at each.
+// withTestVoters runs a test with a registry without proxies and three voters. Each voter has accepted the sets in left, in order.
 func withTestVoters(t *testing.T, left [3][]configuration.Set, do func(t *testing.T, reg *Registry, voters []*testVoter)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := network.New(1).Machine("10.0.0.1", "north").Start()
@@ -59,7 +59,7 @@
 	})
 }
 
-// applyCall is a set with the items of a call laid over it, under ballot n.
+// applyCall returns a set with the items of a call applied under ballot n, and the items.
 func applyCall(t *testing.T, s configuration.Set, n uint64, text string) (configuration.Set, []configuration.Item) {
 	c, err := configuration.DecodeCall([]byte(`{"upsert":{"resources":[` + text + `]}}`))
 	if err != nil {
@@ -77,16 +77,16 @@
 		`{"host":"h","path-prefix":"/a/","route-kind":"idempotent","deadline-s":1,"service":"` + service + `"}}`
 }
 
-// A call that is refused for what a majority has accepted does not come into force when a member is back that alone holds a later
-// value, with the call and what it hangs on: by a copy of it that another agent had left there.
-func TestRefusalHoldsAgainstWhatOneMemberHas(t *testing.T) {
+// TestRefusalHoldsAgainstOneVoter checks that a call refused because of the value of a majority stays refused when a voter returns
+// that alone holds a later value with the call and the service it needs, left there by a copy of the call at another registry.
+func TestRefusalHoldsAgainstOneVoter(t *testing.T) {
 	base, _ := applyCall(t, configuration.Set{}, 5, serviceText("s"))
 	more, _ := applyCall(t, base, 6, serviceText("late"))
 	all, order := applyCall(t, more, 7, routeText("r1", "late"))
 	withTestVoters(t, [3][]configuration.Set{{base, all}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
 		voters[0].silent = true
 		if k := errcode.Of(reg.propose(t.Context(), consensus.NewOrder(order, configuration.Set{}))); k != errcode.Invalid {
-			t.Errorf("while nobody tells of its service: %v", k)
+			t.Errorf("while no voter reports its service: %v", k)
 		}
 		voters[0].silent, voters[1].silent = false, true
 		if err := reg.propose(t.Context(), consensus.Order{}); err != nil {
@@ -94,39 +94,40 @@
 		}
 		reg.owner.Ask(func(st *state) {
 			if _, ok := st.chosenSet.Get(order[0].Key); ok {
-				t.Error("what was refused is in force")
+				t.Error("the refused call took effect")
 			}
 		})
 	})
 }
 
-// A copy that waits at an agent while the other is refused is never taken, whatever comes meanwhile; one that is sent anew is.
-func TestCopyBesideARefusal(t *testing.T) {
+// TestWaitingCopyOfRefusedCall checks that a copy of a call that waits while another copy is refused is never applied, whatever
+// changes meanwhile, but that the call succeeds when sent again.
+func TestWaitingCopyOfRefusedCall(t *testing.T) {
 	base, _ := applyCall(t, configuration.Set{}, 5, serviceText("s"))
 	_, order := applyCall(t, base, 6, routeText("r1", "late"))
 	_, late := applyCall(t, base, 6, serviceText("late"))
 	withTestVoters(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, reg *Registry, _ []*testVoter) {
-		waits := consensus.NewOrder(order, base)
+		waiting := consensus.NewOrder(order, base)
 		for _, step := range []struct {
 			what  string
 			order consensus.Order
 			want  errcode.Kind
 		}{{"a copy", consensus.NewOrder(order, base), errcode.Invalid}, {"its service", consensus.NewOrder(late, base), errcode.OK},
-			{"the copy that waited", waits, errcode.Unsure}} {
+			{"the copy that waited", waiting, errcode.Unsure}} {
 			if k := errcode.Of(reg.propose(t.Context(), step.order)); k != step.want {
 				t.Errorf("%s: %v, want %v", step.what, k, step.want)
 			}
 		}
-		var anew consensus.Order
-		reg.owner.Ask(func(st *state) { anew = consensus.NewOrder(order, st.chosenSet) })
-		if err := reg.propose(t.Context(), anew); err != nil {
-			t.Errorf("sent anew: %v", err)
+		var resent consensus.Order
+		reg.owner.Ask(func(st *state) { resent = consensus.NewOrder(order, st.chosenSet) })
+		if err := reg.propose(t.Context(), resent); err != nil {
+			t.Errorf("sent again: %v", err)
 		}
 	})
 }
 
-// A call whose sender has gone is proposed no more: it would come into force where nobody waits for it.
-func TestSenderHasGone(t *testing.T) {
+// TestCallOfGoneSender checks that a call whose sender has gone is not proposed: it would take effect with nobody waiting for it.
+func TestCallOfGoneSender(t *testing.T) {
 	base, _ := applyCall(t, configuration.Set{}, 5, serviceText("s"))
 	_, order := applyCall(t, base, 6, routeText("r1", "s"))
 	withTestVoters(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
@@ -138,16 +139,16 @@
 		for _, v := range voters {
 			v.mu.Lock()
 			if _, ok := v.acceptor.Value.Get(order[0].Key); ok {
-				t.Error("a member has it")
+				t.Error("a voter has accepted it")
 			}
 			v.mu.Unlock()
 		}
 	})
 }
 
-// A call of many items that each have a long past is taken: of the past goes what does not fit, and a number that is forgotten is
-// neither confirmed nor refused.
-func TestManyItemsWithAPast(t *testing.T) {
+// TestManyItemsWithHistory checks that a call of many items with long version histories is applied: the part of the history that
+// doesn't fit is dropped, and a dropped version is neither confirmed nor refused.
+func TestManyItemsWithHistory(t *testing.T) {
 	const n = 2500
 	call := func(version configuration.Version) (items []configuration.Item) {
 		for i := range n {
@@ -155,18 +156,18 @@
 		}
 		return items
 	}
-	past := call(1)[0]
+	history := call(1)[0]
 	for v := configuration.Version(2); v <= configuration.MaxPast+1; v++ {
-		past, _ = past.Remember(past.Taken())
-		past.Version = v
+		history, _ = history.Remember(history.Taken())
+		history.Version = v
 	}
-	all := call(past.Version)
+	all := call(history.Version)
 	for i := range all {
-		all[i].Past, all[i].Ballot = past.Past, configuration.Ballot{N: 1, By: 9}
+		all[i].Past, all[i].Ballot = history.Past, configuration.Ballot{N: 1, By: 9}
 	}
 	base := configuration.SetOf(all...)
 	withTestVoters(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
-		last := past.Version + 1
+		last := history.Version + 1
 		for _, c := range []struct {
 			version configuration.Version
 			want    errcode.Kind
@@ -177,14 +178,14 @@
 		}
 		for _, v := range voters {
 			if v.largestCall > consensus.DeltaMax {
-				t.Errorf("a member keeps %d bytes beside its base", v.largestCall)
+				t.Errorf("a voter keeps %d bytes besides its base", v.largestCall)
 			}
 		}
 	})
 }
 
-// A call whose refusal a round left with one member, and did not come through, hears of it from the next round.
-func TestRefusalThatWasLeft(t *testing.T) {
+// TestRefusalLeftOnOneVoter checks that a call whose refusal an unfinished round left with one voter is refused by the next round.
+func TestRefusalLeftOnOneVoter(t *testing.T) {
 	base, _ := applyCall(t, configuration.Set{}, 5, serviceText("s"))
 	_, items := applyCall(t, base, 6, routeText("r1", "late"))
 	order := consensus.NewOrder(items, base)
@@ -197,8 +198,9 @@
 	})
 }
 
-// A round that a majority has turned down is over then, though one member says nothing: the next begins at once.
-func TestSilentMemberHoldsUpNoNextRound(t *testing.T) {
+// TestSilentVoterDelaysNoRound checks that a round rejected by a majority ends at once although one voter is silent, and that the
+// next one starts.
+func TestSilentVoterDelaysNoRound(t *testing.T) {
 	base, _ := applyCall(t, configuration.Set{}, 5, serviceText("s"))
 	_, order := applyCall(t, base, 6, routeText("r1", "s"))
 	for what, begin := range map[string]func(v *testVoter){
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -257,7 +257,7 @@
 	if voterSet.Epoch == 0 || !reg.quorum.Take(voterSet) {
 		return
 	}
-	reg.options.Log("roll", fmt.Sprintf("epoch %d, %d count", voterSet.Epoch, len(voterSet.Voters)))
+	reg.options.Log("roll", fmt.Sprintf("epoch %d, %d voters", voterSet.Epoch, len(voterSet.Voters)))
 	reg.owner.Ask(func(st *state) {
 		if reg.quorum.Roll().Epoch != voterSet.Epoch {
 			return
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -18,7 +18,7 @@
 	"saltmast/internal/simulation/network"
 )
 
-// newTestRegistry is a harbour without goroutines, sockets or members.
+// newTestRegistry returns a registry without goroutines, sockets or voters.
 func newTestRegistry(t testing.TB) (*Registry, *state) {
 	reg := &Registry{options: Options{Incarnation: 1, Log: func(event, text string) { t.Log(event, text) }}, quorum: quorum.New(nil),
 		closed: make(chan struct{}), roundSlot: make(chan struct{}, 1)}
@@ -26,13 +26,13 @@
 		pulls: map[string]chan struct{}{}, entriesReceived: map[string]bool{}, pullers: map[*pullWaiter]struct{}{}}
 }
 
-// A puller waits unless there is something that it lacks: one that knows more than is known here is not answered at once,
-// again and again.
-func TestNews(t *testing.T) {
+// TestHasUpdate checks that a pull waits unless the caller lacks something: a caller that knows more than this registry must not
+// be answered at once, over and over.
+func TestHasUpdate(t *testing.T) {
 	reg, st := newTestRegistry(t)
-	wants := func(m messages.PullCall) bool { m.Incarnation = 1; return st.hasUpdate(&pullWaiter{request: m}) }
-	if wants(messages.PullCall{Epoch: 1, RegistriesDigest: st.registriesDigest, Have: configuration.Ballot{N: 1}}) {
-		t.Error("news for one who knows more")
+	hasUpdate := func(m messages.PullCall) bool { m.Incarnation = 1; return st.hasUpdate(&pullWaiter{request: m}) }
+	if hasUpdate(messages.PullCall{Epoch: 1, RegistriesDigest: st.registriesDigest, Have: configuration.Ballot{N: 1}}) {
+		t.Error("an update for a caller that knows more")
 	}
 	reg.quorum.Take(messages.VoterSet{Epoch: 2})
 	st.backends.Join(backends.Berth{Node: "n", Version: 1})
@@ -41,96 +41,96 @@
 	all := messages.PullCall{Revision: 1, Epoch: 2, RegistriesDigest: st.buildReply(messages.PullCall{}).RegistriesDigest, Have: configuration.Ballot{N: 1}}
 	for name, change := range map[string]func(*messages.PullCall){
 		"":              func(*messages.PullCall) {},
-		"a berth":       func(m *messages.PullCall) { m.Revision = 0 },
-		"the roll":      func(m *messages.PullCall) { m.Epoch = 1 },
-		"a master":      func(m *messages.PullCall) { m.RegistriesDigest = 0 },
+		"a backend":     func(m *messages.PullCall) { m.Revision = 0 },
+		"the voter set": func(m *messages.PullCall) { m.Epoch = 1 },
+		"a registry":    func(m *messages.PullCall) { m.RegistriesDigest = 0 },
 		"configuration": func(m *messages.PullCall) { m.Have = configuration.Ballot{} },
 	} {
 		m := all
-		if change(&m); wants(m) != (name != "") {
-			t.Errorf("lacking %q: news %v", name, wants(m))
+		if change(&m); hasUpdate(m) != (name != "") {
+			t.Errorf("lacking %q: update %v", name, hasUpdate(m))
 		}
 	}
 }
 
-// While rounds fail, those that settle what is pending do not pile up before the operator's, which wait no longer than their
-// callers.
-func TestRoundsInTurn(t *testing.T) {
+// TestRoundSlot checks that while rounds fail, settling rounds don't queue up ahead of the operator's calls, and that these wait no
+// longer than their callers.
+func TestRoundSlot(t *testing.T) {
 	reg, st := newTestRegistry(t)
 	st.servingAt, st.pendingSince, st.behindCount, st.sealedSince = make([]time.Time, 3), make([]time.Time, 3), make([]int, 3), make([]time.Time, 3)
 	st.marks, st.currentAt, st.completeUpTo, st.teaching, st.answeredAt = make([]messages.Mark, 3), make([]time.Time, 3), make([]configuration.Ballot, 3), make([]bool, 3), make([]time.Time, 3)
-	reg.roundSlot <- struct{}{} // a round that takes long
+	reg.roundSlot <- struct{}{} // a long round
 	long := time.Now().Add(-time.Minute)
 	for i := range 30 {
 		st.pendingSince[i%3] = long
 		st.handleWatchReply(i%3, messages.WatchReply{State: "serving", Origin: consensus.Vouch{By: i % 3}, Accepted: configuration.Ballot{N: 1}}, time.Now())
 	}
 	if reg.startSettling() {
-		t.Error("another that settles was begun")
+		t.Error("another settling round was started")
 	}
 	if reg.acquireRound(time.Now()) {
-		t.Error("two have the turn")
+		t.Error("two rounds hold the slot")
 	}
 	close(reg.closed)
 	if reg.acquireRound(time.Now().Add(time.Hour)) {
-		t.Error("a turn after the end")
+		t.Error("a round got the slot after the end")
 	}
 	<-reg.roundSlot
 }
 
-// testVoter is a member of those that count, in memory alone.
+// testVoter is a voter that keeps its state in memory.
 type testVoter struct {
 	mu          sync.Mutex
 	acceptor    *consensus.Acceptor
 	index       int
 	silent      bool
-	largestCall int // bytes of a call that told items
+	largestCall int // bytes of the largest call with items
 
-	overtakes int // by another's higher ballot, ahead of so many accepts
+	overtakes int // how many accept calls are preceded by a higher ballot of another proposer
 }
 
 func (v *testVoter) handle(c rpc.Call) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	vouch := consensus.Vouch{By: v.index, Incs: []uint64{1, 1, 1}}
+	origin := consensus.Vouch{By: v.index, Incs: []uint64{1, 1, 1}}
 	var p messages.PrepareCall
 	var a messages.AcceptCall
 	var l messages.LearnCall
-	var turn messages.SendPageCall
+	var page messages.SendPageCall
 	switch {
 	case v.silent:
 	case c.Kind == messages.Prepare && rpc.Decode(c.Body, &p) == nil:
 		if v.acceptor.Prepare(p.B) {
-			c.Reply(v.acceptor.Promise(vouch, p.Have), nil)
+			c.Reply(v.acceptor.Promise(origin, p.Have), nil)
 		} else {
-			c.Reply(consensus.Promise{Vouch: vouch, Promised: v.acceptor.Promised, Accepted: v.acceptor.Accepted}, nil)
+			c.Reply(consensus.Promise{Vouch: origin, Promised: v.acceptor.Promised, Accepted: v.acceptor.Accepted}, nil)
 		}
 	case c.Kind == messages.Accept && rpc.Decode(c.Body, &a) == nil:
 		if v.overtakes > 0 {
 			v.overtakes--
 			v.acceptor.Prepare(configuration.Ballot{N: a.B.N + 10, By: 9})
 		}
-		taken := v.acceptor.May(a.B, a.Base)
-		if taken {
+		accepted := v.acceptor.May(a.B, a.Base)
+		if accepted {
 			v.acceptor.Accept(a.B, v.acceptor.Delta(a.Changes))
 		}
 		v.largestCall = max(v.largestCall, len(c.Body))
-		c.Reply(messages.AcceptReply{Origin: vouch, Taken: taken, Promised: v.acceptor.Promised, Accepted: v.acceptor.Accepted}, nil)
+		c.Reply(messages.AcceptReply{Origin: origin, Taken: accepted, Promised: v.acceptor.Promised, Accepted: v.acceptor.Accepted}, nil)
 	case c.Kind == messages.Learn && rpc.Decode(c.Body, &l) == nil:
 		v.acceptor.Learn(l.B)
-	case c.Kind == messages.SendPage && rpc.Decode(c.Body, &turn) == nil:
+	case c.Kind == messages.SendPage && rpc.Decode(c.Body, &page) == nil:
 		v.largestCall = max(v.largestCall, len(c.Body))
-		taken := v.acceptor.Turns(turn.Page)
-		if taken {
-			v.acceptor.Turn(turn.Page)
+		accepted := v.acceptor.Turns(page.Page)
+		if accepted {
+			v.acceptor.Turn(page.Page)
 		}
-		c.Reply(messages.AcceptReply{Origin: vouch, Taken: taken, Promised: v.acceptor.Promised, Accepted: v.acceptor.Accepted, Chosen: v.acceptor.Chosen}, nil)
+		c.Reply(messages.AcceptReply{Origin: origin, Taken: accepted, Promised: v.acceptor.Promised, Accepted: v.acceptor.Accepted, Chosen: v.acceptor.Chosen}, nil)
 	}
 }
 
-// A call that is refused for what another one left with a single member does not come into force when that member is gone,
-// though its own first round had left it with another.
-func TestRefusedStaysRefused(t *testing.T) {
+// TestRefusedCallStaysRefused checks that a call refused because of another call that a single voter has accepted stays refused when
+// that voter has gone, although an earlier round had left the refused call with another voter.
+func TestRefusedCallStaysRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := network.New(1)
 		p := s.Machine("10.0.0.1", "north").Start()
@@ -179,7 +179,7 @@
 		reg.quorum.Take(voterSet)
 		voters[0].silent = true
 		if k := errcode.Of(reg.propose(t.Context(), consensus.NewOrder(ours, configuration.Set{}))); k != errcode.Invalid {
-			t.Errorf("beside theirs: %v", k)
+			t.Errorf("with the other call: %v", k)
 		}
 		voters[0].silent, voters[1].silent = false, true
 		if err := reg.propose(t.Context(), consensus.Order{}); err != nil {
@@ -187,7 +187,7 @@
 		}
 		reg.owner.Ask(func(st *state) {
 			if _, ok := st.chosenSet.Get(ours[0].Key); ok {
-				t.Error("what was refused is in force")
+				t.Error("the refused call took effect")
 			}
 		})
 		reg.quorum.Close()
--- a/internal/registry/voters.go
+++ b/internal/registry/voters.go
@@ -48,7 +48,7 @@
 	if since := now.Sub(st.sealedSince[voter]); since > sealedLimit && (st.acquireLease(lease.Roll) || since > st.takeoverDelay) {
 		st.sealedSince[voter] = now
 		st.takeoverDelay = sealedLimit + rand.N(2*sealedLimit)
-		st.startVoterChange("an interrupted change", nil)
+		st.startVoterChange("interrupted change", nil)
 	}
 }
 
@@ -108,7 +108,7 @@
 		reconfig.Next(voterSet, nil, wanted, st.registry.options.Tolerance, known) != nil {
 		if st.acquireLease(lease.Roll) {
 			st.lastGrowth = now
-			st.startVoterChange("voters for all losses", func(voterSet messages.VoterSet) ([]messages.Voter, error) {
+			st.startVoterChange("voters missing or sharing a zone or region", func(voterSet messages.VoterSet) ([]messages.Voter, error) {
 				fillZones(&voterSet, known)
 				return reconfig.Next(voterSet, nil, wanted, st.registry.options.Tolerance, st.registry.readyCandidates(voterSet, known)), nil
 			})
@@ -134,7 +134,7 @@
 	}
 	st.lastReplacement = now
 	epoch := st.voterEpoch
-	st.startVoterChange("a voter that is lost", func(voterSet messages.VoterSet) ([]messages.Voter, error) {
+	st.startVoterChange("lost voter", func(voterSet messages.VoterSet) ([]messages.Voter, error) {
 		if voterSet.Epoch != epoch {
 			return nil, nil
 		}
@@ -424,8 +424,8 @@
 			}
 		}
 	}
-	reg.options.Log("roll", fmt.Sprintf("epoch %d: %d speak after %v", next.Epoch, active, time.Since(started).Round(time.Millisecond)))
-	reg.adoptVoterSet(next) // a voter that did not answer is told by the registries that watch it
+	reg.options.Log("roll", fmt.Sprintf("epoch %d: %d voters active after %v", next.Epoch, active, time.Since(started).Round(time.Millisecond)))
+	reg.adoptVoterSet(next) // voters that have not answered are told by the registries that watch them
 	for _, v := range next.Was {
 		if next.Place(v.Addr) < 0 {
 			go reg.callAddr(v.Addr, messages.AdoptVoters, messages.AdoptVotersCall{VoterSet: next}, nil, adoptTimeout)
@@ -481,7 +481,7 @@
 				default:
 					err = errcode.New(errcode.Preempted, "another change is under way")
 				}
-				reg.options.Log("roll", "the operator's word: "+resultText(err))
+				reg.options.Log("roll", "operator request: "+resultText(err))
 			}
 			if reply.TookMs = uint32(time.Since(started).Milliseconds()); err != nil {
 				reply.Error = err.Error()
