--- a/internal/console/differ.go
+++ b/internal/console/differ.go
@@ -248,8 +248,8 @@
 			continue
 		}
 		for i, v := range o.Told.Voters {
-			if v.Addr == a.Addr && i < len(o.Told.Registry.HeardMs) {
-				best = min(best, o.Told.Registry.HeardMs[i])
+			if v.Addr == a.Addr && i < len(o.Told.Registry.ServingMs) {
+				best = min(best, o.Told.Registry.ServingMs[i])
 			}
 		}
 	}
--- a/internal/console/json.go
+++ b/internal/console/json.go
@@ -203,7 +203,7 @@
 	}
 	if h := r.Registry; h != nil {
 		x := &jsonHarbour{FreshMs: ago(h.FreshMs), Pullers: h.Pullers, Left: h.Omitted, Teaches: h.HoldsTeachLease}
-		for _, ms := range h.HeardMs {
+		for _, ms := range h.ServingMs {
 			x.HeardMs = append(x.HeardMs, ago(ms))
 		}
 		for _, m := range h.Registries {
--- a/internal/console/lookout_test.go
+++ b/internal/console/lookout_test.go
@@ -41,7 +41,7 @@
 	now, old := configuration.Ballot{N: 7, By: 0xabc}, configuration.Ballot{N: 6, By: 0xabc}
 	h := messages.ReportReply{Program: messages.ProgramRegistry, Node: "core-1", Zone: "east", Addr: "10.0.0.1:7380", Incarnation: 42, Chosen: now, Items: versions(3, 1),
 		Registry: &messages.RegistryReport{Registries: []messages.Registry{{Name: "core-1", Addr: "10.0.0.1:7380", Zone: "east"}}, FreshMs: 40,
-			HeardMs: []uint32{40, 12_000}, Pullers: []string{"side-0001"}, HoldsTeachLease: true}}
+			ServingMs: []uint32{40, 12_000}, Pullers: []string{"side-0001"}, HoldsTeachLease: true}}
 	h.SetBackends(fleetBerths(n), false)
 	p := messages.ReportReply{Program: messages.ProgramStore, Addr: "10.0.0.1:7381", Chosen: old, Items: versions(2, 1),
 		Store: &messages.StoreReport{State: "serving", Incarnations: []uint64{1, 1}, Promised: now, Accepted: now, Keys: 12,
--- a/internal/console/mesh_test.go
+++ b/internal/console/mesh_test.go
@@ -75,7 +75,7 @@
 		if !own.Ready || own.RegistryAddr == "" || own.RegistryMs > 1200 || own.RetryTokens != 500 || l.Agents[6].Told.BackendsTotal != 1 {
 			t.Errorf("%+v", own)
 		}
-		if h := l.Agents[0].Told.Registry; len(h.Registries) != 3 || len(h.HeardMs) != 3 || h.FreshMs > 600 {
+		if h := l.Agents[0].Told.Registry; len(h.Registries) != 3 || len(h.ServingMs) != 3 || h.FreshMs > 600 {
 			t.Errorf("%+v", h)
 		}
 		if u := l.Agents[3].Told.Store; u.State != "serving" || u.VoterIndex != 0 || u.Accepted != l.Agents[3].Told.Chosen {
--- a/internal/messages/messages.go
+++ b/internal/messages/messages.go
@@ -1,5 +1,5 @@
-// Package messages holds the messages that the mesh's programs send each other, and the places of their ports. A message may
-// gain fields; a reader ignores those that it does not know.
+// Package messages defines the CBOR messages that the mesh's programs exchange, and the ports of these programs. A message may
+// gain fields; a reader ignores fields that it does not know.
 package messages
 
 import (
@@ -16,23 +16,24 @@
 	"saltmast/internal/reconfig"
 )
 
-// Places of the programs' own ports within the free range, on every machine.
+// Offsets of the programs' ports within the range of ephemeral ports, on every machine.
 const (
-	RegistryPort = 0 // harbourmaster, calls by signal
-	StorePort    = 1 // purser, calls by signal
-	InboundPort  = 2 // tug, requests from other tugs
+	RegistryPort = 0 // registry, RPCs
+	StorePort    = 1 // store, RPCs
+	InboundPort  = 2 // proxy, requests from other proxies
 
-	RegistryGossipPort = 3 // harbourmaster, datagrams of the roster
-	ProxyGossipPort    = 4 // tug, the same
+	RegistryGossipPort = 3 // registry, membership datagrams
+	ProxyGossipPort    = 4 // proxy, membership datagrams
 )
 
-// Roles of members of the roster. What they tell of themselves is the port, in 2 bytes, of the gate or of the calls by signal.
+// Roles of cluster members. Their metadata is a port in 2 bytes: InboundPort of a proxy, RegistryPort of a registry.
 const (
 	RoleRegistry uint8 = 1
 	RoleProxy    uint8 = 2
 )
 
-// AddrOnHost is the address of a program's port on the machine of another address. first is the first of the free ports.
+// AddrOnHost returns the address of a program's port on the host of addr, which may lack a port. first is the first of the
+// ephemeral ports and place the offset of the port.
 func AddrOnHost(addr string, first, place int) string {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -41,42 +42,43 @@
 	return net.JoinHostPort(host, strconv.Itoa(first+place))
 }
 
-// Kinds of calls.
+// Kinds of calls, with the types of request and response.
 const (
-	Prepare       uint8 = 1 + iota // to pursers: PrepareCall, ballot.Promise
-	Accept                         // AcceptCall, Accepted
-	Learn                          // LearnCall, Accepted
-	Watch                          // WatchCall, Watched
-	Claim                          // ClaimCall, tally.Grant
+	Prepare       uint8 = 1 + iota // to stores: PrepareCall, consensus.Promise
+	Accept                         // AcceptCall, AcceptReply
+	Learn                          // LearnCall, AcceptReply
+	Watch                          // WatchCall, WatchReply
+	Claim                          // ClaimCall, idempotency.Grant
 	Release                        // ReleaseCall, nothing
-	Recover                        // MusterCall, Mustered: from a member that lost its disk
-	Pull                           // to harbourmasters: PullCall, News
-	Report                         // to any program: nothing, what it knows
-	Lease                          // to pursers: LeaseCall, Leased
-	Ready                          // ReadyCall, Readied: before a change of the roll
-	ProposeVoters                  // SucceedCall, relief.Answer: who counts next
-	AdoptVoters                    // RelieveCall, Relieved: a roll that is chosen
-	Handover                       // HandoverCall, Handed: from a voter that takes over
-	ChangeVoters                   // to harbourmasters: RollsCall, RollsTold: the operator's word
-	LastMark                       // to harbourmasters: KnownCall, Mark: from a purser that begins
-	SendPage                       // to pursers: TurnCall, Accepted: a page of what was chosen
+	Recover                        // RecoverCall, RecoverReply: from a voter that lost its disk
+	Pull                           // to registries and proxies: PullCall, PullReply
+	Report                         // to any program: ReportCall or nothing, ReportReply
+	Lease                          // to stores: LeaseCall, LeaseReply
+	Ready                          // ReadyCall, ReadyReply: before a voter set change
+	ProposeVoters                  // ProposeVotersCall, reconfig.Answer: chooses the next voter set
+	AdoptVoters                    // AdoptVotersCall, AdoptVotersReply: announces a chosen voter set
+	Handover                       // HandoverCall, HandoverReply: from a new voter
+	ChangeVoters                   // to registries: ChangeVotersCall, ChangeVotersReply: from the operator
+	LastMark                       // to registries: LastMarkCall, Mark: from a starting store
+	SendPage                       // to stores: SendPageCall, AcceptReply: a page of a chosen value
 )
 
-// Voter is a member of those that count, and Roll the list of them.
 type (
-	Voter    = reconfig.Voter
+	// Voter is a member of the voter set.
+	Voter = reconfig.Voter
+	// VoterSet lists the voters of an epoch.
 	VoterSet = reconfig.Roll
 )
 
-// PrepareCall asks for the promise to take no ballot below B.
+// PrepareCall asks for the promise to accept no ballot below B.
 type PrepareCall struct {
 	B     configuration.Ballot `cbor:"1,keyasint"`
 	Epoch uint64               `cbor:"2,keyasint"`
-	Have  configuration.Ballot `cbor:"3,keyasint"` // chosen, and held whole: the member tells what changed after it
+	Have  configuration.Ballot `cbor:"3,keyasint"` // ballot up to which the caller holds the chosen value; the voter sends what changed after it
 }
 
-// AcceptCall tells the value of ballot B by its items that changed after ballot Base, up to which the member holds all items of
-// what was chosen.
+// AcceptCall proposes the value of ballot B by its items that changed after ballot Base, up to which the voter holds all items of
+// the chosen value.
 type AcceptCall struct {
 	B       configuration.Ballot `cbor:"1,keyasint"`
 	Base    configuration.Ballot `cbor:"2,keyasint"`
@@ -84,290 +86,292 @@
 	Epoch   uint64               `cbor:"4,keyasint"`
 }
 
-// AcceptReply answers an AcceptCall, a LearnCall or a TurnCall.
+// AcceptReply answers an AcceptCall, a LearnCall or a SendPageCall.
 type AcceptReply struct {
 	Origin   consensus.Vouch      `cbor:"1,keyasint"`
-	Taken    bool                 `cbor:"2,keyasint"`
+	OK       bool                 `cbor:"2,keyasint"`
 	Promised configuration.Ballot `cbor:"3,keyasint"`
-	Accepted configuration.Ballot `cbor:"4,keyasint"` // where it was not taken: what stands there
-	Chosen   configuration.Ballot `cbor:"5,keyasint"` // it holds all items up to this
+	Accepted configuration.Ballot `cbor:"4,keyasint"` // ballot of the value that the voter has accepted
+	Chosen   configuration.Ballot `cbor:"5,keyasint"` // the voter holds all items up to this
 }
 
-// SendPageCall brings a page of a chosen value to a member that missed it.
+// SendPageCall sends a page of a chosen value to a voter that missed it.
 type SendPageCall struct {
 	Page  consensus.Page `cbor:"1,keyasint"`
 	Epoch uint64         `cbor:"2,keyasint"`
 }
 
-// LearnCall tells that the value of ballot B was chosen.
+// LearnCall announces that the value of ballot B was chosen.
 type LearnCall struct {
 	B configuration.Ballot `cbor:"1,keyasint"`
 }
 
-// WatchCall asks a purser for what was chosen after Have; the answer waits up to HoldMs for news.
+// WatchCall asks a store for what was chosen after Have; the answer waits up to HoldMs for a change.
 type WatchCall struct {
 	Have         configuration.Ballot `cbor:"1,keyasint"`
 	HoldMs       uint32               `cbor:"2,keyasint"`
-	Epoch        uint64               `cbor:"3,keyasint"`           // of the roll that the caller has
-	NotifySealed bool                 `cbor:"4,keyasint,omitempty"` // that the member is sealed is news
+	Epoch        uint64               `cbor:"3,keyasint"`           // of the voter set that the caller knows
+	NotifySealed bool                 `cbor:"4,keyasint,omitempty"` // answer at once if the voter is sealed
 }
 
-// WatchReply is a purser's state as far as the caller lacks it.
+// WatchReply is the part of a store's state that the caller lacks.
 type WatchReply struct {
-	Origin      consensus.Vouch      `cbor:"1,keyasint"` // By is -1 where it does not count
+	Origin      consensus.Vouch      `cbor:"1,keyasint"` // By is -1 if the store is not a voter
 	Promised    configuration.Ballot `cbor:"2,keyasint"`
 	Accepted    configuration.Ballot `cbor:"3,keyasint"`
-	Chosen      configuration.Ballot `cbor:"4,keyasint"` // it holds all items up to this
-	Items       []configuration.Item `cbor:"5,keyasint"` // of the chosen value, that changed after From, up to Upto
+	Chosen      configuration.Ballot `cbor:"4,keyasint"` // the voter holds all items up to this
+	Items       []configuration.Item `cbor:"5,keyasint"` // items of the chosen value that changed after From, up to UpTo
 	VoterSet    VoterSet             `cbor:"6,keyasint"`
 	State       string               `cbor:"7,keyasint"` // serving, repairing, without disk, apart
 	Keys        int                  `cbor:"8,keyasint"`
-	Sealed      bool                 `cbor:"9,keyasint,omitempty"` // sealed: a change of the roll is under way
+	Sealed      bool                 `cbor:"9,keyasint,omitempty"` // a voter set change is in progress
 	Mark        uint64               `cbor:"10,keyasint,omitempty"`
-	HeldMs      uint32               `cbor:"14,keyasint,omitempty"` // for so long the call waited here: the rest of its time is the way's, or somebody slept
-	From        configuration.Ballot `cbor:"13,keyasint"`           // Have, as it was asked
-	UpTo        configuration.Ballot `cbor:"11,keyasint"`           // with all up to Chosen, the page is the last
-	KnownChosen configuration.Ballot `cbor:"12,keyasint"`           // the highest that it knows to be chosen: higher than Chosen while it catches up
+	HeldMs      uint32               `cbor:"14,keyasint,omitempty"` // how long the call was held; the rest of its time is network delay or a suspended process
+	From        configuration.Ballot `cbor:"13,keyasint"`           // Have of the call
+	UpTo        configuration.Ballot `cbor:"11,keyasint"`           // if this is Chosen, the page is the last
+	KnownChosen configuration.Ballot `cbor:"12,keyasint"`           // highest ballot known to be chosen; higher than Chosen while the voter catches up
 }
 
-// Page is what is told of the chosen value.
+// Page returns the page of the chosen value in the reply.
 func (w *WatchReply) Page() consensus.Page {
 	return consensus.Page{From: w.From, Upto: w.UpTo, Target: w.Chosen, Items: w.Items}
 }
 
-// Mark is how far a member's disk had come when it spoke as a member. A disk that is behind a mark that it told is an older copy.
+// Mark is the progress of a voter's disk when the voter last answered as one. A disk that is behind a mark reported from it is
+// an older copy.
 type Mark struct {
 	Epoch       uint64 `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	Counter     uint64 `cbor:"3,keyasint"` // counted up on disk, by writes that are some time apart
+	Counter     uint64 `cbor:"3,keyasint"` // incremented on disk from time to time
 }
 
-// Behind reports whether m is of an earlier time than n.
+// Behind reports whether m is earlier than n.
 func (m Mark) Behind(n Mark) bool {
 	return cmp.Or(cmp.Compare(m.Epoch, n.Epoch), cmp.Compare(m.Incarnation, n.Incarnation), cmp.Compare(m.Counter, n.Counter)) < 0
 }
 
-// LastMarkCall asks for the last mark that a member told.
+// LastMarkCall asks for the last mark that a voter reported.
 type LastMarkCall struct {
 	Addr string `cbor:"1,keyasint"`
 }
 
-// ClaimCall claims a key.
+// ClaimCall claims an idempotency key.
 type ClaimCall struct {
 	Key   string         `cbor:"1,keyasint"`
 	ID    idempotency.ID `cbor:"2,keyasint"`
 	Epoch uint64         `cbor:"3,keyasint"`
 }
 
-// ReleaseCall gives a claim back that surely did not run and never will.
+// ReleaseCall releases a claim whose request certainly did not run and never will.
 type ReleaseCall struct {
 	Key string         `cbor:"1,keyasint"`
 	ID  idempotency.ID `cbor:"2,keyasint"`
 }
 
-// RecoverCall comes from a member that lost its disk. Step 1 asks under which incarnation it is known; step 2 tells its new
-// one, which is on disk before the answer, and asks for all that is held, from a key on.
+// RecoverCall comes from a voter that lost its disk. Step 1 asks under which incarnation it is known. Step 2 sends its new
+// incarnation, which the receiver writes to disk before it answers, and asks for the state, from a key on.
 type RecoverCall struct {
-	Addr        string `cbor:"1,keyasint"` // its own, as in the roll
+	Addr        string `cbor:"1,keyasint"` // its own, as in the voter set
 	Incarnation uint64 `cbor:"2,keyasint"` // 0: step 1
-	AfterKey    string `cbor:"3,keyasint"` // claims of keys after this one
+	AfterKey    string `cbor:"3,keyasint"` // return claims of keys after this one
 
-	Have configuration.Ballot `cbor:"4,keyasint"` // items after this ballot
+	Have configuration.Ballot `cbor:"4,keyasint"` // return items changed after this ballot
 }
 
-// RecoverReply answers a MusterCall. Its books come in parts: first the items of the base, then the rest of the claims. What is
-// told beside is of the moment of the part.
+// RecoverReply answers a RecoverCall. The state comes in parts: first the items of the base, then the rest of the claims. The
+// other fields are as of the time of the part.
 type RecoverReply struct {
 	Origin     consensus.Vouch      `cbor:"1,keyasint"`
 	Promised   configuration.Ballot `cbor:"2,keyasint"`
 	Accepted   configuration.Ballot `cbor:"3,keyasint"`
 	Chosen     configuration.Ballot `cbor:"4,keyasint"`
-	Items      []configuration.Item `cbor:"5,keyasint"` // of the base, up to Upto
+	Items      []configuration.Item `cbor:"5,keyasint"` // items of the base, up to UpTo
 	Claims     []ClaimCall          `cbor:"6,keyasint"`
-	MoreClaims bool                 `cbor:"7,keyasint"` // claims
+	MoreClaims bool                 `cbor:"7,keyasint"` // more claims follow
 	VoterSet   VoterSet             `cbor:"8,keyasint"`
-	Inherited  bool                 `cbor:"9,keyasint,omitempty"` // the value was accepted in a former epoch
+	Inherited  bool                 `cbor:"9,keyasint,omitempty"` // the value was accepted in an earlier epoch
 	Seal       *reconfig.Seal       `cbor:"10,keyasint,omitempty"`
-	UpTo       configuration.Ballot `cbor:"11,keyasint"` // less than Base: there are more items
-	Base       configuration.Ballot `cbor:"12,keyasint"` // of the chosen value, or of the accepted one where it holds no chosen one whole
-	Delta      []configuration.Item `cbor:"13,keyasint"` // of the accepted value, that changed after Base
+	UpTo       configuration.Ballot `cbor:"11,keyasint"` // less than Base: more items follow
+	Base       configuration.Ballot `cbor:"12,keyasint"` // ballot of the chosen value, or of the accepted one if the voter holds no complete chosen value
+	Delta      []configuration.Item `cbor:"13,keyasint"` // items of the accepted value that changed after Base
 }
 
-// ReadyCall asks a purser how it stands, and for the number of its disk, which it puts there where it has none yet.
+// ReadyCall asks a store for its state and for the number of its disk, which it writes there if the disk has none yet.
 type ReadyCall struct {
-	DryRun bool `cbor:"1,keyasint"` // no number is wanted
+	DryRun bool `cbor:"1,keyasint"` // no disk number is needed
 }
 
 // ReadyReply answers a ReadyCall.
 type ReadyReply struct {
 	State  string `cbor:"1,keyasint"`
 	Epoch  uint64 `cbor:"2,keyasint"`
-	Disk   uint64 `cbor:"3,keyasint"`           // 0: it may not take an office over
-	Quorum bool   `cbor:"4,keyasint,omitempty"` // its machine is one whose loss is bounded: it may become a voter with no word of the operator's
+	Disk   uint64 `cbor:"3,keyasint"`           // 0: the store may not become a voter
+	Quorum bool   `cbor:"4,keyasint,omitempty"` // the loss of its machine is bounded: it may become a voter without the operator
 }
 
-// ProposeVotersCall asks an old voter for a promise, or to accept a successor of its roll.
+// ProposeVotersCall asks an old voter for a promise, or to accept a successor of its voter set.
 type ProposeVotersCall struct {
-	Epoch uint64               `cbor:"1,keyasint"` // that ends
+	Epoch uint64               `cbor:"1,keyasint"` // the epoch that ends
 	B     configuration.Ballot `cbor:"2,keyasint"`
-	Next  *VoterSet            `cbor:"3,keyasint,omitempty"` // nil: a promise
+	Next  *VoterSet            `cbor:"3,keyasint,omitempty"` // nil: asks for a promise
 }
 
-// AdoptVotersCall tells a roll that is chosen. A voter of it answers once it speaks in the new epoch.
+// AdoptVotersCall announces a chosen voter set. A voter in it answers once it is active in the new epoch.
 type AdoptVotersCall struct {
 	VoterSet VoterSet `cbor:"1,keyasint"`
 }
 
-// AdoptVotersReply answers a RelieveCall.
+// AdoptVotersReply answers an AdoptVotersCall.
 type AdoptVotersReply struct {
 	State string `cbor:"1,keyasint"`
 	Epoch uint64 `cbor:"2,keyasint"`
 }
 
-// HandoverCall asks for the books of the epoch before, from a voter that takes over.
+// HandoverCall is sent by a new voter and asks for the state of the previous epoch.
 type HandoverCall struct {
-	Epoch    uint64 `cbor:"1,keyasint"` // that begins
-	AfterKey string `cbor:"2,keyasint"` // claims of keys after this one
+	Epoch    uint64 `cbor:"1,keyasint"` // the epoch that begins
+	AfterKey string `cbor:"2,keyasint"` // return claims of keys after this one
 
-	Have configuration.Ballot `cbor:"3,keyasint"` // items after this ballot
+	Have configuration.Ballot `cbor:"3,keyasint"` // return items changed after this ballot
 }
 
-// HandoverReply answers a HandoverCall, in parts as a Mustered.
+// HandoverReply answers a HandoverCall, in parts like a RecoverReply.
 type HandoverReply struct {
 	Handover   reconfig.Estate      `cbor:"1,keyasint"`
 	Inherited  bool                 `cbor:"2,keyasint,omitempty"`
-	Items      []configuration.Item `cbor:"3,keyasint"` // of the base, up to Upto
+	Items      []configuration.Item `cbor:"3,keyasint"` // items of the base, up to UpTo
 	Claims     []ClaimCall          `cbor:"4,keyasint"`
-	MoreClaims bool                 `cbor:"5,keyasint"` // claims
-	UpTo       configuration.Ballot `cbor:"6,keyasint"` // less than Base: there are more items
+	MoreClaims bool                 `cbor:"5,keyasint"` // more claims follow
+	UpTo       configuration.Ballot `cbor:"6,keyasint"` // less than Base: more items follow
 	Base       configuration.Ballot `cbor:"7,keyasint"`
-	Delta      []configuration.Item `cbor:"8,keyasint"` // of the accepted value, that changed after Base
+	Delta      []configuration.Item `cbor:"8,keyasint"` // items of the accepted value that changed after Base
 }
 
-// ChangeVotersCall asks a harbourmaster for another roll: all voters, or some of them replaced, each by the name of its node or by an
-// address of its machine.
+// ChangeVotersCall asks a registry for another voter set: a list of all voters, or replacements of some, each by the name of its
+// node or an address of its machine.
 type ChangeVotersCall struct {
 	Voters  []string    `cbor:"1,keyasint,omitempty"`
 	Replace [][2]string `cbor:"2,keyasint,omitempty"` // old, new
-	DryRun  bool        `cbor:"3,keyasint"`           // tells what would be done
+	DryRun  bool        `cbor:"3,keyasint"`           // only reports what would be done
 }
 
-// ChangeVotersReply answers a RollsCall.
+// ChangeVotersReply answers a ChangeVotersCall.
 type ChangeVotersReply struct {
 	Previous VoterSet `cbor:"1,keyasint"`
-	VoterSet VoterSet `cbor:"2,keyasint"` // that is in force, or would be
-	Error    string   `cbor:"3,keyasint"` // it is not; "": it is, or would be
+	VoterSet VoterSet `cbor:"2,keyasint"` // in force now, or after a dry run, what would be
+	Error    string   `cbor:"3,keyasint"` // why the request failed; "": it succeeded, or would
 	TookMs   uint32   `cbor:"4,keyasint"`
-	Active   int      `cbor:"5,keyasint,omitempty"` // voters known to hold the books in the new epoch; fewer than a majority: nobody that leaves may go yet
+	Active   int      `cbor:"5,keyasint,omitempty"` // voters known to be active in the new epoch; with fewer than a majority, no removed voter may shut down yet
 }
 
-// Registry is a harbourmaster.
+// Registry identifies a registry.
 type Registry struct {
 	Name string `cbor:"1,keyasint"`
-	Addr string `cbor:"2,keyasint"` // host:port of its calls by signal
+	Addr string `cbor:"2,keyasint"` // host:port of its RPCs
 	Zone string `cbor:"3,keyasint"`
 }
 
-// PullCall asks a harbourmaster for news, and tells it what the caller is the source of.
+// PullCall asks a registry for changes, and reports the entries of the caller.
 type PullCall struct {
-	Self             *backends.Berth      `cbor:"1,keyasint,omitempty"` // of a tug
-	Registry         *Registry            `cbor:"2,keyasint,omitempty"` // of a harbourmaster
-	Incarnation      uint64               `cbor:"3,keyasint"`           // the harbourmaster's life that At is of; 0: none
-	Revision         uint64               `cbor:"4,keyasint"`           // its last change that the caller has
-	Have             configuration.Ballot `cbor:"5,keyasint"`           // of the configuration
-	Epoch            uint64               `cbor:"6,keyasint"`           // of the roll
+	Self             *backends.Berth      `cbor:"1,keyasint,omitempty"` // the calling proxy
+	Registry         *Registry            `cbor:"2,keyasint,omitempty"` // the calling registry
+	Incarnation      uint64               `cbor:"3,keyasint"`           // the registry's incarnation that Revision belongs to; 0: none
+	Revision         uint64               `cbor:"4,keyasint"`           // last table change that the caller has
+	Have             configuration.Ballot `cbor:"5,keyasint"`           // ballot of the configuration that the caller has
+	Epoch            uint64               `cbor:"6,keyasint"`           // of the voter set that the caller knows
 	HoldMs           uint32               `cbor:"8,keyasint"`
-	Relayed          []backends.Berth     `cbor:"9,keyasint,omitempty"` // of tugs that reach no harbourmaster and told this one
-	RegistriesDigest uint64               `cbor:"10,keyasint"`          // of the list of harbourmasters that the answerer told last
+	Relayed          []backends.Berth     `cbor:"9,keyasint,omitempty"` // entries of proxies that reach no registry and reported to this caller
+	RegistriesDigest uint64               `cbor:"10,keyasint"`          // of the list of registries that the receiver sent last
 
-	Cursor *Cursor `cbor:"11,keyasint,omitempty"` // goes on with items that this life told in part
+	Cursor *Cursor `cbor:"11,keyasint,omitempty"` // continues a list of items that this incarnation sent in part
 }
 
-// MaxPartBytes bounds the items and entries of one message.
+// MaxPartBytes bounds the size of the items and backends in one message.
 const MaxPartBytes = 256 << 10
 
-// SkipBackends is the At of a call that tells something and asks for no entries.
+// SkipBackends is the Revision of a call that reports entries and asks for none.
 const SkipBackends = ^uint64(0)
 
-// RegistriesDigest tells one list of harbourmasters from another, whatever their order. It is never 0.
-func RegistriesDigest(of []Registry) (sum uint64) {
-	for _, m := range of {
-		h := fnv.New64a()
-		for _, s := range []string{m.Name, m.Addr, m.Zone} {
-			h.Write([]byte(s))
-			h.Write([]byte{0})
+// RegistriesDigest returns a digest of a list of registries that does not depend on their order. It is never 0.
+func RegistriesDigest(registries []Registry) (sum uint64) {
+	for _, registry := range registries {
+		hash := fnv.New64a()
+		for _, s := range []string{registry.Name, registry.Addr, registry.Zone} {
+			hash.Write([]byte(s))
+			hash.Write([]byte{0})
 		}
-		sum += h.Sum64()
+		sum += hash.Sum64()
 	}
 	return sum | 1
 }
 
-// Never is the FreshMs of a harbourmaster that has not heard a majority yet.
+// Never is the age, in milliseconds, of an event that has not happened, such as the FreshMs of a registry that has not heard a
+// majority yet.
 const Never = 1 << 30
 
-// PullReply is what a harbourmaster tells.
+// PullReply answers a PullCall.
 type PullReply struct {
 	Incarnation      uint64               `cbor:"1,keyasint"`
-	Revision         uint64               `cbor:"2,keyasint"` // the last change of this life that the entries bring; the next part goes on from there
-	Backends         []backends.Berth     `cbor:"3,keyasint"` // in the order of changes; each may be used as it comes
-	Chosen           configuration.Ballot `cbor:"4,keyasint"` // that the items make whole; zero amid parts
+	Revision         uint64               `cbor:"2,keyasint"` // last table change of this incarnation that Backends includes; the next part continues there
+	Backends         []backends.Berth     `cbor:"3,keyasint"` // in the order of changes; each is valid by itself
+	Chosen           configuration.Ballot `cbor:"4,keyasint"` // ballot that the items complete; zero if more parts follow
 	Items            []configuration.Item `cbor:"5,keyasint"`
 	VoterSet         *VoterSet            `cbor:"6,keyasint,omitempty"`
 	Registries       []Registry           `cbor:"7,keyasint,omitempty"`
-	FreshMs          uint32               `cbor:"8,keyasint"`            // since it heard a majority of those that count
-	RegistriesDigest uint64               `cbor:"9,keyasint"`            // of the list of harbourmasters that it knows, told where the caller has another
-	HeldMs           uint32               `cbor:"10,keyasint,omitempty"` // of Watched
+	FreshMs          uint32               `cbor:"8,keyasint"`            // since the registry heard a majority of the voters
+	RegistriesDigest uint64               `cbor:"9,keyasint"`            // of the known registries, which are sent if the caller has another list
+	HeldMs           uint32               `cbor:"10,keyasint,omitempty"` // as in WatchReply
 
-	Cursor   *Cursor `cbor:"11,keyasint,omitempty"` // there are more items: nothing of them may come into force yet
-	Snapshot bool    `cbor:"12,keyasint,omitempty"` // items begin here that are all that stand: what isn't among them is gone
+	Cursor   *Cursor `cbor:"11,keyasint,omitempty"` // more items follow; none may be applied before the last
+	Snapshot bool    `cbor:"12,keyasint,omitempty"` // a complete list of items begins here; items not in it are removed
 
-	MoreBackends bool `cbor:"13,keyasint,omitempty"` // there are more entries
-	Partial      bool `cbor:"14,keyasint,omitempty"` // the teller hasn't been told all entries itself yet: who is not ready does not become so by this
+	MoreBackends bool `cbor:"13,keyasint,omitempty"` // more backends follow
+	Partial      bool `cbor:"14,keyasint,omitempty"` // the sender may not have all entries yet: a proxy that is not ready must not become ready by this reply
 }
 
-// Cursor is where items that are told in parts go on.
+// Cursor is the position at which a list of items sent in parts continues.
 type Cursor struct {
 	Position configuration.Cursor `cbor:"1,keyasint"`
-	Since    configuration.Ballot `cbor:"2,keyasint"` // what was removed after this ballot is told as removed
+	Since    configuration.Ballot `cbor:"2,keyasint"` // items removed after this ballot are sent as removed
 }
 
-// Fill tells what the caller lacks of the table's entries and of the set's items, as much as one message may hold. While both
-// are wanted, neither keeps the other waiting. bare: tombstones of ballots up to that are no more in the set, so that whoever
-// has only what is older, or nothing, is told all that stands. n names the teller's life.
-func (n *PullReply) Fill(m PullCall, table *backends.Table, chosen configuration.Ballot, stands configuration.Set, bare configuration.Ballot) {
-	at, room := m.Revision, MaxPartBytes
-	if m.Incarnation != n.Incarnation && at != SkipBackends { // what another life counted tells nothing here
-		at = 0
+// Fill adds the backends of the table and the items of the set that the caller lacks, as many as one message may hold. If both
+// are needed, each gets a share. Tombstones of ballots up to purged are no longer in the set, so a caller with an older set, or
+// none, is sent all items. Incarnation must be set.
+func (r *PullReply) Fill(call PullCall, table *backends.Table, chosen configuration.Ballot, set configuration.Set, purged configuration.Ballot) {
+	revision, remaining := call.Revision, MaxPartBytes
+	if call.Incarnation != r.Incarnation && revision != SkipBackends { // the revision of another incarnation is meaningless here
+		revision = 0
 	}
-	if m.Have.Less(chosen) {
-		room /= 2
+	if call.Have.Less(chosen) {
+		remaining /= 2
 	}
-	n.Backends, n.Revision, n.MoreBackends = table.Part(at, room)
-	room = MaxPartBytes
-	for _, b := range n.Backends {
-		room -= b.Size()
+	r.Backends, r.Revision, r.MoreBackends = table.Part(revision, remaining)
+	remaining = MaxPartBytes
+	for _, backend := range r.Backends {
+		remaining -= backend.Size()
 	}
-	n.fillItems(m, chosen, stands, bare, room)
+	r.fillItems(call, chosen, set, purged, remaining)
 }
 
-func (n *PullReply) fillItems(m PullCall, chosen configuration.Ballot, stands configuration.Set, bare configuration.Ballot, room int) {
-	if n.Chosen = chosen; !m.Have.Less(chosen) {
+func (r *PullReply) fillItems(call PullCall, chosen configuration.Ballot, set configuration.Set, purged configuration.Ballot, remaining int) {
+	if r.Chosen = chosen; !call.Have.Less(chosen) {
 		return
 	}
-	from, since := configuration.After(m.Have), m.Have
-	if m.Cursor != nil && m.Incarnation == n.Incarnation { // another life may have told of another set
-		from, since = m.Cursor.Position, m.Cursor.Since
+	from, since := configuration.After(call.Have), call.Have
+	if call.Cursor != nil && call.Incarnation == r.Incarnation { // another incarnation may have sent another set
+		from, since = call.Cursor.Position, call.Cursor.Since
 	}
-	if since.IsZero() || since.Less(bare) {
-		n.Snapshot, from, since = true, configuration.Cursor{}, chosen
+	if since.IsZero() || since.Less(purged) {
+		r.Snapshot, from, since = true, configuration.Cursor{}, chosen
 	}
-	items, next := stands.Part(from, since, room)
-	if n.Items = items; next != nil { // parts make no ballot yet
-		n.Cursor, n.Chosen = &Cursor{Position: *next, Since: since}, configuration.Ballot{}
+	items, next := set.Part(from, since, remaining)
+	if r.Items = items; next != nil { // no ballot is complete before the last part
+		r.Cursor, r.Chosen = &Cursor{Position: *next, Since: since}, configuration.Ballot{}
 	}
 }
 
-// LeaseCall asks a member for a duty, or gives it back.
+// LeaseCall asks a voter for a lease, or releases it.
 type LeaseCall struct {
 	Name    lease.Name `cbor:"1,keyasint"`
 	Holder  uint64     `cbor:"2,keyasint"`
--- a/internal/messages/report.go
+++ b/internal/messages/report.go
@@ -17,31 +17,31 @@
 	ProgramStore    = "purser"
 )
 
-// ReportCall asks a program what it knows. Nothing at all asks the same as an empty one.
+// ReportCall asks a program for a report of its state. An empty body is the same as an empty call.
 type ReportCall struct {
-	Brief bool `cbor:"1,keyasint"` // without the list of berths: their number and digest do
+	Brief bool `cbor:"1,keyasint"` // omit the list of backends; their number and digest remain
 }
 
-// ReportReply is what a program knows: an answer of at most about a quarter of a MiB. Lists that are longer than their part of
-// that are cut, and the number of what was left out stands beside them.
+// ReportReply is a report of a program's state, of at most about a quarter of a MiB. Lists that exceed their share of that are
+// truncated, and the number of omitted entries is given.
 type ReportReply struct {
 	Program     string `cbor:"1,keyasint"`
 	Version     string `cbor:"2,keyasint"` // of the program
-	Node        string `cbor:"3,keyasint"` // a purser does not know its own
+	Node        string `cbor:"3,keyasint"` // empty for a store, which does not know its node
 	Zone        string `cbor:"4,keyasint"`
-	Addr        string `cbor:"5,keyasint"` // host:port where it was asked
+	Addr        string `cbor:"5,keyasint"` // host:port at which the report was requested
 	Incarnation uint64 `cbor:"6,keyasint"`
 	UpMs        uint64 `cbor:"7,keyasint"`
 
 	Chosen          configuration.Ballot `cbor:"8,keyasint"`
 	Epoch           uint64               `cbor:"9,keyasint"`
 	Voters          []Voter              `cbor:"10,keyasint,omitempty"`
-	Items           []ItemReport         `cbor:"11,keyasint,omitempty"` // in the order of their keys
+	Items           []ItemReport         `cbor:"11,keyasint,omitempty"` // sorted by key
 	ItemsOmitted    int                  `cbor:"12,keyasint,omitempty"`
-	Backends        []BackendReport      `cbor:"13,keyasint,omitempty"` // in the order of nodes
+	Backends        []BackendReport      `cbor:"13,keyasint,omitempty"` // sorted by node
 	BackendsOmitted int                  `cbor:"14,keyasint,omitempty"`
 	BackendsTotal   int                  `cbor:"15,keyasint,omitempty"`
-	BackendsDigest  uint64               `cbor:"16,keyasint,omitempty"` // digest of all of them: who tells the same knows the same
+	BackendsDigest  uint64               `cbor:"16,keyasint,omitempty"` // digest of all backends; equal digests mean equal tables
 	Counts          map[string]int64     `cbor:"17,keyasint,omitempty"`
 
 	Proxy    *ProxyReport    `cbor:"18,keyasint,omitempty"`
@@ -58,7 +58,7 @@
 	Dropped bool                  `cbor:"3,keyasint,omitempty"`
 }
 
-// BackendReport is an entry of the table of berths, as a program knows it.
+// BackendReport is an entry of the backend table, as a program knows it.
 type BackendReport struct {
 	Node        string         `cbor:"1,keyasint"`
 	Addr        string         `cbor:"2,keyasint"`
@@ -70,12 +70,12 @@
 	Capacity    int            `cbor:"8,keyasint,omitempty"`
 	State       backends.State `cbor:"9,keyasint,omitempty"`
 
-	InFlight int     `cbor:"10,keyasint,omitempty"` // a tug's own attempts there
-	AvoidMs  uint32  `cbor:"11,keyasint,omitempty"` // for so long it is tried last: it could not be reached
-	Load     float32 `cbor:"12,keyasint,omitempty"` // as its gate told last, of its capacity
+	InFlight int     `cbor:"10,keyasint,omitempty"` // the proxy's own attempts at this backend
+	AvoidMs  uint32  `cbor:"11,keyasint,omitempty"` // remaining time for which it is tried last, after it could not be reached
+	Load     float32 `cbor:"12,keyasint,omitempty"` // last load reported by its proxy, as a fraction of its capacity
 }
 
-// KeyCounts is how many keys stand in which state in one book, and what the answers that are kept take.
+// KeyCounts holds the number of idempotency keys in each state in one table, and the size of the stored responses.
 type KeyCounts struct {
 	InProgress int `cbor:"1,keyasint"`
 	Done       int `cbor:"2,keyasint"`
@@ -84,54 +84,54 @@
 	Bytes      int `cbor:"5,keyasint"`
 }
 
-// ProxyReport is a tug's own part.
+// ProxyReport is the part of a report that only proxies have.
 type ProxyReport struct {
 	Ready        bool               `cbor:"1,keyasint"`
-	RegistryAddr string             `cbor:"2,keyasint,omitempty"` // address of the harbourmaster that it pulls from
-	RegistryMs   uint32             `cbor:"3,keyasint"`           // since that answered last; Never: none did
-	FreshMs      uint32             `cbor:"4,keyasint"`           // how long before its answer that had heard a majority
-	RetryTokens  float64            `cbor:"5,keyasint"`           // in the bucket of retries
-	RetryBudgets map[string]float64 `cbor:"6,keyasint,omitempty"` // arrivals beyond the first that are left now, by service
-	Omitted      int                `cbor:"7,keyasint,omitempty"` // services that were left out
-	OwnKeys      KeyCounts          `cbor:"8,keyasint"`           // keys of requests that began here
-	ExecutedKeys KeyCounts          `cbor:"9,keyasint"`           // keys of requests that came to the backend here
-	Running      int                `cbor:"10,keyasint"`          // requests at the backend here
-	Waiting      int                `cbor:"11,keyasint"`          // and before it
+	RegistryAddr string             `cbor:"2,keyasint,omitempty"` // address of the registry that it pulls from
+	RegistryMs   uint32             `cbor:"3,keyasint"`           // since that registry last answered; Never: none did
+	FreshMs      uint32             `cbor:"4,keyasint"`           // how long before that answer the registry had heard a majority
+	RetryTokens  float64            `cbor:"5,keyasint"`           // in the token bucket for retries
+	RetryBudgets map[string]float64 `cbor:"6,keyasint,omitempty"` // attempts beyond the first that are currently allowed, by service
+	Omitted      int                `cbor:"7,keyasint,omitempty"` // services omitted from RetryBudgets
+	OwnKeys      KeyCounts          `cbor:"8,keyasint"`           // keys of requests received from clients here
+	ExecutedKeys KeyCounts          `cbor:"9,keyasint"`           // keys of requests sent to the backend here
+	Running      int                `cbor:"10,keyasint"`          // requests at the local backend
+	Waiting      int                `cbor:"11,keyasint"`          // requests queued for it
 	Stopping     bool               `cbor:"12,keyasint,omitempty"`
 }
 
-// RegistryReport is a harbourmaster's own part.
+// RegistryReport is the part of a report that only registries have.
 type RegistryReport struct {
-	Registries      []Registry `cbor:"1,keyasint"`           // that it knows, itself among them
-	FreshMs         uint32     `cbor:"2,keyasint"`           // since it heard a majority
-	HeardMs         []uint32   `cbor:"3,keyasint"`           // since it heard each voter, by place
-	Pullers         []string   `cbor:"4,keyasint,omitempty"` // who waits for news now, by node
-	Omitted         int        `cbor:"5,keyasint,omitempty"` // pullers that were left out
-	HoldsTeachLease bool       `cbor:"6,keyasint,omitempty"` // it holds that duty
-	// AnsweredMs is the time since each voter answered at all, by place, however it stood.
+	Registries      []Registry `cbor:"1,keyasint"`           // known registries, including itself
+	FreshMs         uint32     `cbor:"2,keyasint"`           // since a majority of the voters was heard
+	ServingMs       []uint32   `cbor:"3,keyasint"`           // since each voter answered as serving, by voter
+	Pullers         []string   `cbor:"4,keyasint,omitempty"` // nodes with a waiting pull
+	Omitted         int        `cbor:"5,keyasint,omitempty"` // nodes omitted from Pullers
+	HoldsTeachLease bool       `cbor:"6,keyasint,omitempty"` // it holds the teach lease
+	// AnsweredMs is the time since each voter answered in any state, by voter.
 	AnsweredMs []uint32 `cbor:"7,keyasint,omitempty"`
 }
 
-// StoreReport is a purser's own part.
+// StoreReport is the part of a report that only stores have.
 type StoreReport struct {
 	State        string               `cbor:"1,keyasint"`
-	StallMs      uint32               `cbor:"2,keyasint"` // for so long its disk has not finished a write
-	VoterIndex   int                  `cbor:"3,keyasint"` // in the roll; -1: none
-	Incarnations []uint64             `cbor:"4,keyasint"` // incarnations of the voters, by place
+	StallMs      uint32               `cbor:"2,keyasint"` // how long its disk has not finished a write
+	VoterIndex   int                  `cbor:"3,keyasint"` // index in the voter set; -1: not a voter
+	Incarnations []uint64             `cbor:"4,keyasint"` // incarnations of the voters, by voter
 	Promised     configuration.Ballot `cbor:"5,keyasint"`
 	Accepted     configuration.Ballot `cbor:"6,keyasint"`
 	Keys         int                  `cbor:"7,keyasint"`
 	Leases       []LeaseReport        `cbor:"8,keyasint,omitempty"`
 }
 
-// LeaseReport is a duty that a member has granted.
+// LeaseReport is a lease that a voter has granted.
 type LeaseReport struct {
 	Name   string `cbor:"1,keyasint"`
-	Holder uint64 `cbor:"2,keyasint"` // its holder's life
+	Holder uint64 `cbor:"2,keyasint"` // incarnation of the holder
 	LeftMs uint32 `cbor:"3,keyasint"`
 }
 
-// Parts of an answer, in bytes.
+// Shares of a report, in bytes.
 const (
 	maxItemBytes    = 64 << 10
 	maxBackendBytes = 144 << 10
@@ -139,7 +139,7 @@
 	maxBudgetBytes  = 8 << 10
 )
 
-// SetItems takes the items of a configuration.
+// SetItems sets the items of the configuration, sorted and truncated. It sorts all.
 func (r *ReportReply) SetItems(all []ItemReport) {
 	slices.SortFunc(all, func(a, b ItemReport) int {
 		return cmp.Or(cmp.Compare(a.Key.Kind, b.Key.Kind), cmp.Compare(a.Key.Name, b.Key.Name))
@@ -147,7 +147,8 @@
 	r.Items, r.ItemsOmitted = truncate(all, maxItemBytes, func(i ItemReport) int { return 24 + len(i.Key.Name) })
 }
 
-// SetBackends takes the entries of a table, all of it; where they are to be brief, it keeps none of them.
+// SetBackends sets the number and digest of all entries of the backend table, and unless brief, the entries, sorted and
+// truncated. It sorts all.
 func (r *ReportReply) SetBackends(all []BackendReport, brief bool) {
 	slices.SortFunc(all, func(a, b BackendReport) int { return cmp.Compare(a.Node, b.Node) })
 	r.BackendsTotal, r.BackendsDigest = len(all), backendsDigest(all)
@@ -158,13 +159,13 @@
 	}
 }
 
-// SetPullers takes who pulls.
+// SetPullers sets the nodes with a waiting pull, sorted and truncated. It sorts all.
 func (r *RegistryReport) SetPullers(all []string) {
 	slices.Sort(all)
 	r.Pullers, r.Omitted = truncate(slices.Compact(all), maxPullerBytes, func(s string) int { return 3 + len(s) })
 }
 
-// SetRetryBudgets takes what is left of each service's ration.
+// SetRetryBudgets sets the remaining retry budget of each service, truncated in the order of names.
 func (r *ProxyReport) SetRetryBudgets(all map[string]float64) {
 	names := make([]string, 0, len(all))
 	for s := range all {
@@ -178,13 +179,13 @@
 	}
 }
 
-// NewBackendReport makes the report of an entry.
+// NewBackendReport returns the report of a backend table entry.
 func NewBackendReport(b backends.Berth) BackendReport {
 	return BackendReport{Node: b.Node, Addr: b.Addr, Zone: b.Zone, Version: b.Version, Incarnation: b.Life, Instance: b.Instance, Service: b.Service,
 		Capacity: b.Capacity, State: b.State}
 }
 
-// NewItemReports are those of a set, without what the register keeps for itself.
+// NewItemReports returns the reports of the items of a set, without the internal records of refusals.
 func NewItemReports(s configuration.Set) []ItemReport {
 	out := make([]ItemReport, 0, s.Len())
 	for i := range s.All() {
@@ -196,17 +197,17 @@
 	return out
 }
 
-// truncate keeps the first of a list that take no more than so many bytes, and tells how many it left out.
-func truncate[T any](all []T, bytes int, size func(T) int) (kept []T, left int) {
+// truncate returns the longest prefix of a list that fits into maxBytes, and the number of omitted entries.
+func truncate[T any](all []T, maxBytes int, size func(T) int) (kept []T, omitted int) {
 	for i, x := range all {
-		if bytes -= size(x); bytes < 0 {
+		if maxBytes -= size(x); maxBytes < 0 {
 			return all[:i], len(all) - i
 		}
 	}
 	return all, 0
 }
 
-// backendsDigest is over what the source of each entry told.
+// backendsDigest returns a digest of the node, version and incarnation of each entry.
 func backendsDigest(all []BackendReport) uint64 {
 	h := fnv.New64a()
 	var b []byte
--- a/internal/registry/contact_test.go
+++ b/internal/registry/contact_test.go
@@ -43,7 +43,7 @@
 			reg.quorum.Take(voterSet)
 			st.leases = map[lease.Name]*lease.Lease{}
 			st.servingAt, st.currentAt, st.pendingSince, st.behindCount, st.sealedSince = make([]time.Time, 3), make([]time.Time, 3), make([]time.Time, 3), make([]int, 3), make([]time.Time, 3)
-			st.marks, st.completeUpTo, st.teaching, st.answeredAt = make([]messages.Mark, 3), make([]configuration.Ballot, 3), make([]bool, 3), make([]time.Time, 3)
+			st.marks, st.completeUpTo, st.sendingPages, st.answeredAt = make([]messages.Mark, 3), make([]configuration.Ballot, 3), make([]bool, 3), make([]time.Time, 3)
 			for i := range 2 {
 				w := messages.WatchReply{State: "serving", Origin: consensus.Vouch{By: i}, VoterSet: voterSet, Chosen: configuration.Ballot{N: 3}, Accepted: configuration.Ballot{N: 3},
 					KnownChosen: configuration.Ballot{N: 3}, UpTo: configuration.Ballot{N: 3}}
--- a/internal/registry/fanout_test.go
+++ b/internal/registry/fanout_test.go
@@ -32,7 +32,7 @@
 	var answered atomic.Int64
 	reg, st := newRegistryWithPullers(t, proxies, &answered)
 	reg.owner = rpc.Own(st, 16)
-	turn := make(chan int64, 1)
+	answeredBefore := make(chan int64, 1)
 	queued := make(chan struct{})
 	reg.owner.Send(func(st *state) {
 		<-queued
@@ -40,13 +40,13 @@
 		st.notifyPullers()
 		st.notifyPullers()
 	})
-	reg.owner.Send(func(*state) { turn <- answered.Load() }) // queued while the command above runs
+	reg.owner.Send(func(*state) { answeredBefore <- answered.Load() }) // queued while the command above runs
 	close(queued)
-	if n := <-turn; n > notifyBatch {
+	if n := <-answeredBefore; n > notifyBatch {
 		t.Errorf("a call was served after %d answers", n)
 	}
-	for left, telling := -1, true; left != 0 || telling; {
-		reg.owner.Ask(func(st *state) { left, telling = len(st.pullers), st.notifying })
+	for waiting, notifying := -1, true; waiting != 0 || notifying; {
+		reg.owner.Ask(func(st *state) { waiting, notifying = len(st.pullers), st.notifying })
 	}
 	reg.tasks.Wait()
 	if n := answered.Load(); n != proxies {
--- a/internal/registry/pages_test.go
+++ b/internal/registry/pages_test.go
@@ -75,7 +75,7 @@
 func newRegistryWithVoters(t *testing.T, p *network.Process, setUp func(*testVoter)) (reg *Registry, voters []*testVoter, end func()) {
 	reg, st := newTestRegistry(t)
 	reg.quorum = quorum.New(p)
-	st.completeUpTo, st.teaching = make([]configuration.Ballot, 3), make([]bool, 3)
+	st.completeUpTo, st.sendingPages = make([]configuration.Ballot, 3), make([]bool, 3)
 	reg.owner = rpc.Own(st, 16)
 	voterSet := messages.VoterSet{Epoch: 1}
 	var servers []*rpc.Server
@@ -148,7 +148,7 @@
 	_, st := newTestRegistry(t)
 	st.leases = map[lease.Name]*lease.Lease{}
 	st.servingAt, st.pendingSince, st.behindCount, st.sealedSince = make([]time.Time, 1), make([]time.Time, 1), make([]int, 1), make([]time.Time, 1)
-	st.marks, st.currentAt, st.completeUpTo, st.teaching, st.answeredAt = make([]messages.Mark, 1), make([]time.Time, 1), make([]configuration.Ballot, 1), make([]bool, 1), make([]time.Time, 1)
+	st.marks, st.currentAt, st.completeUpTo, st.sendingPages, st.answeredAt = make([]messages.Mark, 1), make([]time.Time, 1), make([]configuration.Ballot, 1), make([]bool, 1), make([]time.Time, 1)
 	item := func(name string, n uint64) configuration.Item {
 		return configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: name}, Version: 1, Ballot: configuration.Ballot{N: n}, Spec: make([]byte, consensus.PageMax/2)}
 	}
--- a/internal/registry/program.go
+++ b/internal/registry/program.go
@@ -70,7 +70,7 @@
 func (r Running) Counts() map[string]int64 {
 	c, s := &r.Registry.Counts, r.Registry.Status()
 	out := map[string]int64{"pulls": c.Pulls.Load(), "news": c.Updates.Load(), "changes": c.Changes.Load(), "refused": c.Rejected.Load(),
-		"rounds": c.Rounds.Load(), "preempted": c.Preempted.Load(), "taught": c.Taught.Load(), "relieved": c.VoterChanges.Load(), "items": int64(s.Items),
+		"rounds": c.Rounds.Load(), "preempted": c.Preempted.Load(), "taught": c.PageSends.Load(), "relieved": c.VoterChanges.Load(), "items": int64(s.Items),
 		"berths": int64(len(s.Backends)), "masters": int64(len(s.Registries)), "fresh_ms": int64(s.FreshMs), "chosen": int64(s.Chosen.N)}
 	r.membership.AddCounters(out)
 	return out
--- a/internal/registry/refusal_test.go
+++ b/internal/registry/refusal_test.go
@@ -17,8 +17,9 @@
 	"saltmast/internal/simulation/network"
 )
 
-// withTestVoters runs a test with a registry without proxies and three voters. Each voter has accepted the sets in left, in order.
-func withTestVoters(t *testing.T, left [3][]configuration.Set, do func(t *testing.T, reg *Registry, voters []*testVoter)) {
+// runWithTestVoters runs a test with a registry without proxies and three voters. Each voter has accepted its sets in
+// order.
+func runWithTestVoters(t *testing.T, accepted [3][]configuration.Set, do func(t *testing.T, reg *Registry, voters []*testVoter)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := network.New(1).Machine("10.0.0.1", "north").Start()
 		reg, st := newTestRegistry(t)
@@ -27,7 +28,7 @@
 		voterSet := messages.VoterSet{Epoch: 1}
 		var voters []*testVoter
 		var servers []*rpc.Server
-		for n, sets := range left {
+		for n, sets := range accepted {
 			addr := fmt.Sprintf("10.0.0.1:%d", n+1)
 			l, err := p.Listen(addr, 0)
 			if err != nil {
@@ -48,7 +49,7 @@
 			voterSet.Voters = append(voterSet.Voters, messages.Voter{Addr: addr})
 		}
 		reg.quorum.Take(voterSet)
-		st.completeUpTo, st.teaching = make([]configuration.Ballot, 3), make([]bool, 3)
+		st.completeUpTo, st.sendingPages = make([]configuration.Ballot, 3), make([]bool, 3)
 		do(t, reg, voters)
 		reg.quorum.Close()
 		for _, s := range servers {
@@ -83,7 +84,7 @@
 	base, _ := applyCall(t, configuration.Set{}, 5, serviceText("s"))
 	more, _ := applyCall(t, base, 6, serviceText("late"))
 	all, order := applyCall(t, more, 7, routeText("r1", "late"))
-	withTestVoters(t, [3][]configuration.Set{{base, all}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
+	runWithTestVoters(t, [3][]configuration.Set{{base, all}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
 		voters[0].silent = true
 		if k := errcode.Of(reg.propose(t.Context(), consensus.NewOrder(order, configuration.Set{}))); k != errcode.Invalid {
 			t.Errorf("while no voter reports its service: %v", k)
@@ -106,7 +107,7 @@
 	base, _ := applyCall(t, configuration.Set{}, 5, serviceText("s"))
 	_, order := applyCall(t, base, 6, routeText("r1", "late"))
 	_, late := applyCall(t, base, 6, serviceText("late"))
-	withTestVoters(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, reg *Registry, _ []*testVoter) {
+	runWithTestVoters(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, reg *Registry, _ []*testVoter) {
 		waiting := consensus.NewOrder(order, base)
 		for _, step := range []struct {
 			what  string
@@ -130,7 +131,7 @@
 func TestCallOfGoneSender(t *testing.T) {
 	base, _ := applyCall(t, configuration.Set{}, 5, serviceText("s"))
 	_, order := applyCall(t, base, 6, routeText("r1", "s"))
-	withTestVoters(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
+	runWithTestVoters(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
 		ctx, gone := context.WithCancel(t.Context())
 		gone()
 		if k := errcode.Of(reg.propose(ctx, consensus.NewOrder(order, base))); k.Answer().Status != 503 {
@@ -166,7 +167,7 @@
 		all[i].Past, all[i].Ballot = history.Past, configuration.Ballot{N: 1, By: 9}
 	}
 	base := configuration.SetOf(all...)
-	withTestVoters(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
+	runWithTestVoters(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
 		last := history.Version + 1
 		for _, c := range []struct {
 			version configuration.Version
@@ -190,7 +191,7 @@
 	_, items := applyCall(t, base, 6, routeText("r1", "late"))
 	order := consensus.NewOrder(items, base)
 	left := order.Lay(base, configuration.Ballot{N: 6, By: 9}, configuration.Set.Check).Next
-	withTestVoters(t, [3][]configuration.Set{{base, left}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
+	runWithTestVoters(t, [3][]configuration.Set{{base, left}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
 		voters[1].silent = true
 		if k := errcode.Of(reg.propose(t.Context(), order)); k != errcode.Invalid {
 			t.Errorf("%v", k)
@@ -208,7 +209,7 @@
 		"they promise one before the accept": func(v *testVoter) { v.overtakes = 1 },
 	} {
 		t.Run(what, func(t *testing.T) {
-			withTestVoters(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
+			runWithTestVoters(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
 				voters[2].silent = true
 				begin(voters[0])
 				begin(voters[1])
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -54,7 +54,7 @@
 
 // Counts holds the counters of a Registry.
 type Counts struct {
-	Pulls, Updates, Changes, Rejected, Rounds, Preempted, Taught, VoterChanges atomic.Int64
+	Pulls, Updates, Changes, Rejected, Rounds, Preempted, PageSends, VoterChanges atomic.Int64
 }
 
 // Registry is one instance of the service registry.
@@ -88,7 +88,7 @@
 	pendingSince       []time.Time                  // since when it holds an accepted value not known to be chosen; zero: none
 	behindCount        []int                        // consecutive answers in which it was behind
 	completeUpTo       []configuration.Ballot       // ballot up to which it holds all items, as last reported
-	teaching           []bool                       // pages are being sent to it from here
+	sendingPages       []bool                       // pages are being sent to it from here
 	marks              []messages.Mark              // the last mark that it reported
 	registries         map[string]messages.Registry // by name
 	registriesDigest   uint64                       // digest of registries
@@ -281,7 +281,7 @@
 func (st *state) resetVoterTables(voterSet messages.VoterSet) {
 	n := len(voterSet.Voters)
 	st.servingAt, st.pendingSince, st.behindCount, st.sealedSince = make([]time.Time, n), make([]time.Time, n), make([]int, n), make([]time.Time, n)
-	st.completeUpTo, st.teaching, st.currentAt = make([]configuration.Ballot, n), make([]bool, n), make([]time.Time, n)
+	st.completeUpTo, st.sendingPages, st.currentAt = make([]configuration.Ballot, n), make([]bool, n), make([]time.Time, n)
 	st.marks, st.answeredAt = make([]messages.Mark, n), make([]time.Time, n)
 	st.observedSince, st.voterEpoch = time.Now(), voterSet.Epoch
 	clear(st.leases)
@@ -336,9 +336,9 @@
 	}
 }
 
-// maxUntaughtBytes is how many bytes a voter may lack before it is sent pages at once. With fewer, it may merely not have
+// maxLagBytes is how many bytes a voter may lack before it is sent pages at once. With fewer, it may merely not have
 // accepted them yet.
-const maxUntaughtBytes = 64 << 10
+const maxLagBytes = 64 << 10
 
 // pendingLimit is how long an accepted value may remain undecided before a round is run to settle it.
 const pendingLimit = 400 * time.Millisecond
@@ -381,7 +381,7 @@
 	switch {
 	case catchingUp, w.Accepted.Less(st.chosenBallot):
 		st.behindCount[voter]++
-		if (catchingUp || st.behindCount[voter] >= 2 || consensus.Beyond(st.chosenSet, w.Chosen, maxUntaughtBytes)) && st.acquireLease(lease.Teach) {
+		if (catchingUp || st.behindCount[voter] >= 2 || consensus.Beyond(st.chosenSet, w.Chosen, maxLagBytes)) && st.acquireLease(lease.Teach) {
 			st.behindCount[voter] = 0
 			st.sendMissedPages(voter)
 		}
@@ -488,15 +488,15 @@
 // meanwhile.
 func (st *state) sendMissedPages(voter int) {
 	reg, client := st.registry, st.registry.quorum.Client(voter)
-	if client == nil || st.teaching[voter] || st.chosenBallot.IsZero() || reg.isClosed() {
+	if client == nil || st.sendingPages[voter] || st.chosenBallot.IsZero() || reg.isClosed() {
 		return
 	}
-	reg.Counts.Taught.Add(1)
-	taught := st.teaching
-	taught[voter] = true
+	reg.Counts.PageSends.Add(1)
+	sending := st.sendingPages
+	sending[voter] = true
 	target, value, from, epoch := st.chosenBallot, st.chosenSet, st.completeUpTo[voter], reg.quorum.Roll().Epoch
 	reg.spawn(func() {
-		for sent := 0; from.Less(target) && sent < maxTeachPages && !reg.isClosed(); sent++ {
+		for sent := 0; from.Less(target) && sent < maxPagesPerSend && !reg.isClosed(); sent++ {
 			page := consensus.PageOf(value, target, from)
 			var reply messages.AcceptReply
 			if client.Call(messages.SendPage, messages.SendPageCall{Page: page, Epoch: epoch}, &reply, phaseTimeout) != nil || !reply.Accepted.Less(target) || reply.Chosen == from {
@@ -504,12 +504,12 @@
 			}
 			from = reply.Chosen
 		}
-		reg.owner.Send(func(*state) { taught[voter] = false })
+		reg.owner.Send(func(*state) { sending[voter] = false })
 	})
 }
 
-// maxTeachPages bounds the pages sent by one sendMissedPages.
-const maxTeachPages = 10000
+// maxPagesPerSend bounds the pages sent by one sendMissedPages.
+const maxPagesPerSend = 10000
 
 // sendChosen tells a voter that the value it accepted under a ballot was chosen.
 func (reg *Registry) sendChosen(voter int, ballot configuration.Ballot) {
@@ -1243,7 +1243,7 @@
 		if resp.Err != nil || rpc.Decode(resp.Body, &reply) != nil {
 			return ph.addFailure(resp.Err)
 		}
-		if !reply.Taken {
+		if !reply.OK {
 			if highest.Less(reply.Promised) {
 				highest = reply.Promised
 			}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -58,7 +58,7 @@
 func TestRoundSlot(t *testing.T) {
 	reg, st := newTestRegistry(t)
 	st.servingAt, st.pendingSince, st.behindCount, st.sealedSince = make([]time.Time, 3), make([]time.Time, 3), make([]int, 3), make([]time.Time, 3)
-	st.marks, st.currentAt, st.completeUpTo, st.teaching, st.answeredAt = make([]messages.Mark, 3), make([]time.Time, 3), make([]configuration.Ballot, 3), make([]bool, 3), make([]time.Time, 3)
+	st.marks, st.currentAt, st.completeUpTo, st.sendingPages, st.answeredAt = make([]messages.Mark, 3), make([]time.Time, 3), make([]configuration.Ballot, 3), make([]bool, 3), make([]time.Time, 3)
 	reg.roundSlot <- struct{}{} // a long round
 	long := time.Now().Add(-time.Minute)
 	for i := range 30 {
@@ -115,7 +115,7 @@
 			v.acceptor.Accept(a.B, v.acceptor.Delta(a.Changes))
 		}
 		v.largestCall = max(v.largestCall, len(c.Body))
-		c.Reply(messages.AcceptReply{Origin: origin, Taken: accepted, Promised: v.acceptor.Promised, Accepted: v.acceptor.Accepted}, nil)
+		c.Reply(messages.AcceptReply{Origin: origin, OK: accepted, Promised: v.acceptor.Promised, Accepted: v.acceptor.Accepted}, nil)
 	case c.Kind == messages.Learn && rpc.Decode(c.Body, &l) == nil:
 		v.acceptor.Learn(l.B)
 	case c.Kind == messages.SendPage && rpc.Decode(c.Body, &page) == nil:
@@ -124,7 +124,7 @@
 		if accepted {
 			v.acceptor.Turn(page.Page)
 		}
-		c.Reply(messages.AcceptReply{Origin: origin, Taken: accepted, Promised: v.acceptor.Promised, Accepted: v.acceptor.Accepted, Chosen: v.acceptor.Chosen}, nil)
+		c.Reply(messages.AcceptReply{Origin: origin, OK: accepted, Promised: v.acceptor.Promised, Accepted: v.acceptor.Accepted, Chosen: v.acceptor.Chosen}, nil)
 	}
 }
 
--- a/internal/registry/report.go
+++ b/internal/registry/report.go
@@ -28,7 +28,7 @@
 			Incarnation: reg.options.Incarnation, UpMs: uint64(time.Since(st.started).Milliseconds()), Chosen: st.chosenBallot, Epoch: voterSet.Epoch, Voters: voterSet.Voters}
 		own := &messages.RegistryReport{Registries: slices.Collect(maps.Values(st.registries)), FreshMs: st.majorityContactMs(),
 			HoldsTeachLease: st.holdsLease(lease.Teach)}
-		own.HeardMs, own.AnsweredMs = sinceMs(st.servingAt), sinceMs(st.answeredAt)
+		own.ServingMs, own.AnsweredMs = sinceMs(st.servingAt), sinceMs(st.answeredAt)
 		var pullers []string
 		for p := range st.pullers {
 			switch {
--- a/internal/registry/voters.go
+++ b/internal/registry/voters.go
@@ -210,7 +210,7 @@
 			continue
 		}
 		ages := t.r.Registry.AnsweredMs
-		if t.r.Epoch != voterSet.Epoch || len(ages) != len(voterSet.Voters) || len(t.r.Registry.HeardMs) != len(ages) {
+		if t.r.Epoch != voterSet.Epoch || len(ages) != len(voterSet.Voters) || len(t.r.Registry.ServingMs) != len(ages) {
 			return nil
 		}
 		recent := 0
@@ -219,7 +219,7 @@
 				recent++
 			}
 			if unwell[i] {
-				age = t.r.Registry.HeardMs[i]
+				age = t.r.Registry.ServingMs[i]
 			}
 			if time.Duration(age)*time.Millisecond < lostAfter {
 				answered[i] = true
--- a/internal/store/purser.go
+++ b/internal/store/purser.go
@@ -759,7 +759,7 @@
 
 // accepted answers who brought a part of the register.
 func (b *books) accepted(taken bool) messages.AcceptReply {
-	return messages.AcceptReply{Origin: b.vouch(), Taken: taken, Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: b.acc.Chosen}
+	return messages.AcceptReply{Origin: b.vouch(), OK: taken, Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: b.acc.Chosen}
 }
 
 // alter writes a change of the register, and takes it once it is on disk. What comes meanwhile waits.
--- a/internal/store/purser_test.go
+++ b/internal/store/purser_test.go
@@ -395,16 +395,16 @@
 	}
 	d.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 9}, Epoch: 1})
 	d.settle()
-	if accept(7, false).Taken {
+	if accept(7, false).OK {
 		t.Fatal("a value below the promise was taken")
 	}
-	if !accept(7, true).Taken || d.acc.Chosen.N != 7 || d.acc.Promised.N != 9 {
+	if !accept(7, true).OK || d.acc.Chosen.N != 7 || d.acc.Promised.N != 9 {
 		t.Errorf("chosen %v, promised %v", d.acc.Chosen, d.acc.Promised)
 	}
-	if accept(6, true).Taken || accept(8, false).Taken || d.acc.Accepted.N != 7 {
+	if accept(6, true).OK || accept(8, false).OK || d.acc.Accepted.N != 7 {
 		t.Errorf("accepted %v behind what was chosen and promised", d.acc.Accepted)
 	}
-	if !accept(9, false).Taken {
+	if !accept(9, false).OK {
 		t.Error("the value that was promised for was not taken")
 	}
 }
@@ -421,7 +421,7 @@
 	r := d.call(messages.Accept, messages.AcceptCall{B: configuration.Ballot{N: 1}, Epoch: 1})
 	d.settle()
 	var a messages.AcceptReply
-	if r.err != nil || rpc.Decode(r.body, &a) != nil || a.Taken || a.Accepted.N != 2 {
+	if r.err != nil || rpc.Decode(r.body, &a) != nil || a.OK || a.Accepted.N != 2 {
 		t.Errorf("a lower ballot: %+v, %v", a, r.err)
 	}
 }
@@ -509,7 +509,7 @@
 			}
 			var a messages.AcceptReply
 			i := configuration.Item{Key: configuration.Key{Kind: configuration.Limits}, Version: configuration.Version(b.N), Ballot: b, Spec: []byte("{}")}
-			if call(messages.Accept, messages.AcceptCall{B: b, Changes: []configuration.Item{i}, Epoch: 1}, &a) && a.Taken {
+			if call(messages.Accept, messages.AcceptCall{B: b, Changes: []configuration.Item{i}, Epoch: 1}, &a) && a.OK {
 				accepted = b
 			}
 			call(messages.Learn, messages.LearnCall{B: b}, nil)
--- a/internal/store/register_test.go
+++ b/internal/store/register_test.go
@@ -62,7 +62,7 @@
 	nine := seven.With(sized("s", at(9), 1, 20)...).With(sized("t", at(9), 1, 20)...)
 	turn := func(p consensus.Page) bool {
 		t.Helper()
-		return told[messages.AcceptReply](t, d, messages.SendPage, messages.SendPageCall{Page: p, Epoch: 1}).Taken
+		return told[messages.AcceptReply](t, d, messages.SendPage, messages.SendPageCall{Page: p, Epoch: 1}).OK
 	}
 	first := consensus.PageOf(nine, at(9), at(1))
 	if first.Upto != at(5) || turn(consensus.PageOf(nine, at(9), at(5))) {
@@ -102,13 +102,13 @@
 	d := founded(t)
 	nine := configuration.SetOf(sized("r", at(5), 300, 1000)...).With(sized("s", at(9), 3, 10)...)
 	next := nine.With(sized("r", at(11), 1, 10)...)
-	if !told[messages.AcceptReply](t, d, messages.SendPage, messages.SendPageCall{Page: consensus.PageOf(nine, at(9), at(0)), Epoch: 1}).Taken || !d.acc.CatchesUp() {
+	if !told[messages.AcceptReply](t, d, messages.SendPage, messages.SendPageCall{Page: consensus.PageOf(nine, at(9), at(0)), Epoch: 1}).OK || !d.acc.CatchesUp() {
 		t.Fatalf("all up to %v of %v", d.acc.Chosen, d.acc.Target)
 	}
 	for base, want := range map[uint64]bool{9: false, 5: true} {
 		a := told[messages.AcceptReply](t, d, messages.Accept, messages.AcceptCall{B: at(11), Base: at(base), Changes: consensus.Since(next, at(base)), Epoch: 1})
-		if a.Taken != want {
-			t.Errorf("told by what is after %d: %v", base, a.Taken)
+		if a.OK != want {
+			t.Errorf("told by what is after %d: %v", base, a.OK)
 		}
 	}
 	d = restarted(t, d)
