--- a/internal/controlapi/pilot_test.go
+++ b/internal/controlapi/controlapi_test.go
@@ -13,7 +13,7 @@
 
 const heartbeatJSON = `{"address":"10.0.0.9:80","node-info":{"service":"s","version":"v1","zone":"z","capacity":6},"status":{"state":"serving","call-count":4,"warmup-left-s":0.5}}`
 
-// Method and path to a function, and what it says to an answer of one line.
+// TestDispatch checks the function called for each method and path, and that its result becomes a response of one line.
 func TestDispatch(t *testing.T) {
 	called := ""
 	all := &Handler{
@@ -58,14 +58,14 @@
 	}
 }
 
-// A beat is read whole, or refused with one line that names what is wrong.
-func TestReadBeat(t *testing.T) {
+// TestParseHeartbeat checks that a heartbeat is decoded completely, or refused with one line that names the wrong field.
+func TestParseHeartbeat(t *testing.T) {
 	got, err := ParseHeartbeat("i-1", []byte(heartbeatJSON))
 	want := Heartbeat{ID: "i-1", Addr: "10.0.0.9:80", Service: "s", Version: "v1", Zone: "z", Capacity: 6, State: backends.Serving, Sequence: 4, WarmupLeft: time.Second / 2}
 	if err != nil || got != want {
 		t.Errorf("%+v, %v", got, err)
 	}
-	for _, c := range []struct{ old, new, says string }{
+	for _, c := range []struct{ old, new, mentions string }{
 		{`"serving"`, `"sinking"`, "status.state"},
 		{`"serving"`, `"` + strings.Repeat("x", 900) + `"`, "status.state"},
 		{`"state":"serving",`, ``, "status.state"},
@@ -78,7 +78,7 @@
 		{`}}`, `}`, "beat"},
 	} {
 		_, err := ParseHeartbeat("i-1", []byte(strings.Replace(heartbeatJSON, c.old, c.new, 1)))
-		if errcode.Of(err) != errcode.Unreadable || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") || len(err.Error()) > 200 {
+		if errcode.Of(err) != errcode.Unreadable || !strings.Contains(err.Error(), c.mentions) || strings.Contains(err.Error(), "\n") || len(err.Error()) > 200 {
 			t.Errorf("%s for %s: %v", c.new, c.old, err)
 		}
 	}
--- a/internal/controlapi/gone_test.go
+++ b/internal/controlapi/disconnect_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// A change hears that its caller has gone.
-func TestCallerHasGone(t *testing.T) {
-	began, heard := make(chan struct{}), make(chan struct{})
+// TestCallerDisconnects checks that the context of a change is canceled when its caller disconnects.
+func TestCallerDisconnects(t *testing.T) {
+	started, canceled := make(chan struct{}), make(chan struct{})
 	s := NewServer(&Handler{ChangeConfiguration: func(ctx context.Context, _ []byte) error {
-		close(began)
+		close(started)
 		<-ctx.Done()
-		close(heard)
+		close(canceled)
 		return ctx.Err()
 	}})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintf(c, "PATCH /v1/configuration HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}")
-	<-began
+	<-started
 	c.Close()
-	<-heard
+	<-canceled
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1093,7 +1093,7 @@
 		return quorumError(err)
 	}
 	// An order may arrive long after it was sent, after a partition or suspension: its sender has given up, and other registries
-	// may have refused it since. By now the closing baseBallot the caller's connection has been noticed.
+	// may have refused it since. By now the closing of the caller's connection has been noticed.
 	if abandoned(ctx, end) {
 		return errAbandoned
 	}
