--- a/internal/messages/messages.go
+++ b/internal/messages/messages.go
@@ -142,7 +142,7 @@
 type Mark struct {
 	Epoch       uint64 `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	Counter     uint64 `cbor:"3,keyasint"` // incremented on disk from time to time
+	Counter     uint64 `cbor:"3,keyasint"` // incremented on disk, by writes at least a set interval apart
 }
 
 // Behind reports whether m is earlier than n.
