--- a/internal/dataplane/address_reuse_test.go
+++ b/internal/dataplane/address_reuse_test.go
@@ -61,7 +61,7 @@
 		time.Sleep(time.Second / 2)
 		setOwner("i-2", 0)
 		want("a new instance that the proxy does not know yet", send("i-1"), errcode.TurnedAway)
-		w.Inbound.Heartbeat(controlapi.Beat{ID: "i-2", Service: "ledger", Capacity: 2, Count: 1, State: backends.Serving})
+		w.Inbound.Heartbeat(controlapi.Heartbeat{ID: "i-2", Service: "ledger", Capacity: 2, Sequence: 1, State: backends.Serving})
 		want("the request that was running", <-result, errcode.OK)
 		synctest.Wait()
 		if idle := w.Inbound.pool.IdleCount("i-1") + w.Inbound.pool.IdleCount("i-2"); idle != 0 {
--- a/internal/dataplane/backend_walk_test.go
+++ b/internal/dataplane/backend_walk_test.go
@@ -195,7 +195,7 @@
 		OperationWindow: time.Minute, ResponseBytes: 1 << 20, Net: w.net, Log: func(string, string) {}}, nil)
 	defer ib.operations.Stop()
 	defer l.Close()
-	ib.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 4, Count: 1, State: backends.Serving})
+	ib.Heartbeat(controlapi.Heartbeat{ID: "i-1", Service: "ledger", Capacity: 4, Sequence: 1, State: backends.Serving})
 	go w.serve(l, script)
 	lastID := ""
 	var lastOutcome outcome
--- a/internal/dataplane/inbound.go
+++ b/internal/dataplane/inbound.go
@@ -101,11 +101,11 @@
 }
 
 // Heartbeat handles a heartbeat of the backend. A late one, or one of an instance that has ended, has no effect.
-func (ib *Inbound) Heartbeat(beat controlapi.Beat) error {
+func (ib *Inbound) Heartbeat(beat controlapi.Heartbeat) error {
 	ib.mu.Lock()
 	defer ib.mu.Unlock()
 	same := beat.ID == ib.backend.Instance
-	if ib.withdrawn || slices.Contains(ib.endedInstances, beat.ID) || same && beat.Count < ib.heartbeatCount {
+	if ib.withdrawn || slices.Contains(ib.endedInstances, beat.ID) || same && beat.Sequence < ib.heartbeatCount {
 		return nil
 	}
 	ib.lastHeartbeat = time.Now()
@@ -113,11 +113,11 @@
 		ib.backendAddr = beat.Addr
 	}
 	beat.Capacity = max(1, beat.Capacity)
-	if same && beat.Count == ib.heartbeatCount && ib.backend.State != backends.None { // duplicate
+	if same && beat.Sequence == ib.heartbeatCount && ib.backend.State != backends.None { // duplicate
 		return nil
 	}
-	ib.heartbeatCount = beat.Count
-	ib.warmUntil = ib.lastHeartbeat.Add(beat.Warm)
+	ib.heartbeatCount = beat.Sequence
+	ib.warmUntil = ib.lastHeartbeat.Add(beat.WarmupLeft)
 	if same && ib.backend.State == beat.State && ib.backend.Capacity == beat.Capacity {
 		return nil
 	}
@@ -127,7 +127,7 @@
 		ib.rejectQueued() // queued requests are meant for the old instance
 	}
 	ib.updateBackend(func(b *backends.Backend) {
-		b.Instance, b.Service, b.Release, b.Capacity, b.State = beat.ID, beat.Service, beat.Release, beat.Capacity, beat.State
+		b.Instance, b.Service, b.Release, b.Capacity, b.State = beat.ID, beat.Service, beat.Version, beat.Capacity, beat.State
 	})
 	ib.options.Log("backend", fmt.Sprintf("%s of %s: %s, capacity %d", beat.ID, beat.Service, beat.State, beat.Capacity))
 	if beat.State != backends.Serving { // a draining backend gets no more requests, not even those queued before
--- a/internal/dataplane/inbound_test.go
+++ b/internal/dataplane/inbound_test.go
@@ -27,7 +27,7 @@
 func TestHeartbeats(t *testing.T) {
 	ib := newTestInbound(t)
 	beat := func(id string, count uint64, s backends.State) {
-		if err := ib.Heartbeat(controlapi.Beat{ID: id, Service: "ledger", Capacity: 2, Count: count, State: s}); err != nil {
+		if err := ib.Heartbeat(controlapi.Heartbeat{ID: id, Service: "ledger", Capacity: 2, Sequence: count, State: s}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -62,7 +62,7 @@
 // priority, or rejected when the backend leaves, in whatever way, also if a place is free at that moment.
 func TestAdmission(t *testing.T) {
 	ib := newTestInbound(t)
-	ib.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
+	ib.Heartbeat(controlapi.Heartbeat{ID: "i-1", Service: "ledger", Capacity: 1, Sequence: 1, State: backends.Serving})
 	request := func(id string, priority int, maxQueueMs uint32) *peerRequest {
 		return &peerRequest{Instance: id, Service: "ledger", Priority: priority, MaxQueueMs: maxQueueMs}
 	}
@@ -87,14 +87,14 @@
 	for n, end := range []func(id string){
 		func(id string) { ib.Deregister(id) },
 		func(id string) {
-			ib.Heartbeat(controlapi.Beat{ID: id, Service: "ledger", Capacity: 1, Count: 2, State: backends.Draining})
+			ib.Heartbeat(controlapi.Heartbeat{ID: id, Service: "ledger", Capacity: 1, Sequence: 2, State: backends.Draining})
 		},
 		func(string) {
-			ib.Heartbeat(controlapi.Beat{ID: "i-9", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
+			ib.Heartbeat(controlapi.Heartbeat{ID: "i-9", Service: "ledger", Capacity: 1, Sequence: 1, State: backends.Serving})
 		},
 	} {
 		id := fmt.Sprint("i-", n+1)
-		ib.Heartbeat(controlapi.Beat{ID: id, Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
+		ib.Heartbeat(controlapi.Heartbeat{ID: id, Service: "ledger", Capacity: 1, Sequence: 1, State: backends.Serving})
 		go func() { got <- ib.acquire(context.Background(), request(id, 1, 60_000)) }()
 		for _, waiting := ib.load(); waiting == 0; _, waiting = ib.load() {
 			runtime.Gosched()
@@ -117,7 +117,7 @@
 // at once.
 func TestAdmissionByPriority(t *testing.T) {
 	ib := newTestInbound(t)
-	ib.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
+	ib.Heartbeat(controlapi.Heartbeat{ID: "i-1", Service: "ledger", Capacity: 1, Sequence: 1, State: backends.Serving})
 	request := func(priority int) *peerRequest {
 		return &peerRequest{Instance: "i-1", Service: "ledger", Priority: priority, MaxQueueMs: 60_000}
 	}
@@ -163,7 +163,7 @@
 		ib := newInbound(Options{Node: "n", Service: "ledger", InboundAddr: "a:1", Incarnation: 7, Started: time.Now(), Heartbeat: time.Minute,
 			OperationWindow: time.Minute, ResponseBytes: 1 << 20, Log: func(string, string) {}}, nil)
 		defer ib.operations.Stop()
-		ib.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 10, Count: 1, State: backends.Serving})
+		ib.Heartbeat(controlapi.Heartbeat{ID: "i-1", Service: "ledger", Capacity: 10, Sequence: 1, State: backends.Serving})
 		acquire := func(priority int) errcode.Kind {
 			return ib.acquire(context.Background(), &peerRequest{Instance: "i-1", Service: "ledger", Priority: priority})
 		}
@@ -204,7 +204,7 @@
 		ib := newInbound(Options{Node: "n", Service: "ledger", InboundAddr: "a:1", Incarnation: 7, Started: time.Now(), Heartbeat: time.Minute,
 			OperationWindow: time.Minute, ResponseBytes: 1 << 20, Log: func(string, string) {}}, nil)
 		defer ib.operations.Stop()
-		ib.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 6, Count: 1, State: backends.Serving})
+		ib.Heartbeat(controlapi.Heartbeat{ID: "i-1", Service: "ledger", Capacity: 6, Sequence: 1, State: backends.Serving})
 		var completed [3]atomic.Int64
 		var clients sync.WaitGroup
 		const duration = 10 * time.Second
--- a/internal/dataplane/pacing_test.go
+++ b/internal/dataplane/pacing_test.go
@@ -30,7 +30,7 @@
 				respondWithID(o, r)
 			}
 		})
-		w.Inbound.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 8, Count: 2, State: backends.Serving})
+		w.Inbound.Heartbeat(controlapi.Heartbeat{ID: "i-1", Service: "ledger", Capacity: 8, Sequence: 2, State: backends.Serving})
 		w.network.Narrow(w.machine, linkBytesPerSecond)
 		entry := w.secondProxy(t, slowIdempotentRoute)
 		large := make(chan int64)
--- a/internal/dataplane/proxy_test.go
+++ b/internal/dataplane/proxy_test.go
@@ -69,7 +69,7 @@
 		LinkMbps: linkMbps, Net: p, Quorum: quorum.New(p), Log: func(event, text string) { t.Log(event, text) }})
 	on.Inbound.OnChange(func(b backends.Backend) { on.UpdateLocalBackend(b) })
 	on.applyConfiguration(t, route, "{}")
-	on.Inbound.Heartbeat(controlapi.Beat{ID: "i-1", Service: "ledger", Capacity: 2, Count: 1, State: backends.Serving})
+	on.Inbound.Heartbeat(controlapi.Heartbeat{ID: "i-1", Service: "ledger", Capacity: 2, Sequence: 1, State: backends.Serving})
 	go on.Serve(listen(on.clientAddr))
 	t.Cleanup(func() {
 		p.End()
@@ -197,7 +197,7 @@
 			OperationWindow: time.Minute, Net: m, Log: func(string, string) {}}, nil)
 		go remote.Serve(l, nil)
 		defer func() { m.End(); remote.ClosePeers(); remote.operations.Stop() }()
-		remote.Heartbeat(controlapi.Beat{ID: "i-2", Service: "ledger", Capacity: 1, Count: 1, State: backends.Serving})
+		remote.Heartbeat(controlapi.Heartbeat{ID: "i-2", Service: "ledger", Capacity: 1, Sequence: 1, State: backends.Serving})
 		remote.acquire(context.Background(), &peerRequest{Instance: "i-2", Service: "ledger"}) // takes its only place
 		w.Inbound.Deregister("i-1")
 		w.UpdateBackends([]backends.Backend{remote.Backend()})
@@ -213,7 +213,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestProxy(t, idempotentRoute, func(io.Writer, *http.Request) {})
 		w.network.Machine("10.0.0.9", "north") // nobody listens there
-		w.options.Quorum.Update(messages.Roll{Epoch: 1, Voters: []messages.Voter{{Addr: "10.0.0.9:1"}, {Addr: "10.0.0.9:2"}, {Addr: "10.0.0.9:3"}}})
+		w.options.Quorum.Update(messages.VoterSet{Epoch: 1, Voters: []messages.Voter{{Addr: "10.0.0.9:1"}, {Addr: "10.0.0.9:2"}, {Addr: "10.0.0.9:3"}}})
 		m := w.network.Machine("10.0.0.2", "north").Start()
 		l, err := m.Listen("10.0.0.2:82", 0)
 		if err != nil {
--- a/internal/dataplane/report.go
+++ b/internal/dataplane/report.go
@@ -29,21 +29,21 @@
 }
 
 // FillReport adds the state of the data plane to a report. The owner goroutines copy their state.
-func (d *DataPlane) FillReport(r *messages.Reported, proxyReport *messages.TugReport, brief bool) {
-	var all []messages.BerthReport
+func (d *DataPlane) FillReport(r *messages.ReportReply, proxyReport *messages.ProxyReport, brief bool) {
+	var all []messages.BackendReport
 	remaining := map[string]float64{}
 	d.balancer.Do(func(b *Balancer) {
 		now := d.now()
-		proxyReport.Tokens = b.bucket.Tokens()
+		proxyReport.RetryTokens = b.bucket.Tokens()
 		for s, x := range b.retryBudgets {
 			remaining[s] = x.Remaining(now)
 		}
-		all = make([]messages.BerthReport, 0, len(b.byNode))
+		all = make([]messages.BackendReport, 0, len(b.byNode))
 		for _, row := range b.byNode {
-			entry := messages.Reports(row.Backend)
+			entry := messages.NewBackendReport(row.Backend)
 			entry.InFlight = row.inFlight
 			if now < row.avoidUntil {
-				entry.AwayMs = uint32((row.avoidUntil - now).Milliseconds())
+				entry.AvoidMs = uint32((row.avoidUntil - now).Milliseconds())
 			}
 			if now-row.loadTime < loadLifetime {
 				entry.Load = float32(row.load)
@@ -51,16 +51,16 @@
 			all = append(all, entry)
 		}
 	})
-	proxyReport.SetRations(remaining)
-	r.SetBerths(all, brief)
-	proxyReport.Begun, proxyReport.Ran = operationCounts(d.operations), operationCounts(d.Inbound.operations)
+	proxyReport.SetRetryBudgets(remaining)
+	r.SetBackends(all, brief)
+	proxyReport.OwnKeys, proxyReport.ExecutedKeys = operationCounts(d.operations), operationCounts(d.Inbound.operations)
 	proxyReport.Running, proxyReport.Waiting = d.Inbound.load()
 }
 
-func operationCounts(o *rpc.Owner[idempotency.Cache[*Response]]) (counts messages.Book) {
+func operationCounts(o *rpc.Owner[idempotency.Cache[*Response]]) (counts messages.KeyCounts) {
 	o.Do(func(b *idempotency.Cache[*Response]) {
 		_, bytes := b.Len()
-		counts = messages.Book{AtWork: b.Count(idempotency.InProgress), Done: b.Count(idempotency.Done), Unknown: b.Count(idempotency.Unknown), Void: b.Count(idempotency.NotExecuted), Bytes: bytes}
+		counts = messages.KeyCounts{InProgress: b.Count(idempotency.InProgress), Done: b.Count(idempotency.Done), Unknown: b.Count(idempotency.Unknown), Void: b.Count(idempotency.NotExecuted), Bytes: bytes}
 	})
 	return counts
 }
@@ -75,7 +75,7 @@
 const maxReportBytes = 1 << 20
 
 // Report requests a report from the proxy whose inbound address is addr.
-func (rc *ReportClient) Report(addr string, call messages.ReportCall, wait time.Duration) (r messages.Reported, err error) {
+func (rc *ReportClient) Report(addr string, call messages.ReportCall, wait time.Duration) (r messages.ReportReply, err error) {
 	deadline := time.Now().Add(wait)
 	for range 2 { // the first connection may be a pooled one that has since closed
 		var raw []byte
--- a/internal/dataplane/results_test.go
+++ b/internal/dataplane/results_test.go
@@ -121,7 +121,7 @@
 		failAfter = 0
 		request(get, nil, "failed_ration", missed)
 		runTime = 1001 * time.Millisecond
-		w.Inbound.Heartbeat(controlapi.Beat{ID: "i-2", Service: "ledger", Capacity: 2, Count: 1, State: backends.Serving, Warm: time.Minute})
+		w.Inbound.Heartbeat(controlapi.Heartbeat{ID: "i-2", Service: "ledger", Capacity: 2, Sequence: 1, State: backends.Serving, WarmupLeft: time.Minute})
 		request(get, nil, "late_cold_backend", missed)
 		w.Inbound.Deregister("i-2")
 		request(get, nil, "refused_no_backend", missed)
--- a/internal/dataplane/suspend_test.go
+++ b/internal/dataplane/suspend_test.go
@@ -12,7 +12,7 @@
 // does.
 func TestHeartbeatCheckAfterSuspend(t *testing.T) {
 	ib := newInbound(Options{Heartbeat: time.Second, Log: func(string, string) {}, ResponseBytes: 1 << 20}, nil)
-	beat := controlapi.Beat{ID: "a", Service: "pump", State: backends.Serving, Capacity: 2, Count: 7}
+	beat := controlapi.Heartbeat{ID: "a", Service: "pump", State: backends.Serving, Capacity: 2, Sequence: 7}
 	ib.Heartbeat(beat)
 	start := time.Now()
 	stateAfter := func(at time.Duration) backends.State { ib.CheckHeartbeat(start.Add(at)); return ib.Backend().State }
@@ -26,11 +26,11 @@
 			t.Fatal("a silent backend is not marked as gone")
 		}
 	}
-	beat.Count = 6
+	beat.Sequence = 6
 	if ib.Heartbeat(beat); ib.Backend().State != backends.None {
 		t.Error("a heartbeat older than the last one has an effect")
 	}
-	beat.Count = 8
+	beat.Sequence = 8
 	if ib.Heartbeat(beat); ib.Backend().State != backends.Serving {
 		t.Error("the backend is not back")
 	}
--- a/internal/proxy/partialnews.go
+++ b/internal/proxy/partialnews.go
@@ -18,22 +18,22 @@
 }
 
 // add adds an answer. It withholds the items of a part from n; the last part, which carries the ballot chosen, gets them all.
-func (p *partialNews) add(n *messages.News) {
-	if n.Whole || p.incarnation != n.Life || p.cursor == nil { // the items start anew
-		p.items, p.snapshot = nil, n.Whole
+func (p *partialNews) add(n *messages.PullReply) {
+	if n.Snapshot || p.incarnation != n.Incarnation || p.cursor == nil { // the items start anew
+		p.items, p.snapshot = nil, n.Snapshot
 	}
-	p.incarnation, p.revision, p.moreEntries, p.cursor = n.Life, n.At, n.More, n.Cursor
+	p.incarnation, p.revision, p.moreEntries, p.cursor = n.Incarnation, n.Revision, n.MoreBackends, n.Cursor
 	p.items = append(p.items, n.Items...)
 	if p.cursor != nil {
-		n.Items, n.Whole = nil, false
+		n.Items, n.Snapshot = nil, false
 		return
 	}
-	n.Items, n.Whole, p.items = p.items, p.snapshot, nil
+	n.Items, n.Snapshot, p.items = p.items, p.snapshot, nil
 }
 
 // continueCall makes a call continue after the last answer.
 func (p *partialNews) continueCall(call *messages.PullCall) {
-	call.Life, call.At, call.Cursor = p.incarnation, p.revision, p.cursor
+	call.Incarnation, call.Revision, call.Cursor = p.incarnation, p.revision, p.cursor
 }
 
 // sources is the progress by address of each source that was asked, so that a return to one continues there.
@@ -52,8 +52,8 @@
 
 // applyItems returns the configuration after news with a higher ballot than the one in force. A proxy keeps no tombstones: its ballot
 // alone rejects older news. pruned is the highest ballot that a removed tombstone may have had.
-func applyItems(items configuration.Set, pruned configuration.Ballot, n messages.News) (configuration.Set, configuration.Ballot) {
-	if n.Whole {
+func applyItems(items configuration.Set, pruned configuration.Ballot, n messages.PullReply) (configuration.Set, configuration.Ballot) {
+	if n.Snapshot {
 		items, pruned = items.Moved(configuration.SetOf(n.Items...)), n.Chosen
 	} else {
 		items = items.With(n.Items...)
--- a/internal/proxy/partialnews_test.go
+++ b/internal/proxy/partialnews_test.go
@@ -19,8 +19,8 @@
 // always has one whole chosen configuration in force, never an older one than before; and once a source reports no more entries, the
 // proxy lacks none that the source has.
 func TestPartialNews(t *testing.T) {
-	spec := bytes.Repeat([]byte("x"), messages.PartBytes/3) // a few items fill a message
-	release := strings.Repeat("x", messages.PartBytes/7)    // and so do a few entries
+	spec := bytes.Repeat([]byte("x"), messages.MaxPartBytes/3) // a few items fill a message
+	release := strings.Repeat("x", messages.MaxPartBytes/7)    // and so do a few entries
 	history := func(t *rapid.T) {
 		ballot := func(n int) configuration.Ballot { return configuration.Ballot{N: uint64(n), By: uint32(n % 3)} }
 		chosen := []configuration.Set{{}} // by ballot number
@@ -51,31 +51,31 @@
 			changeEntry()
 		}
 		call := func(source uint64, to *proxyState) { // pulls one message
-			n := messages.News{Life: incarnations[source]}
+			n := messages.PullReply{Incarnation: incarnations[source]}
 			var c messages.PullCall
 			c.Have = to.chosen
 			to.news.continueCall(&c)
 			if source == 3 {
-				n.Tell(c, other.table, other.chosen, other.items, other.prunedBallot)
+				n.Fill(c, other.table, other.chosen, other.items, other.prunedBallot)
 			} else {
 				k := latest[source-1]
-				n.Tell(c, tables[source], ballot(k), chosen[k], configuration.Ballot{})
+				n.Fill(c, tables[source], ballot(k), chosen[k], configuration.Ballot{})
 			}
 			size := 0
 			for _, item := range n.Items {
 				size += len(item.Spec)
 			}
-			for _, b := range n.Berths {
+			for _, b := range n.Backends {
 				size += len(b.Release)
 				to.table.Merge(b)
 			}
-			if size > messages.PartBytes {
+			if size > messages.MaxPartBytes {
 				t.Fatalf("a message of %d bytes", size)
 			}
 			to.news.add(&n)
 			to.sources.store(fmt.Sprint(source), &to.news)
 			for _, b := range tables[source].All() {
-				if have, _ := to.table.Get(b.Node); !n.More && have.Version < b.Version {
+				if have, _ := to.table.Get(b.Node); !n.MoreBackends && have.Version < b.Version {
 					t.Fatalf("no more entries, but %s has version %d, not %d", b.Node, have.Version, b.Version)
 				}
 			}
@@ -124,7 +124,7 @@
 					changeEntry()
 				}
 			case 8: // the other registry receives some of the entries
-				entries, _, _ := tables[1].Page(0, rapid.IntRange(1, messages.PartBytes).Draw(t, "bytes"))
+				entries, _, _ := tables[1].Page(0, rapid.IntRange(1, messages.MaxPartBytes).Draw(t, "bytes"))
 				for _, b := range entries {
 					tables[2].Merge(b)
 				}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -35,11 +35,11 @@
 	network     sock.Net
 	dataPlane   *dataplane.DataPlane
 	quorum      *quorum.Client
-	membership  *transport.Masthead
+	membership  *transport.Membership
 	incarnation uint64
 
 	mu           sync.Mutex
-	registries   []messages.Master
+	registries   []messages.Registry
 	table        *backends.Table
 	items        configuration.Set
 	chosen       configuration.Ballot
@@ -94,9 +94,9 @@
 		}
 		return l, err
 	}
-	gateAddr := s.Port(messages.GatePort)
+	gateAddr := s.Port(messages.InboundPort)
 	if gateAddr == "" {
-		return nil, fmt.Errorf("%s: %d ephemeral-ports wanted", s.Path, messages.GatePort+1)
+		return nil, fmt.Errorf("%s: %d ephemeral-ports wanted", s.Path, messages.InboundPort+1)
 	}
 	answerBytes := 24 << 20
 	if s.MemoryMB > 0 {
@@ -110,7 +110,7 @@
 		Incarnation: p.incarnation, Started: time.Now(), Heartbeat: s.Heartbeat, RetryRatio: s.Bounds.RetryRatio, RetryAllowance: s.Bounds.RetryAllowance,
 		RetryWindow: s.Bounds.RetryWindow, OperationWindow: s.Bounds.DedupWindow + keyMargin, ResponseBytes: answerBytes, MaxConns: maxConns, LinkMbps: s.BandwidthMbps,
 		Net: network, Quorum: p.quorum, HandlePull: p.newsFor, HandleReport: p.report, ConfigurationCurrent: p.hasMajorityContact, Log: log,
-		PeerAnswered: func(addr string) { p.membership.Heard(addr) }})
+		PeerAnswered: func(addr string) { p.membership.RecordContact(addr) }})
 	p.dataPlane.Inbound.OnChange(func(b backends.Backend) {
 		p.dataPlane.UpdateLocalBackend(b)
 		p.notify()
@@ -132,9 +132,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("readiness: %w", err)
 	}
-	p.membership = transport.Start(s, messages.RoleTug, messages.RosterTugPort, messages.GatePort, p.incarnation, network, log)
-	p.serveHTTP(control, &controlapi.Port{Beat: p.dataPlane.Inbound.Heartbeat, Leave: p.dataPlane.Inbound.Deregister, Refused: p.refused})
-	p.serveHTTP(readiness, &controlapi.Port{Ready: p.ready})
+	p.membership = transport.Start(s, messages.RoleProxy, messages.ProxyGossipPort, messages.InboundPort, p.incarnation, network, log)
+	p.serveHTTP(control, &controlapi.Handler{Heartbeat: p.dataPlane.Inbound.Heartbeat, Leave: p.dataPlane.Inbound.Deregister, OnRejected: p.refused})
+	p.serveHTTP(readiness, &controlapi.Handler{Ready: p.ready})
 	go p.dataPlane.ServePeers(gate)
 	go p.dataPlane.Serve(outbound)
 	go p.pull()
@@ -150,11 +150,11 @@
 	return err
 }
 
-func (p *Proxy) serveHTTP(l net.Listener, port *controlapi.Port) {
+func (p *Proxy) serveHTTP(l net.Listener, port *controlapi.Handler) {
 	if l == nil {
 		return
 	}
-	s := controlapi.Server(port)
+	s := controlapi.NewServer(port)
 	p.servers = append(p.servers, s)
 	go s.Serve(l)
 }
@@ -208,7 +208,7 @@
 		case <-p.done:
 			return
 		}
-		if now := p.membership.Silent(messages.RoleTug); !maps.Equal(now, silent) {
+		if now := p.membership.Unresponsive(messages.RoleProxy); !maps.Equal(now, silent) {
 			silent = now
 			p.dataPlane.SetUnresponsive(now)
 		}
@@ -218,12 +218,12 @@
 // sweep drops the entries of machines that have been dead for long. It does so only while this proxy is in contact with the registries
 // and other proxies: one that is cut off can't tell which machines are dead.
 func (p *Proxy) sweep(now time.Duration) {
-	alive := p.membership.Alive(messages.RoleTug)
+	alive := p.membership.AliveNodes(messages.RoleProxy)
 	node := p.settings.Load().NodeName
 	p.mu.Lock()
 	var gone []string
-	if !p.membership.Alone() && time.Since(p.lastMajority) < 2*staleAfterMs*time.Millisecond {
-		gone = p.table.Sweep(now, transport.GoneAfter, func(b backends.Backend) bool { return b.Node == node || p.membership.Lives(b.Addr) })
+	if !p.membership.IsAlone() && time.Since(p.lastMajority) < 2*staleAfterMs*time.Millisecond {
+		gone = p.table.Sweep(now, transport.ForgetAfter, func(b backends.Backend) bool { return b.Node == node || p.membership.IsLive(b.Addr) })
 	}
 	p.pullAll = p.pullAll || p.table.HasDropped(alive)
 	p.mu.Unlock()
@@ -254,21 +254,21 @@
 	for _, m := range p.registries {
 		add(m.Addr, m.Zone)
 	}
-	for _, peer := range p.membership.Peers(messages.RoleHarbour) {
+	for _, peer := range p.membership.Peers(messages.RoleRegistry) {
 		if peer.State.Live() {
 			add(peer.Addr, peer.Zone)
 		}
 	}
 	for _, seed := range s.Seeds {
-		add(messages.Beside(seed, s.Ports[0], messages.HarbourPort), "")
+		add(messages.AddrOnHost(seed, s.Ports[0], messages.RegistryPort), "")
 	}
 	for _, v := range p.quorum.VoterSet().Voters { // a registry that has just started knows no other one, but knows the voters
-		add(messages.Beside(v.Addr, s.Ports[0], messages.HarbourPort), "")
+		add(messages.AddrOnHost(v.Addr, s.Ports[0], messages.RegistryPort), "")
 	}
 	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
 	rand.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
 	all = append(near, far...)
-	silent := p.membership.Silent(messages.RoleHarbour)
+	silent := p.membership.Unresponsive(messages.RoleRegistry)
 	rank := func(addr string) int {
 		switch {
 		case silent[addr]:
@@ -356,14 +356,14 @@
 		call.Self, call.Have, call.Epoch = &self, p.chosen, p.quorum.VoterSet().Epoch
 		p.resetSources(&progress)
 		progress.continueCall(&call)
-		call.Others = slices.Clone(p.relayed)
+		call.Relayed = slices.Clone(p.relayed)
 		p.mu.Unlock()
 		results := make(chan result, 1)
 		sent := time.Now()
 		id := client.Go(messages.Pull, rpc.Encode(call), func(body []byte, err error) { results <- result{body, err} })
 		timer := time.NewTimer(maxPullHold + pullTimeout)
 		var r result
-		var n messages.News
+		var n messages.PullReply
 	wait:
 		for {
 			select {
@@ -374,7 +374,7 @@
 				p.mu.Lock()
 				relayed := slices.Clone(p.relayed)
 				p.mu.Unlock()
-				client.Go(messages.Pull, rpc.Encode(messages.PullCall{Self: &self, Others: relayed, Life: call.Life, At: messages.Tells, Have: configuration.Ballot{N: 1 << 62}, Sum: call.Sum, Epoch: call.Epoch}), func([]byte, error) {})
+				client.Go(messages.Pull, rpc.Encode(messages.PullCall{Self: &self, Relayed: relayed, Incarnation: call.Incarnation, Revision: messages.SkipBackends, Have: configuration.Ballot{N: 1 << 62}, RegistriesDigest: call.RegistriesDigest, Epoch: call.Epoch}), func([]byte, error) {})
 			case <-timer.C:
 				client.Cancel(id)
 				r.err = errcode.New(errcode.TimedOut, "")
@@ -392,10 +392,10 @@
 		addTransitTime(&n, sent)
 		p.lastPull.Store(&lastPull{addr, time.Now(), n.FreshMs})
 		useful = true
-		p.membership.Heard(addr)
-		call.Sum = n.Sum
+		p.membership.RecordContact(addr)
+		call.RegistriesDigest = n.RegistriesDigest
 		p.mu.Lock()
-		p.relayed = p.relayed[min(len(call.Others), len(p.relayed)):]
+		p.relayed = p.relayed[min(len(call.Relayed), len(p.relayed)):]
 		p.mu.Unlock()
 		progress.add(&n)
 		seekOther := p.apply(n)
@@ -435,7 +435,7 @@
 		if ip == "" || ip == s.IP {
 			return
 		}
-		source = messages.Beside(net.JoinHostPort(ip, "0"), s.Ports[0], messages.GatePort)
+		source = messages.AddrOnHost(net.JoinHostPort(ip, "0"), s.Ports[0], messages.InboundPort)
 	}
 	progress := p.sources[source]
 	for !p.isDone() {
@@ -447,7 +447,7 @@
 		p.mu.Unlock()
 		sent := time.Now()
 		reply, err := p.dataPlane.PullFromPeer(source, rpc.Encode(call), pullTimeout)
-		var n messages.News
+		var n messages.PullReply
 		if err != nil || rpc.Decode(reply, &n) != nil {
 			return
 		}
@@ -473,10 +473,10 @@
 	if relay {
 		p.relayed = append(p.relayed, *call.Self)
 	}
-	n := messages.News{Life: p.incarnation, FreshMs: messages.Never, Partial: !p.complete}
-	n.Tell(call, p.table, p.chosen, p.items, p.prunedBallot)
+	n := messages.PullReply{Incarnation: p.incarnation, FreshMs: messages.Never, Partial: !p.complete}
+	n.Fill(call, p.table, p.chosen, p.items, p.prunedBallot)
 	if r := p.quorum.VoterSet(); r.Epoch != call.Epoch && r.Epoch > 0 {
-		n.Roll = &r
+		n.VoterSet = &r
 	}
 	if !p.lastMajority.IsZero() {
 		n.FreshMs = uint32(min(time.Since(p.lastMajority).Milliseconds(), messages.Never))
@@ -510,25 +510,25 @@
 
 // addTransitTime adds to the age of news the time between sending the call and now, without the time that the source held the call:
 // either end may have been suspended meanwhile.
-func addTransitTime(n *messages.News, sent time.Time) {
+func addTransitTime(n *messages.PullReply, sent time.Time) {
 	transit := max(0, time.Since(sent).Milliseconds()-int64(n.HeldMs))
 	n.FreshMs = uint32(min(int64(n.FreshMs)+transit, messages.Never))
 }
 
 // apply applies news. It ignores the configuration of a source without contact with a majority while another source may have a newer
 // one, and then returns true: the caller should seek another source.
-func (p *Proxy) apply(n messages.News) (seek bool) {
-	if n.Roll != nil && p.quorum.Update(*n.Roll) {
-		p.log("roll", fmt.Sprintf("epoch %d, %d voters", n.Roll.Epoch, len(n.Roll.Voters)))
+func (p *Proxy) apply(n messages.PullReply) (seek bool) {
+	if n.VoterSet != nil && p.quorum.Update(*n.VoterSet) {
+		p.log("roll", fmt.Sprintf("epoch %d, %d voters", n.VoterSet.Epoch, len(n.VoterSet.Voters)))
 	}
 	var merged []backends.Backend
 	var chart *configuration.Chart
 	p.mu.Lock()
-	if len(n.Masters) > 0 {
-		p.registries = mergeRegistries(p.registries, n.Masters, n.FreshMs > staleAfterMs)
+	if len(n.Registries) > 0 {
+		p.registries = mergeRegistries(p.registries, n.Registries, n.FreshMs > staleAfterMs)
 	}
 	node := p.settings.Load().NodeName
-	for _, b := range n.Berths {
+	for _, b := range n.Backends {
 		if p.table.Merge(b) {
 			merged = append(merged, b)
 		}
@@ -540,7 +540,7 @@
 		chart = p.items.Chart()
 	}
 	if n.FreshMs <= staleAfterMs && !n.Chosen.IsZero() {
-		p.complete = p.complete || !n.More && !n.Partial
+		p.complete = p.complete || !n.MoreBackends && !n.Partial
 		if at := time.Now().Add(-time.Duration(n.FreshMs) * time.Millisecond); at.After(p.lastMajority) { // second-hand news does not become fresher by being passed on
 			p.lastMajority = at
 		}
@@ -563,11 +563,11 @@
 
 // mergeRegistries returns the list of registries after a source has sent its own. A source without contact with a majority (stale) may
 // know only a few: its list removes none.
-func mergeRegistries(known, received []messages.Master, stale bool) []messages.Master {
+func mergeRegistries(known, received []messages.Registry, stale bool) []messages.Registry {
 	out := slices.Clone(received)
 	if stale {
 		for _, m := range known {
-			if !slices.ContainsFunc(received, func(other messages.Master) bool { return other.Name == m.Name }) {
+			if !slices.ContainsFunc(received, func(other messages.Registry) bool { return other.Name == m.Name }) {
 				out = append(out, m)
 			}
 		}
@@ -595,7 +595,7 @@
 	p.mu.Lock()
 	out["berths"], out["masters"] = int64(p.table.Len()), int64(len(p.registries))
 	p.mu.Unlock()
-	p.membership.Count(out)
+	p.membership.AddCounters(out)
 	return out
 }
 
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -24,19 +24,19 @@
 		}
 	}
 	s, roll := p.settings.Load(), p.quorum.VoterSet()
-	r := messages.Reported{Program: messages.TheTug, Version: process.Version, Node: s.NodeName, Zone: s.Zone, Addr: s.Port(messages.GatePort),
-		Life: p.incarnation, UpMs: uint64(p.dataPlane.Uptime().Milliseconds()), Epoch: roll.Epoch, Voters: roll.Voters, Counts: p.Counts()}
-	own := &messages.TugReport{Ready: p.ready() == nil, Stopping: p.stopping.Load(), FromMs: messages.Never, FreshMs: messages.Never}
+	r := messages.ReportReply{Program: messages.ProgramProxy, Version: process.Version, Node: s.NodeName, Zone: s.Zone, Addr: s.Port(messages.InboundPort),
+		Incarnation: p.incarnation, UpMs: uint64(p.dataPlane.Uptime().Milliseconds()), Epoch: roll.Epoch, Voters: roll.Voters, Counts: p.Counts()}
+	own := &messages.ProxyReport{Ready: p.ready() == nil, Stopping: p.stopping.Load(), RegistryMs: messages.Never, FreshMs: messages.Never}
 	if pull := p.lastPull.Load(); pull != nil {
-		own.From, own.FreshMs = pull.addr, pull.freshMs
-		own.FromMs = uint32(min(time.Since(pull.at).Milliseconds(), messages.Never))
+		own.RegistryAddr, own.FreshMs = pull.addr, pull.freshMs
+		own.RegistryMs = uint32(min(time.Since(pull.at).Milliseconds(), messages.Never))
 	}
 	p.mu.Lock()
 	r.Chosen = p.chosen
-	items := messages.ItemReports(p.items)
+	items := messages.NewItemReports(p.items)
 	p.mu.Unlock()
 	r.SetItems(items)
-	r.Tug = own
+	r.Proxy = own
 	r.Traffic = rpc.Totals()
 	p.dataPlane.FillReport(&r, own, call.Brief)
 	return rpc.Encode(r), nil
--- a/internal/proxy/start_test.go
+++ b/internal/proxy/start_test.go
@@ -39,8 +39,8 @@
 	mu          sync.Mutex // guards chosen, table and the state of onPart once it serves
 	chosen      configuration.Ballot
 	table       *backends.Table
-	onPart      func(part int64, n *messages.News) // called before an answer is sent
-	partCount   atomic.Int64                       // answers with items or entries
+	onPart      func(part int64, n *messages.PullReply) // called before an answer is sent
+	partCount   atomic.Int64                            // answers with items or entries
 	largest     atomic.Int64
 	breakAt     int64 // onBreak is called in place of sending this part; 0: never
 	onBreak     func()
@@ -56,14 +56,14 @@
 		if c.Kind != messages.Pull || rpc.Decode(c.Body, &call) != nil {
 			return
 		}
-		n := messages.News{Life: s.incarnation, FreshMs: s.freshMs}
+		n := messages.PullReply{Incarnation: s.incarnation, FreshMs: s.freshMs}
 		s.mu.Lock()
 		if s.table == nil {
 			s.table = backends.New()
 		}
-		n.Tell(call, s.table, s.chosen, s.items, configuration.Ballot{})
+		n.Fill(call, s.table, s.chosen, s.items, configuration.Ballot{})
 		s.mu.Unlock()
-		if len(n.Items)+len(n.Berths) == 0 {
+		if len(n.Items)+len(n.Backends) == 0 {
 			time.Sleep(time.Duration(call.HoldMs) * time.Millisecond)
 		} else if s.partCount.Add(1) == s.breakAt {
 			go s.onBreak()
@@ -120,7 +120,7 @@
 			p := m.Start()
 			r.items, r.chosen = set, configuration.Ballot{N: 1, By: 1}
 			r.onBreak = p.End
-			r.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+messages.HarbourPort)))
+			r.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+messages.RegistryPort)))
 			machines = append(machines, m)
 			ends = append(ends, p.End)
 		}
@@ -130,7 +130,7 @@
 			t.Fatalf("%v: %d items", err, first.items.Len())
 		}
 		for i, r := range registries {
-			if r.largest.Load() > messages.PartBytes*5/4 {
+			if r.largest.Load() > messages.MaxPartBytes*5/4 {
 				t.Errorf("registry %d: a message of %d bytes", i, r.largest.Load())
 			}
 		}
@@ -166,7 +166,7 @@
 // uses the entries received so far, and can itself serve all of them.
 func TestTableByParts(t *testing.T) {
 	const backendCount = 40
-	release := strings.Repeat("x", messages.PartBytes/5)
+	release := strings.Repeat("x", messages.MaxPartBytes/5)
 	for breakAt := int64(1); breakAt <= backendCount/4+1; breakAt++ {
 		synctest.Test(t, func(t *testing.T) {
 			s := network.New(1)
@@ -185,7 +185,7 @@
 				if i == 0 {
 					r.breakAt = breakAt
 				}
-				r.onPart = func(part int64, n *messages.News) {
+				r.onPart = func(part int64, n *messages.PullReply) {
 					answers.Lock()
 					defer answers.Unlock()
 					if part <= breakAt { // another entry changes meanwhile
@@ -194,13 +194,13 @@
 					if proxy := first.Load(); proxy != nil && proxy.ready() == nil && !whole {
 						t.Errorf("ready with part %d", part)
 					}
-					if !n.More && partial > 0 { // as a registry that has just started itself
+					if !n.MoreBackends && partial > 0 { // as a registry that has just started itself
 						partial--
 						n.Partial = true
 					}
-					whole = whole || !n.More && !n.Partial
+					whole = whole || !n.MoreBackends && !n.Partial
 				}
-				r.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+messages.HarbourPort)))
+				r.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+messages.RegistryPort)))
 				machines, ends = append(machines, m), append(ends, p.End)
 			}
 			countBackends := func(proxy *Proxy) (n int) {
@@ -272,21 +272,21 @@
 				for to.news.moreEntries = true; to.news.moreEntries; parts++ {
 					call := messages.PullCall{}
 					to.news.continueCall(&call)
-					sent := messages.News{Life: 1}
-					sent.Tell(call, table, configuration.Ballot{}, configuration.Set{}, configuration.Ballot{})
+					sent := messages.PullReply{Incarnation: 1}
+					sent.Fill(call, table, configuration.Ballot{}, configuration.Set{}, configuration.Ballot{})
 					raw := rpc.Encode(sent)
 					bytes, largest = bytes+len(raw), max(largest, len(raw))
-					var news messages.News
+					var news messages.PullReply
 					if err := rpc.Decode(raw, &news); err != nil {
 						b.Fatal(err)
 					}
 					to.news.add(&news)
-					for _, backend := range news.Berths {
+					for _, backend := range news.Backends {
 						to.table.Merge(backend)
 					}
-					balancer.UpdateBackends(0, news.Berths)
+					balancer.UpdateBackends(0, news.Backends)
 				}
-				if to.table.Len() != n || largest > messages.PartBytes {
+				if to.table.Len() != n || largest > messages.MaxPartBytes {
 					b.Fatal(to.table.Len(), largest)
 				}
 				kept = append(kept, to, balancer)
@@ -310,14 +310,14 @@
 		transfer := func(b *testing.B, to *proxyState, ballot configuration.Ballot) (bytes int) {
 			for to.chosen.Less(ballot) {
 				var call messages.PullCall
-				if err := rpc.Decode(rpc.Encode(messages.PullCall{Life: to.news.incarnation, Have: to.chosen, Cursor: to.news.cursor}), &call); err != nil {
+				if err := rpc.Decode(rpc.Encode(messages.PullCall{Incarnation: to.news.incarnation, Have: to.chosen, Cursor: to.news.cursor}), &call); err != nil {
 					b.Fatal(err)
 				}
-				sent := messages.News{Life: 1}
-				sent.Tell(call, backends.New(), ballot, set, configuration.Ballot{})
+				sent := messages.PullReply{Incarnation: 1}
+				sent.Fill(call, backends.New(), ballot, set, configuration.Ballot{})
 				raw := rpc.Encode(sent)
 				bytes += len(raw)
-				var news messages.News
+				var news messages.PullReply
 				if err := rpc.Decode(raw, &news); err != nil {
 					b.Fatal(err)
 				}
@@ -366,7 +366,7 @@
 		var cut atomic.Pointer[time.Time]
 		var late atomic.Int64 // pulls from the near registry more than 3 s after the cut
 		near, far := &stubRegistry{incarnation: 11, items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}}, &stubRegistry{incarnation: 12, items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}}
-		near.onPart = func(_ int64, n *messages.News) {
+		near.onPart = func(_ int64, n *messages.PullReply) {
 			if n.FreshMs = 400; cut.Load() != nil {
 				sinceCut := time.Since(*cut.Load())
 				n.FreshMs += uint32(sinceCut.Milliseconds())
@@ -379,12 +379,12 @@
 		for i, r := range []*stubRegistry{near, far} {
 			ip := fmt.Sprintf("10.1.0.%d", 2+i)
 			p := s.Machine(ip, fmt.Sprint("zone-", 1+i)).Start()
-			r.serve(t, p, net.JoinHostPort(ip, fmt.Sprint(7380+messages.HarbourPort)))
+			r.serve(t, p, net.JoinHostPort(ip, fmt.Sprint(7380+messages.RegistryPort)))
 			ends = append(ends, p.End)
 		}
 		proxy, _, p := startProxy(t, s, "10.1.0.10", "zone-1", "10.1.0.2:80", "10.1.0.3:80")
 		proxy.mu.Lock()
-		proxy.registries = []messages.Master{{Name: "near", Addr: "10.1.0.2:7380", Zone: "zone-1"}, {Name: "far", Addr: "10.1.0.3:7380", Zone: "zone-2"}}
+		proxy.registries = []messages.Registry{{Name: "near", Addr: "10.1.0.2:7380", Zone: "zone-1"}, {Name: "far", Addr: "10.1.0.3:7380", Zone: "zone-2"}}
 		proxy.mu.Unlock()
 		time.Sleep(12 * time.Second)
 		if from := proxy.lastPull.Load(); from == nil || from.addr != "10.1.0.2:7380" {
@@ -417,7 +417,7 @@
 		r := &stubRegistry{incarnation: 11, items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}}
 		machine := s.Machine("10.1.0.2", "zone-1")
 		registry := machine.Start()
-		r.serve(t, registry, net.JoinHostPort(machine.IP, fmt.Sprint(7380+messages.HarbourPort)))
+		r.serve(t, registry, net.JoinHostPort(machine.IP, fmt.Sprint(7380+messages.RegistryPort)))
 		first, _, p1 := startProxy(t, s, "10.1.0.10", "zone-1", "10.1.0.2:80")
 		waitUntil(5*time.Second, func() bool { return first.ready() == nil })
 		second, m2, p2 := startProxy(t, s, "10.1.0.11", "zone-1", "10.1.0.2:80")
--- a/internal/quorum/client.go
+++ b/internal/quorum/client.go
@@ -20,7 +20,7 @@
 type Client struct {
 	net      sock.Net
 	mu       sync.Mutex
-	voterSet messages.Roll
+	voterSet messages.VoterSet
 	clients  []*rpc.Client
 	updated  chan struct{} // closed when a newer voter set is taken
 
@@ -31,14 +31,14 @@
 func New(network sock.Net) *Client { return &Client{net: network, updated: make(chan struct{})} }
 
 // VoterSet returns the newest known voter set.
-func (c *Client) VoterSet() messages.Roll {
+func (c *Client) VoterSet() messages.VoterSet {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.voterSet
 }
 
 // Update takes a voter set if it is newer than the known one, and reports whether it was.
-func (c *Client) Update(voterSet messages.Roll) bool {
+func (c *Client) Update(voterSet messages.VoterSet) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if voterSet.Epoch <= c.voterSet.Epoch {
@@ -92,9 +92,9 @@
 	call := messages.WatchCall{Have: configuration.Ballot{N: 1 << 62}, HoldMs: uint32(fetchWait.Milliseconds()), Epoch: epoch}
 	go func() {
 		defer c.fetching.Store(false)
-		var watched messages.Watched
+		var watched messages.WatchReply
 		if client.Call(messages.Watch, call, &watched, 2*fetchWait) == nil {
-			c.Update(watched.Roll)
+			c.Update(watched.VoterSet)
 		}
 	}()
 }
--- a/internal/store/interruption_test.go
+++ b/internal/store/interruption_test.go
@@ -56,14 +56,14 @@
 // received is on disk, and the next repair restores it completely.
 func TestRepairInterruptedAtEachSync(t *testing.T) {
 	items, claims := largeState()
-	m := recoveredState{last: messages.Mustered{Vouch: consensus.Origin{Voter: 1, Incarnations: []uint64{2, 1, 1}}, Accepted: configuration.Ballot{N: 9},
+	m := recoveredState{last: messages.RecoverReply{Origin: consensus.Origin{Voter: 1, Incarnations: []uint64{2, 1, 1}}, Accepted: configuration.Ballot{N: 9},
 		Chosen: configuration.Ballot{N: 9}}, claims: claims, base: configuration.SetOf(items...)}
 	for _, fails := range []bool{false, true} {
 		n, done := 0, false
 		for ; !done; n++ {
 			voter := newTestVoter(t, Options{})
 			voter.openDisk()
-			voter.voterSet = messages.Roll{Epoch: 1, Voters: voters}
+			voter.voterSet = messages.VoterSet{Epoch: 1, Voters: voters}
 			voter.locate()
 			voter.fake.rows[tableMeta] = map[string][]byte{"roll": voter.putVoterSet().Value, "incs": voter.putIncarnations().Value}
 			voter.setState(Repairing)
@@ -95,8 +95,8 @@
 // both sets still has its own state complete for others that need it.
 func TestTakeoverInterruptedAtEachSync(t *testing.T) {
 	items, claims := largeState()
-	next := messages.Roll{Epoch: 2, Voters: voters, Previous: voters}
-	h := handedState{base: configuration.SetOf(items...), claims: claims, last: messages.Handed{Estate: reconfig.Handover{Origin: consensus.Origin{Voter: 1, Incarnations: []uint64{1, 1, 1}},
+	next := messages.VoterSet{Epoch: 2, Voters: voters, Previous: voters}
+	h := handedState{base: configuration.SetOf(items...), claims: claims, last: messages.HandoverReply{Handover: reconfig.Handover{Origin: consensus.Origin{Voter: 1, Incarnations: []uint64{1, 1, 1}},
 		Promised: configuration.Ballot{N: 9}, Accepted: configuration.Ballot{N: 9}, Chosen: configuration.Ballot{N: 9}}}}
 	older := items[0]
 	older.Version, older.Ballot.N = 1, 3
@@ -117,7 +117,7 @@
 					voter.settle()
 					voter.claims.Claim(0, "own", id(99))
 				} else {
-					voter.voterSet = messages.Roll{Epoch: 1, Voters: []messages.Voter{{Addr: "x:1"}, {Addr: "b:1"}, {Addr: "c:1"}}}
+					voter.voterSet = messages.VoterSet{Epoch: 1, Voters: []messages.Voter{{Addr: "x:1"}, {Addr: "b:1"}, {Addr: "c:1"}}}
 					voter.locate()
 					voter.fake.rows[tableMeta] = map[string][]byte{"roll": voter.putVoterSet().Value, "incs": voter.putIncarnations().Value}
 					voter.setState(NonVoter)
--- a/internal/store/program.go
+++ b/internal/store/program.go
@@ -31,16 +31,16 @@
 func Launch(s *settings.Settings, log func(event, text string), network sock.Net, simulatedDisk func() error) (Running, error) {
 	r := Running{settings: &atomic.Pointer[settings.Settings]{}}
 	r.settings.Store(s)
-	if s.DataDir == "" || s.Port(messages.GatePort) == "" {
-		return r, fmt.Errorf("%s: data-directory and %d ephemeral-ports wanted", s.Path, messages.GatePort+1)
+	if s.DataDir == "" || s.Port(messages.InboundPort) == "" {
+		return r, fmt.Errorf("%s: data-directory and %d ephemeral-ports wanted", s.Path, messages.InboundPort+1)
 	}
-	o := Options{Addr: s.Port(messages.PurserPort), Dir: s.DataDir, Zone: s.Zone, Bootstrap: s.Bootstrap, QuorumMember: s.QuorumMember,
+	o := Options{Addr: s.Port(messages.StorePort), Dir: s.DataDir, Zone: s.Zone, Bootstrap: s.Bootstrap, QuorumMember: s.QuorumMember,
 		Window: s.Bounds.DedupWindow + keyMargin, MaxBytes: int64(s.DiskMB * (1 << 20) / 2), FirstPort: s.Ports[0],
 		Net: network, SimulatedDisk: simulatedDisk, Log: log,
 		Seeds: func() (out []string) {
 			s := r.settings.Load()
 			for _, seed := range s.Seeds {
-				out = append(out, messages.Beside(seed, s.Ports[0], messages.PurserPort))
+				out = append(out, messages.AddrOnHost(seed, s.Ports[0], messages.StorePort))
 			}
 			return out
 		}}
--- a/internal/store/reconfig.go
+++ b/internal/store/reconfig.go
@@ -49,12 +49,12 @@
 
 // reportReadiness reports the state and the disk's ID, ahead of a change of the voter set.
 func (s *voterState) reportReadiness(c rpc.Call, m messages.ReadyCall) error {
-	r := messages.Readied{State: string(s.state), Epoch: s.voterSet.Epoch, Quorum: s.srv.opts.QuorumMember}
+	r := messages.ReadyReply{State: string(s.state), Epoch: s.voterSet.Epoch, Quorum: s.srv.opts.QuorumMember}
 	if s.state != Serving && s.state != NonVoter || s.disk.Stalled() > stalledAfter {
 		c.Reply(r, nil)
 		return nil
 	}
-	if m.Dry {
+	if m.DryRun {
 		c.Reply(r, nil)
 		return nil
 	}
@@ -67,7 +67,7 @@
 }
 
 // voteSuccessor promises or accepts a successor of the voter set. Accepting one ends the epoch for this voter.
-func (s *voterState) voteSuccessor(c rpc.Call, m messages.SucceedCall) error {
+func (s *voterState) voteSuccessor(c rpc.Call, m messages.ProposeVotersCall) error {
 	if err := s.requireMember(m.Epoch); err != nil {
 		return err
 	}
@@ -104,19 +104,19 @@
 }
 
 // adoptVoterSet handles the call that announces a chosen voter set.
-func (s *voterState) adoptVoterSet(c rpc.Call, m messages.RelieveCall) error {
-	if m.Roll.Epoch == 0 || len(m.Roll.Voters) == 0 {
+func (s *voterState) adoptVoterSet(c rpc.Call, m messages.AdoptVotersCall) error {
+	if m.VoterSet.Epoch == 0 || len(m.VoterSet.Voters) == 0 {
 		return errcode.New(errcode.Malformed, "")
 	}
-	s.learnVoterSet(m.Roll, func(err error) {
-		reply(c, messages.Relieved{State: string(s.state), Epoch: s.voterSet.Epoch}, err)
+	s.learnVoterSet(m.VoterSet, func(err error) {
+		reply(c, messages.AdoptVotersReply{State: string(s.state), Epoch: s.voterSet.Epoch}, err)
 	})
 	return nil
 }
 
 // learnVoterSet moves to a chosen voter set if it is newer. In it, this store takes over as a voter, repairs a lost disk, or is
 // no voter. done is called on the owner's goroutine.
-func (s *voterState) learnVoterSet(r messages.Roll, done func(error)) {
+func (s *voterState) learnVoterSet(r messages.VoterSet, done func(error)) {
 	switch {
 	case r.Epoch <= s.voterSet.Epoch:
 		done(nil)
@@ -147,7 +147,7 @@
 }
 
 // enterEpoch moves to a newer epoch without its state.
-func (s *voterState) enterEpoch(r messages.Roll, done func(error)) {
+func (s *voterState) enterEpoch(r messages.VoterSet, done func(error)) {
 	if s.state == Serving {
 		s.formerEpoch = &formerEpoch{s.voterSet.Epoch, s.index, slices.Clone(s.incarnations)}
 	}
@@ -186,9 +186,9 @@
 	default:
 		return errcode.New(errcode.Gone, "epoch %d, here %d", m.Epoch, s.voterSet.Epoch)
 	}
-	h := messages.Handed{Estate: e, Former: s.valueInherited(), Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta}
-	if h.Upto == h.Base {
-		h.Claims, h.More = s.claimsAfter(m.From)
+	h := messages.HandoverReply{Handover: e, Inherited: s.valueInherited(), Items: r.items, UpTo: r.upto, Base: r.base, Delta: r.delta}
+	if h.UpTo == h.Base {
+		h.Claims, h.MoreClaims = s.claimsAfter(m.AfterKey)
 	}
 	c.Reply(h, nil)
 	return nil
@@ -200,7 +200,7 @@
 )
 
 // takeOver collects the state of the old voters, writes it to disk, and then votes in the new epoch.
-func (s *voterState) takeOver(r messages.Roll) {
+func (s *voterState) takeOver(r messages.VoterSet) {
 	kept := s.state == Serving
 	if kept && !s.sealDurable { // it missed the vote: others may need its state
 		s.seal.Closed = true
@@ -237,13 +237,13 @@
 
 // handedState is the state that one voter handed over.
 type handedState struct {
-	last   messages.Handed   // the last part
-	base   configuration.Set // the value of last.Base
+	last   messages.HandoverReply // the last part
+	base   configuration.Set      // the value of last.Base
 	claims []messages.ClaimCall
 }
 
 // collectHandover asks old and new voters for their state until there is enough of it to take over. It blocks.
-func (srv *Server) collectHandover(r messages.Roll) (got []handedState, err error) {
+func (srv *Server) collectHandover(r messages.VoterSet) (got []handedState, err error) {
 	var addrs []string
 	for _, v := range append(slices.Clone(r.Previous), r.Voters...) {
 		if !slices.Contains(addrs, v.Addr) {
@@ -251,7 +251,7 @@
 		}
 	}
 	type response struct {
-		h    messages.Handed
+		h    messages.HandoverReply
 		addr string
 		err  error
 	}
@@ -260,7 +260,7 @@
 		c := rpc.NewClient(srv.opts.Net, addr)
 		defer c.Close()
 		t.addr = addr
-		t.err = c.Call(messages.Handover, messages.HandoverCall{Epoch: r.Epoch, From: from, Have: have}, &t.h, handoverTimeout)
+		t.err = c.Call(messages.Handover, messages.HandoverCall{Epoch: r.Epoch, AfterKey: from, Have: have}, &t.h, handoverTimeout)
 		return t
 	}
 	stop := make(chan struct{})
@@ -290,7 +290,7 @@
 		if t.err != nil {
 			continue
 		}
-		all, estates = append(all, t), append(estates, t.h.Estate)
+		all, estates = append(all, t), append(estates, t.h.Handover)
 		if take = reconfig.SelectHandovers(len(r.Previous), estates); take != nil {
 			break
 		}
@@ -301,18 +301,18 @@
 	for _, i := range take {
 		h := all[i].h
 		state := handedState{h, configuration.SetOf(h.Items...), h.Claims}
-		for h.More || h.Upto != h.Base {
+		for h.MoreClaims || h.UpTo != h.Base {
 			from := ""
-			if h.More {
+			if h.MoreClaims {
 				from = h.Claims[len(h.Claims)-1].Key
 			}
-			t := ask(all[i].addr, from, h.Upto)
+			t := ask(all[i].addr, from, h.UpTo)
 			if t.err != nil {
 				return nil, t.err
 			}
-			previous := h.Estate
-			if h = t.h; h.Estate.Active != previous.Active || !slices.Equal(h.Estate.Origin.Incarnations, previous.Origin.Incarnations) ||
-				!continues(h.Estate.Chosen, h.Estate.Accepted, previous.Chosen, previous.Accepted) {
+			previous := h.Handover
+			if h = t.h; h.Handover.Active != previous.Active || !slices.Equal(h.Handover.Origin.Incarnations, previous.Origin.Incarnations) ||
+				!continues(h.Handover.Chosen, h.Handover.Accepted, previous.Chosen, previous.Accepted) {
 				return nil, errors.New("the voter took over, or lost its disk, while it handed over its state")
 			}
 			state = handedState{h, state.base.With(h.Items...), append(state.claims, h.Claims...)}
@@ -326,12 +326,12 @@
 // last write it keeps the state that others may need. Claims are only added, and the register changes in one write with the
 // voter set, unless too much is missing for one write. In that case it is marked as catching up until then, which costs others
 // nothing: the missing items are chosen, and a majority without this voter holds them. left are deletions to write first.
-func (s *voterState) installHandover(r messages.Roll, got []handedState, kept bool, left []storage.Put) {
+func (s *voterState) installHandover(r messages.VoterSet, got []handedState, kept bool, left []storage.Put) {
 	estates, take := make([]reconfig.Handover, len(got)), make([]int, len(got))
 	acc := consensus.NewAcceptor()
 	for i, o := range got {
-		estates[i], take[i] = o.last.Estate, i
-		if c := o.last.Estate.Chosen; acc.Chosen.Less(c) {
+		estates[i], take[i] = o.last.Handover, i
+		if c := o.last.Handover.Chosen; acc.Chosen.Less(c) {
 			acc.Chosen, acc.Base = c, o.base
 		}
 	}
@@ -374,7 +374,7 @@
 		put(p)
 	}
 	former := acc.Accepted
-	if e := estates[at]; e.Active && !got[at].last.Former {
+	if e := estates[at]; e.Active && !got[at].last.Inherited {
 		former = configuration.Ballot{}
 	}
 	writeLast := func(s *voterState, puts []storage.Put) {
@@ -479,7 +479,7 @@
 }
 
 // finishTakeover ends a takeover, and calls those who wait for its result.
-func (s *voterState) finishTakeover(r messages.Roll, err error) {
+func (s *voterState) finishTakeover(r messages.VoterSet, err error) {
 	s.takingOver = false
 	if err == nil {
 		s.setState(Serving)
--- a/internal/store/reconfig_test.go
+++ b/internal/store/reconfig_test.go
@@ -29,9 +29,9 @@
 	if k := claim(voter, "before"); k != errcode.OK {
 		t.Fatal(k)
 	}
-	next := messages.Roll{Epoch: 2, Voters: voters, Previous: voters}
-	accept := voter.call(messages.Succeed, messages.SucceedCall{Epoch: 1, B: configuration.Ballot{N: 1, By: 1}, Next: &next})
-	hand := func(voter *testVoter) (h messages.Handed, k errcode.Kind) {
+	next := messages.VoterSet{Epoch: 2, Voters: voters, Previous: voters}
+	accept := voter.call(messages.ProposeVoters, messages.ProposeVotersCall{Epoch: 1, B: configuration.Ballot{N: 1, By: 1}, Next: &next})
+	hand := func(voter *testVoter) (h messages.HandoverReply, k errcode.Kind) {
 		r := voter.call(messages.Handover, messages.HandoverCall{Epoch: 2})
 		if r.err == nil {
 			if err := rpc.Decode(r.body, &h); err != nil {
@@ -64,11 +64,11 @@
 			t.Errorf("%s: a promise: %v", name, r.err)
 		}
 		for of, want := range map[lease.Name]errcode.Kind{lease.CatchUp: errcode.Gone, lease.VoterChange: errcode.OK} {
-			if r := voter.call(messages.Lease, messages.LeaseCall{Duty: of, By: 7, Epoch: 1}); errcode.Of(r.err) != want {
+			if r := voter.call(messages.Lease, messages.LeaseCall{Name: of, Holder: 7, Epoch: 1}); errcode.Of(r.err) != want {
 				t.Errorf("%s: the lease %s: %v", name, of, r.err)
 			}
 		}
-		if h, k := hand(voter); k != errcode.OK || h.Estate.Active || len(h.Claims) != 1 {
+		if h, k := hand(voter); k != errcode.OK || h.Handover.Active || len(h.Claims) != 1 {
 			t.Errorf("%s: handed over %v, %+v", name, k, h)
 		}
 	}
@@ -90,7 +90,7 @@
 		voter.openDisk()
 		voter.settle()
 		voter.recovering = true // no test here needs a repair to run
-		voter.call(messages.Relieve, messages.RelieveCall{Roll: messages.Roll{Epoch: 2, Voters: c.next, Previous: voters}})
+		voter.call(messages.AdoptVoters, messages.AdoptVotersCall{VoterSet: messages.VoterSet{Epoch: 2, Voters: c.next, Previous: voters}})
 		if r := voter.call(messages.Handover, messages.HandoverCall{Epoch: 2}); errcode.Of(r.err) != errcode.Gone {
 			t.Errorf("%s: handed over before it is on disk: %v", c.name, r.err)
 		}
--- a/internal/store/register_test.go
+++ b/internal/store/register_test.go
@@ -55,20 +55,20 @@
 func TestPages(t *testing.T) {
 	voter := newServingVoter(t)
 	old, fork := itemsOf("r", ballotOf(1), 3, 10), itemsOf("fork", ballotOf(2), 2, 10)
-	callAndSettle[messages.Accepted](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(1), Changes: old, Epoch: 1})
-	callAndSettle[messages.Accepted](t, voter, messages.Learn, messages.LearnCall{B: ballotOf(1)})
-	callAndSettle[messages.Accepted](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(2), Base: ballotOf(1), Changes: fork, Epoch: 1})
+	callAndSettle[messages.AcceptReply](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(1), Changes: old, Epoch: 1})
+	callAndSettle[messages.AcceptReply](t, voter, messages.Learn, messages.LearnCall{B: ballotOf(1)})
+	callAndSettle[messages.AcceptReply](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(2), Base: ballotOf(1), Changes: fork, Epoch: 1})
 	seven := configuration.SetOf(old...).With(itemsOf("r", ballotOf(5), 2, 10)...).With(itemsOf("s", ballotOf(7), 700, 1000)...)
 	nine := seven.With(itemsOf("s", ballotOf(9), 1, 20)...).With(itemsOf("t", ballotOf(9), 1, 20)...)
 	turn := func(p consensus.Page) bool {
 		t.Helper()
-		return callAndSettle[messages.Accepted](t, voter, messages.Turn, messages.TurnCall{Page: p, Epoch: 1}).Taken
+		return callAndSettle[messages.AcceptReply](t, voter, messages.SendPage, messages.SendPageCall{Page: p, Epoch: 1}).OK
 	}
 	first := consensus.NewPage(nine, ballotOf(9), ballotOf(1))
 	if first.UpTo != ballotOf(5) || turn(consensus.NewPage(nine, ballotOf(9), ballotOf(5))) {
 		t.Fatalf("the first page ends at %v, or a page that does not continue it was taken", first.UpTo)
 	}
-	r := voter.call(messages.Turn, messages.TurnCall{Page: first, Epoch: 1})
+	r := voter.call(messages.SendPage, messages.SendPageCall{Page: first, Epoch: 1})
 	voter.fake.sync(storage.ErrDisk)
 	if voter.settle(); errcode.Of(r.err) != errcode.DiskOut || voter.acceptor.Accepted != ballotOf(2) || voter.acceptor.CatchingUp() {
 		t.Fatalf("a page that was not written: %v, accepted %v", r.err, voter.acceptor.Accepted)
@@ -78,18 +78,18 @@
 			t.Fatalf("page %d: not taken, or twice", i)
 		}
 		voter = restarted(t, voter)
-		w := callAndSettle[messages.Watched](t, voter, messages.Watch, messages.WatchCall{})
-		m := voter.recoveryReply(messages.MusterCall{})
+		w := callAndSettle[messages.WatchReply](t, voter, messages.Watch, messages.WatchCall{})
+		m := voter.recoveryReply(messages.RecoverCall{})
 		state := voter.reportedState()
 		if i == 2 {
-			if w.Chosen != ballotOf(9) || w.Known != ballotOf(9) || voter.acceptor.Accepted != ballotOf(9) || !sameItems(voter.acceptor.Base, nine) || !sameItems(voter.acceptor.Value, nine) || state != "serving" {
-				t.Errorf("after the last page: %s, chosen %v of %v, %d items", state, w.Chosen, w.Known, voter.acceptor.Base.Len())
+			if w.Chosen != ballotOf(9) || w.KnownChosen != ballotOf(9) || voter.acceptor.Accepted != ballotOf(9) || !sameItems(voter.acceptor.Base, nine) || !sameItems(voter.acceptor.Value, nine) || state != "serving" {
+				t.Errorf("after the last page: %s, chosen %v of %v, %d items", state, w.Chosen, w.KnownChosen, voter.acceptor.Base.Len())
 			}
 			break
 		}
 		p := callAndSettle[consensus.Promise](t, voter, messages.Prepare, messages.PrepareCall{B: ballotOf(20 + uint64(i)), Epoch: 1})
-		if w.Known != ballotOf(9) || w.Chosen != p.Chosen || len(w.Items) > 0 || !p.Granted || !p.Accepted.IsZero() || len(p.Items) > 0 || p.KnownChosen != ballotOf(9) || state != "catching up" {
-			t.Errorf("after page %d: %s, chosen %v of %v, %d items, promise %+v", i, state, w.Chosen, w.Known, len(w.Items), p)
+		if w.KnownChosen != ballotOf(9) || w.Chosen != p.Chosen || len(w.Items) > 0 || !p.Granted || !p.Accepted.IsZero() || len(p.Items) > 0 || p.KnownChosen != ballotOf(9) || state != "catching up" {
+			t.Errorf("after page %d: %s, chosen %v of %v, %d items, promise %+v", i, state, w.Chosen, w.KnownChosen, len(w.Items), p)
 		}
 		if !m.Accepted.IsZero() || !m.Chosen.IsZero() || len(m.Items)+len(m.Delta) > 0 {
 			t.Errorf("after page %d, to a member that lost its disk: %+v", i, m)
@@ -102,20 +102,20 @@
 	voter := newServingVoter(t)
 	nine := configuration.SetOf(itemsOf("r", ballotOf(5), 300, 1000)...).With(itemsOf("s", ballotOf(9), 3, 10)...)
 	next := nine.With(itemsOf("r", ballotOf(11), 1, 10)...)
-	if !callAndSettle[messages.Accepted](t, voter, messages.Turn, messages.TurnCall{Page: consensus.NewPage(nine, ballotOf(9), ballotOf(0)), Epoch: 1}).Taken || !voter.acceptor.CatchingUp() {
+	if !callAndSettle[messages.AcceptReply](t, voter, messages.SendPage, messages.SendPageCall{Page: consensus.NewPage(nine, ballotOf(9), ballotOf(0)), Epoch: 1}).OK || !voter.acceptor.CatchingUp() {
 		t.Fatalf("complete up to %v of %v", voter.acceptor.Chosen, voter.acceptor.Target)
 	}
 	for base, want := range map[uint64]bool{9: false, 5: true} {
-		a := callAndSettle[messages.Accepted](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(11), Base: ballotOf(base), Changes: consensus.ChangedSince(next, ballotOf(base)), Epoch: 1})
-		if a.Taken != want {
-			t.Errorf("changes after ballot %d taken: %v", base, a.Taken)
+		a := callAndSettle[messages.AcceptReply](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(11), Base: ballotOf(base), Changes: consensus.ChangedSince(next, ballotOf(base)), Epoch: 1})
+		if a.OK != want {
+			t.Errorf("changes after ballot %d taken: %v", base, a.OK)
 		}
 	}
 	voter = restarted(t, voter)
 	if voter.acceptor.Accepted != ballotOf(11) || !sameItems(voter.acceptor.Value, next) {
 		t.Errorf("accepted %v, %d items", voter.acceptor.Accepted, voter.acceptor.Value.Len())
 	}
-	callAndSettle[messages.Accepted](t, voter, messages.Learn, messages.LearnCall{B: ballotOf(11)})
+	callAndSettle[messages.AcceptReply](t, voter, messages.Learn, messages.LearnCall{B: ballotOf(11)})
 	for _, voter := range []*testVoter{voter, restarted(t, voter)} {
 		if voter.acceptor.CatchingUp() || voter.acceptor.Chosen != ballotOf(11) || !sameItems(voter.acceptor.Base, next) {
 			t.Errorf("chosen %v, %d items", voter.acceptor.Chosen, voter.acceptor.Base.Len())
@@ -128,15 +128,15 @@
 func TestTakeoverOfLargeState(t *testing.T) {
 	stands := configuration.SetOf(itemsOf("r", ballotOf(5), 3000, 1000)...)
 	value := stands.With(itemsOf("s", ballotOf(6), 4, 10)...)
-	next := messages.Roll{Epoch: 2, Voters: voters, Previous: voters}
+	next := messages.VoterSet{Epoch: 2, Voters: voters, Previous: voters}
 	got := func() []handedState {
 		e := reconfig.Handover{Promised: ballotOf(6), Accepted: ballotOf(6), Chosen: ballotOf(5)}
-		return []handedState{{last: messages.Handed{Estate: e, Delta: consensus.ChangedSince(value, ballotOf(5))}, base: stands}}
+		return []handedState{{last: messages.HandoverReply{Handover: e, Delta: consensus.ChangedSince(value, ballotOf(5))}, base: stands}}
 	}
 	for restartAt := range 4 {
 		voter := newServingVoter(t)
-		callAndSettle[messages.Accepted](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(1), Changes: itemsOf("r", ballotOf(1), 3, 10), Epoch: 1})
-		callAndSettle[messages.Accepted](t, voter, messages.Learn, messages.LearnCall{B: ballotOf(1)})
+		callAndSettle[messages.AcceptReply](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(1), Changes: itemsOf("r", ballotOf(1), 3, 10), Epoch: 1})
+		callAndSettle[messages.AcceptReply](t, voter, messages.Learn, messages.LearnCall{B: ballotOf(1)})
 		voter.seal.Closed, voter.sealDurable, voter.takingOver = true, true, true
 		voter.write([]storage.Put{voter.putSeal()}, func(error) {})
 		voter.settle()
@@ -149,9 +149,9 @@
 		}
 		if restartAt > 0 {
 			voter.runQueue()
-			h := callAndSettle[messages.Handed](t, restarted(t, voter), messages.Handover, messages.HandoverCall{Epoch: 2})
-			if !h.Estate.Accepted.IsZero() || len(h.Items) > 0 || h.Estate.Promised.Less(ballotOf(5)) {
-				t.Errorf("handed over during the takeover: %+v", h.Estate)
+			h := callAndSettle[messages.HandoverReply](t, restarted(t, voter), messages.Handover, messages.HandoverCall{Epoch: 2})
+			if !h.Handover.Accepted.IsZero() || len(h.Items) > 0 || h.Handover.Promised.Less(ballotOf(5)) {
+				t.Errorf("handed over during the takeover: %+v", h.Handover)
 			}
 			voter.fake.pending = nil // pending writes are lost
 			voter = restarted(t, voter)
@@ -191,7 +191,7 @@
 		"nothing":    func(*testVoter) {},
 	} {
 		voter := newServingVoter(t)
-		callAndSettle[messages.Accepted](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(1), Changes: itemsOf("r", ballotOf(1), 3, 10), Epoch: 1})
+		callAndSettle[messages.AcceptReply](t, voter, messages.Accept, messages.AcceptCall{B: ballotOf(1), Changes: itemsOf("r", ballotOf(1), 3, 10), Epoch: 1})
 		begin(voter)
 		voter.call(messages.Learn, messages.LearnCall{B: ballotOf(1)})
 		if n := len(voter.fake.pending); (n > 0) != (name == "nothing") {
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -23,7 +23,7 @@
 
 // recoveredState is the state that one other member sent.
 type recoveredState struct {
-	last   messages.Mustered // the last part
+	last   messages.RecoverReply // the last part
 	claims []messages.ClaimCall
 	base   configuration.Set // the value of last.Base
 }
@@ -34,14 +34,14 @@
 )
 
 // serveRecovery sends the state of this member to one that lost its disk.
-func (s *voterState) serveRecovery(c rpc.Call, m messages.MusterCall) error {
+func (s *voterState) serveRecovery(c rpc.Call, m messages.RecoverCall) error {
 	s.srv.Counts.Recoveries.Add(1)
 	if s.voterSet.Epoch == 0 {
 		return errcode.New(errcode.CoreOut, "%s", s.state)
 	}
 	member := s.voterSet.IndexOf(m.Addr)
-	if m.Inc == 0 || member < 0 || s.index < 0 {
-		c.Reply(messages.Mustered{Vouch: s.vouch(), Roll: s.voterSet}, nil)
+	if m.Incarnation == 0 || member < 0 || s.index < 0 {
+		c.Reply(messages.RecoverReply{Origin: s.vouch(), VoterSet: s.voterSet}, nil)
 		return nil
 	}
 	if s.state != Serving {
@@ -51,10 +51,10 @@
 		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.replyError(c, s.serveRecovery(c, m)) })
 		return nil
 	}
-	if s.incarnations[member] > m.Inc {
-		return errcode.New(errcode.Preempted, "incarnation %d, here %d", m.Inc, s.incarnations[member])
+	if s.incarnations[member] > m.Incarnation {
+		return errcode.New(errcode.Preempted, "incarnation %d, here %d", m.Incarnation, s.incarnations[member])
 	}
-	s.incarnations[member] = m.Inc
+	s.incarnations[member] = m.Incarnation
 	s.write([]storage.Put{s.putIncarnations()}, func(err error) {
 		if err != nil {
 			reply(c, nil, err)
@@ -72,16 +72,16 @@
 }
 
 // recoveryReply returns the requested part of this member's state: first the items, then the claims in the order of their keys.
-func (s *voterState) recoveryReply(m messages.MusterCall) messages.Mustered {
+func (s *voterState) recoveryReply(m messages.RecoverCall) messages.RecoverReply {
 	r := s.registerPart(m.Have)
-	t := messages.Mustered{Vouch: s.vouch(), Roll: s.voterSet, Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: r.chosen,
-		Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta, Former: s.valueInherited()}
+	t := messages.RecoverReply{Origin: s.vouch(), VoterSet: s.voterSet, Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: r.chosen,
+		Items: r.items, UpTo: r.upto, Base: r.base, Delta: r.delta, Inherited: s.valueInherited()}
 	if s.seal.Sealed() || !s.seal.Promised.IsZero() {
 		seal := s.seal
 		t.Seal = &seal
 	}
-	if t.Upto == t.Base {
-		t.Claims, t.More = s.claimsAfter(m.From)
+	if t.UpTo == t.Base {
+		t.Claims, t.MoreClaims = s.claimsAfter(m.AfterKey)
 	}
 	return t
 }
@@ -200,11 +200,11 @@
 
 // findVoterSet asks others for the newest voter set. It returns nil if nobody knows one.
 func (srv *Server) findVoterSet(addrs []string) func(*voterState) {
-	answers, _ := askAll[messages.Mustered](srv, addrs, messages.Muster, messages.MusterCall{Addr: srv.opts.Addr}, recoveryTimeout)
-	var voterSet messages.Roll
+	answers, _ := askAll[messages.RecoverReply](srv, addrs, messages.Recover, messages.RecoverCall{Addr: srv.opts.Addr}, recoveryTimeout)
+	var voterSet messages.VoterSet
 	for _, t := range answers {
-		if t.Roll.Epoch > voterSet.Epoch {
-			voterSet = t.Roll
+		if t.VoterSet.Epoch > voterSet.Epoch {
+			voterSet = t.VoterSet
 		}
 	}
 	if voterSet.Epoch == 0 {
@@ -233,15 +233,15 @@
 
 // collectRecovery reads the state of the other members under a new incarnation. It returns the command that restores it, or
 // nil if too few answered.
-func (srv *Server) collectRecovery(addrs []string, voterSet messages.Roll, index int, d disk) func(*voterState) {
+func (srv *Server) collectRecovery(addrs []string, voterSet messages.VoterSet, index int, d disk) func(*voterState) {
 	n := len(voterSet.Voters)
 	need := n - consensus.Majority(n) + 1 // fewer could miss a majority that this member was part of
-	known, _ := askAll[messages.Mustered](srv, addrs, messages.Muster, messages.MusterCall{Addr: srv.opts.Addr}, recoveryTimeout)
+	known, _ := askAll[messages.RecoverReply](srv, addrs, messages.Recover, messages.RecoverCall{Addr: srv.opts.Addr}, recoveryTimeout)
 	for _, k := range known {
-		if k.Roll.Epoch > voterSet.Epoch {
+		if k.VoterSet.Epoch > voterSet.Epoch {
 			return func(s *voterState) {
 				s.recovering = false
-				s.learnVoterSet(k.Roll, func(error) {})
+				s.learnVoterSet(k.VoterSet, func(error) {})
 			}
 		}
 	}
@@ -250,23 +250,23 @@
 	}
 	var incarnation uint64
 	for _, k := range known {
-		if index < len(k.Vouch.Incarnations) {
-			incarnation = max(incarnation, k.Vouch.Incarnations[index])
+		if index < len(k.Origin.Incarnations) {
+			incarnation = max(incarnation, k.Origin.Incarnations[index])
 		}
 	}
 	incarnation++
 	var got []recoveredState
-	first, from := askAll[messages.Mustered](srv, addrs, messages.Muster, messages.MusterCall{Addr: srv.opts.Addr, Inc: incarnation}, recoveryTimeout)
+	first, from := askAll[messages.RecoverReply](srv, addrs, messages.Recover, messages.RecoverCall{Addr: srv.opts.Addr, Incarnation: incarnation}, recoveryTimeout)
 	for i, m := range first {
 		state := recoveredState{last: m, claims: m.Claims, base: configuration.SetOf(m.Items...)}
 		c := rpc.NewClient(srv.opts.Net, from[i])
-		for m.More || m.Upto != m.Base {
-			call := messages.MusterCall{Addr: srv.opts.Addr, Inc: incarnation, Have: m.Upto}
-			if m.More {
-				call.From = m.Claims[len(m.Claims)-1].Key
+		for m.MoreClaims || m.UpTo != m.Base {
+			call := messages.RecoverCall{Addr: srv.opts.Addr, Incarnation: incarnation, Have: m.UpTo}
+			if m.MoreClaims {
+				call.AfterKey = m.Claims[len(m.Claims)-1].Key
 			}
-			m = messages.Mustered{}
-			if err := c.Call(messages.Muster, call, &m, recoveryTimeout); err != nil {
+			m = messages.RecoverReply{}
+			if err := c.Call(messages.Recover, call, &m, recoveryTimeout); err != nil {
 				c.Close()
 				return nil
 			}
@@ -277,7 +277,7 @@
 			state.last, state.claims, state.base = m, append(state.claims, m.Claims...), state.base.With(m.Items...)
 		}
 		c.Close()
-		if m.Vouch.Voter >= 0 && m.Roll.Epoch == voterSet.Epoch {
+		if m.Origin.Voter >= 0 && m.VoterSet.Epoch == voterSet.Epoch {
 			got = append(got, state)
 		}
 	}
@@ -305,7 +305,7 @@
 	voted := false // a member accepted the value in this epoch
 	var value configuration.Set
 	for _, g := range got {
-		for i, k := range g.last.Vouch.Incarnations {
+		for i, k := range g.last.Origin.Incarnations {
 			if i < len(incarnations) && i != s.index {
 				incarnations[i] = max(incarnations[i], k)
 			}
@@ -320,7 +320,7 @@
 			s.acceptor.Accepted, voted = g.last.Accepted, false
 			value = g.base.With(g.last.Delta...)
 		}
-		voted = voted || g.last.Accepted == s.acceptor.Accepted && !g.last.Former
+		voted = voted || g.last.Accepted == s.acceptor.Accepted && !g.last.Inherited
 		if g.last.Seal != nil {
 			s.seal.Learn(*g.last.Seal)
 		}
--- a/internal/store/report.go
+++ b/internal/store/report.go
@@ -13,18 +13,18 @@
 // report replies the state of this store. The owner's goroutine only makes copies; they are sorted, cut and encoded off it.
 func (s *voterState) report(c rpc.Call) {
 	srv, voterSet, index := s.srv, s.voterSet, s.index
-	r := messages.Reported{Program: messages.ThePurser, Version: process.Version, Zone: srv.opts.Zone, Addr: srv.opts.Addr, UpMs: uint64(s.now().Milliseconds()),
+	r := messages.ReportReply{Program: messages.ProgramStore, Version: process.Version, Zone: srv.opts.Zone, Addr: srv.opts.Addr, UpMs: uint64(s.now().Milliseconds()),
 		Chosen: s.acceptor.Chosen, Epoch: voterSet.Epoch, Voters: voterSet.Voters}
-	own := &messages.PurserReport{State: s.reportedState(), Place: index, Incs: slices.Clone(s.incarnations), Promised: s.acceptor.Promised,
+	own := &messages.StoreReport{State: s.reportedState(), VoterIndex: index, Incarnations: slices.Clone(s.incarnations), Promised: s.acceptor.Promised,
 		Accepted: s.acceptor.Accepted, Keys: s.claims.Len()}
 	if s.disk != nil {
 		own.StallMs = uint32(min(s.disk.Stalled(), time.Hour).Milliseconds())
 	}
 	s.leases.Each(s.now(), func(name lease.Name, holder uint64, left time.Duration) {
-		own.Duties = append(own.Duties, messages.DutyReport{Duty: string(name), By: holder, LeftMs: uint32(left.Milliseconds())})
+		own.Leases = append(own.Leases, messages.LeaseReport{Name: string(name), Holder: holder, LeftMs: uint32(left.Milliseconds())})
 	})
-	r.Purser = own
-	items := messages.ItemReports(s.acceptor.Base)
+	r.Store = own
+	items := messages.NewItemReports(s.acceptor.Base)
 	go func() {
 		r.SetItems(items)
 		r.Counts, r.Traffic = Running{Server: srv}.Counts(), rpc.Totals()
--- a/internal/store/server.go
+++ b/internal/store/server.go
@@ -77,12 +77,12 @@
 	stopped           chan struct{}
 	diskWork          sync.WaitGroup // running opens of the disk, and closes that precede one
 	openStorage       func(storage.Options) (disk, storage.Condition, error)
-	runAsync          func(func() func(*voterState))      // runs blocking work off the owner's goroutine and queues the command that it returns
-	enqueue           func(func(*voterState))             // queues a command without blocking the caller
-	fetchMarks        func(messages.Roll) []messages.Mark // asks the registries for the last mark that this member reported
-	savedMark         atomic.Uint64                       // last mark that is on disk
-	failedClaimWrites atomic.Int64                        // failed writes of claims, which may be held in memory only
-	failingSince      atomic.Int64                        // start of an unbroken run of failed writes, by voterState.now plus one; 0: the last write succeeded
+	runAsync          func(func() func(*voterState))          // runs blocking work off the owner's goroutine and queues the command that it returns
+	enqueue           func(func(*voterState))                 // queues a command without blocking the caller
+	fetchMarks        func(messages.VoterSet) []messages.Mark // asks the registries for the last mark that this member reported
+	savedMark         atomic.Uint64                           // last mark that is on disk
+	failedClaimWrites atomic.Int64                            // failed writes of claims, which may be held in memory only
+	failingSince      atomic.Int64                            // start of an unbroken run of failed writes, by voterState.now plus one; 0: the last write succeeded
 }
 
 // disk is the part of storage.DB that a Server uses.
@@ -102,7 +102,7 @@
 	acceptor            *consensus.Acceptor
 	claims              *idempotency.ClaimTable
 	leases              *lease.Granter
-	voterSet            messages.Roll
+	voterSet            messages.VoterSet
 	index               int      // in the voter set; -1: not a voter
 	incarnations        []uint64 // by index in the voter set
 	seal                reconfig.Seal
@@ -204,7 +204,7 @@
 	State      State
 	Keys       int
 	Chosen     configuration.Ballot
-	VoterSet   messages.Roll
+	VoterSet   messages.VoterSet
 	EpochEnded bool // the epoch of VoterSet has ended for this voter
 	DiskStall  time.Duration
 }
@@ -246,7 +246,7 @@
 // reset clears everything that is loaded from disk.
 func (s *voterState) reset() {
 	s.resetContent()
-	s.voterSet, s.incarnations, s.index = messages.Roll{}, nil, -1
+	s.voterSet, s.incarnations, s.index = messages.VoterSet{}, nil, -1
 	s.seal, s.sealDurable, s.inheritedBallot, s.diskID, s.formerEpoch = reconfig.Seal{}, false, configuration.Ballot{}, 0, nil
 }
 
@@ -334,7 +334,7 @@
 
 // bootstrap begins the first epoch, with the initial voters.
 func (s *voterState) bootstrap() {
-	s.voterSet = messages.Roll{Epoch: 1, Voters: s.srv.opts.InitialVoters}
+	s.voterSet = messages.VoterSet{Epoch: 1, Voters: s.srv.opts.InitialVoters}
 	s.incarnations = make([]uint64, len(s.voterSet.Voters))
 	s.locate()
 	if s.index >= 0 {
@@ -556,7 +556,7 @@
 	if s.index < 0 || s.incarnations[s.index] == 0 {
 		return
 	}
-	mine := messages.Mark{Epoch: s.voterSet.Epoch, Inc: s.incarnations[s.index], N: s.mark}
+	mine := messages.Mark{Epoch: s.voterSet.Epoch, Incarnation: s.incarnations[s.index], Counter: s.mark}
 	for _, m := range s.srv.fetchMarks(s.voterSet) {
 		if mine.Behind(m) && s.newerMark.Behind(m) {
 			s.newerMark = m
@@ -565,15 +565,15 @@
 }
 
 // askRegistries asks the registries on the machines of all voters for the last mark of this member.
-func (srv *Server) askRegistries(voterSet messages.Roll) []messages.Mark {
+func (srv *Server) askRegistries(voterSet messages.VoterSet) []messages.Mark {
 	if srv.opts.FirstPort == 0 {
 		return nil
 	}
 	var addrs []string
 	for _, v := range voterSet.Voters {
-		addrs = append(addrs, messages.Beside(v.Addr, srv.opts.FirstPort, messages.HarbourPort))
+		addrs = append(addrs, messages.AddrOnHost(v.Addr, srv.opts.FirstPort, messages.RegistryPort))
 	}
-	out, _ := askAll[messages.Mark](srv, addrs, messages.Known, messages.KnownCall{Addr: srv.opts.Addr}, marksTimeout)
+	out, _ := askAll[messages.Mark](srv, addrs, messages.LastMark, messages.LastMarkCall{Addr: srv.opts.Addr}, marksTimeout)
 	return out
 }
 
@@ -622,7 +622,7 @@
 		return decodeCall(c, s.accept)
 	case messages.Learn:
 		return decodeCall(c, s.learn)
-	case messages.Turn:
+	case messages.SendPage:
 		return decodeCall(c, s.applyPage)
 	case messages.Watch:
 		return decodeCall(c, s.watch)
@@ -630,15 +630,15 @@
 		return decodeCall(c, s.claimKey)
 	case messages.Release:
 		return decodeCall(c, s.release)
-	case messages.Muster:
+	case messages.Recover:
 		return decodeCall(c, s.serveRecovery)
 	case messages.Lease:
 		return decodeCall(c, s.grantLease)
 	case messages.Ready:
 		return decodeCall(c, s.reportReadiness)
-	case messages.Succeed:
+	case messages.ProposeVoters:
 		return decodeCall(c, s.voteSuccessor)
-	case messages.Relieve:
+	case messages.AdoptVoters:
 		return decodeCall(c, s.adoptVoterSet)
 	case messages.Handover:
 		return decodeCall(c, s.handover)
@@ -763,8 +763,8 @@
 }
 
 // accepted is the answer to a call that changes the register.
-func (s *voterState) accepted(taken bool) messages.Accepted {
-	return messages.Accepted{Vouch: s.vouch(), Taken: taken, Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: s.acceptor.Chosen}
+func (s *voterState) accepted(taken bool) messages.AcceptReply {
+	return messages.AcceptReply{Origin: s.vouch(), OK: taken, Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: s.acceptor.Chosen}
 }
 
 // writeRegister writes a change of the register and calls done on the owner's goroutine when the write has ended. Other calls
@@ -815,7 +815,7 @@
 }
 
 // applyPage takes a page of a chosen value that this member lacks.
-func (s *voterState) applyPage(c rpc.Call, m messages.TurnCall) error {
+func (s *voterState) applyPage(c rpc.Call, m messages.SendPageCall) error {
 	if err := s.requireVoting(m.Epoch); err != nil {
 		return err
 	}
@@ -854,12 +854,12 @@
 	}
 }
 
-func (s *voterState) watchReply(have configuration.Ballot) messages.Watched {
-	w := messages.Watched{Vouch: s.vouch(), Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: s.acceptor.Chosen,
-		Known: s.acceptor.KnownChosen(), Roll: s.voterSet, State: string(s.state), Keys: s.claims.Len(), Shut: s.seal.Sealed(), Mark: s.srv.savedMark.Load()}
+func (s *voterState) watchReply(have configuration.Ballot) messages.WatchReply {
+	w := messages.WatchReply{Origin: s.vouch(), Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: s.acceptor.Chosen,
+		KnownChosen: s.acceptor.KnownChosen(), VoterSet: s.voterSet, State: string(s.state), Keys: s.claims.Len(), Sealed: s.seal.Sealed(), Mark: s.srv.savedMark.Load()}
 	if have.Less(s.acceptor.Chosen) && !s.acceptor.CatchingUp() {
 		p := consensus.NewPage(s.acceptor.Base, s.acceptor.Chosen, have)
-		w.Items, w.From, w.Upto = p.Items, p.From, p.UpTo
+		w.Items, w.From, w.UpTo = p.Items, p.From, p.UpTo
 	}
 	return w
 }
@@ -881,7 +881,7 @@
 }
 
 func (s *voterState) hasNews(w *watcher) bool {
-	return w.request.Have.Less(s.acceptor.Chosen) && !s.acceptor.CatchingUp() || w.request.Epoch < s.voterSet.Epoch || w.request.Open && s.sealDurable
+	return w.request.Have.Less(s.acceptor.Chosen) && !s.acceptor.CatchingUp() || w.request.Epoch < s.voterSet.Epoch || w.request.NotifySealed && s.sealDurable
 }
 
 func (s *voterState) answerWatcher(w *watcher) {
@@ -945,19 +945,19 @@
 
 // grantLease grants a lease, or takes one back.
 func (s *voterState) grantLease(c rpc.Call, m messages.LeaseCall) error {
-	if m.Give {
-		s.leases.Release(m.Duty, m.By)
-		c.Reply(messages.Leased{}, nil)
+	if m.Release {
+		s.leases.Release(m.Name, m.Holder)
+		c.Reply(messages.LeaseReply{}, nil)
 		return nil
 	}
 	check := s.requireVoting
-	if m.Duty == lease.VoterChange { // to finish a change of the voter set, it is requested from voters whose epoch has ended
+	if m.Name == lease.VoterChange { // to finish a change of the voter set, it is requested from voters whose epoch has ended
 		check = s.requireMember
 	}
 	if err := check(m.Epoch); err != nil {
 		return err
 	}
-	c.Reply(messages.Leased{Given: s.leases.Grant(s.now(), m.Duty, m.By)}, nil)
+	c.Reply(messages.LeaseReply{Granted: s.leases.Grant(s.now(), m.Name, m.Holder)}, nil)
 	return nil
 }
 
--- a/internal/store/server_test.go
+++ b/internal/store/server_test.go
@@ -100,7 +100,7 @@
 	srv := &Server{opts: o, enqueue: func(f func(*voterState)) { voter.queue = append(voter.queue, f) }}
 	srv.openStorage = func(storage.Options) (disk, storage.Condition, error) { return voter.fake, voter.condition, nil }
 	srv.runAsync = func(f func() func(*voterState)) { f()(voter.voterState) }
-	srv.fetchMarks = func(messages.Roll) []messages.Mark { return voter.marks }
+	srv.fetchMarks = func(messages.VoterSet) []messages.Mark { return voter.marks }
 	srv.owner = rpc.StartOwner(&voterState{}, 64) // receives the results of repairs, which no test here uses
 	t.Cleanup(srv.owner.Stop)
 	voter.voterState = &voterState{srv: srv, startedAt: time.Now(), state: NoDisk, index: -1}
@@ -214,11 +214,11 @@
 func TestSlowRepair(t *testing.T) {
 	voter := newTestVoter(t, Options{})
 	voter.openDisk()
-	voter.voterSet = messages.Roll{Epoch: 1, Voters: voters}
+	voter.voterSet = messages.VoterSet{Epoch: 1, Voters: voters}
 	voter.locate()
 	voter.setState(Repairing)
 	recovered := func(by int, inc uint64, claims ...messages.ClaimCall) recoveredState {
-		return recoveredState{last: messages.Mustered{Vouch: consensus.Origin{Voter: by, Incarnations: []uint64{inc, 1, 1}}}, claims: claims}
+		return recoveredState{last: messages.RecoverReply{Origin: consensus.Origin{Voter: by, Incarnations: []uint64{inc, 1, 1}}}, claims: claims}
 	}
 	voter.recovering = true // as set when the repair began
 	voter.restore(2, []recoveredState{recovered(1, 2), recovered(2, 2)}, voter.staleRows(t))
@@ -238,11 +238,11 @@
 	left := configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: "stale"}, Version: 3, Spec: []byte("{}")}
 	voter.fake.rows[tableItems] = map[string][]byte{string(itemKey(left.Key)): putItem(left).Value}
 	voter.openDisk()
-	voter.voterSet = messages.Roll{Epoch: 1, Voters: voters}
+	voter.voterSet = messages.VoterSet{Epoch: 1, Voters: voters}
 	voter.locate()
 	voter.setState(Repairing)
 	one := configuration.Ballot{N: 1}
-	m := recoveredState{last: messages.Mustered{Vouch: consensus.Origin{Voter: 1, Incarnations: []uint64{2, 1, 1}}, Accepted: one, Chosen: one, Base: one, Upto: one}}
+	m := recoveredState{last: messages.RecoverReply{Origin: consensus.Origin{Voter: 1, Incarnations: []uint64{2, 1, 1}}, Accepted: one, Chosen: one, Base: one, UpTo: one}}
 	const keys, items = 60000, 1500
 	for i := range keys {
 		m.claims = append(m.claims, messages.ClaimCall{Key: fmt.Sprintf("key-of-some-length-%040d", i), ID: id(uint64(i + 1))})
@@ -317,7 +317,7 @@
 		acc := voter.call(messages.Accept, messages.AcceptCall{B: b1, Changes: []configuration.Item{item}, Epoch: 1})
 		learn := voter.call(messages.Learn, messages.LearnCall{B: b1})
 		prep := voter.call(messages.Prepare, messages.PrepareCall{B: b2, Epoch: 1})
-		must := voter.call(messages.Muster, messages.MusterCall{Addr: "b:1", Inc: 2})
+		must := voter.call(messages.Recover, messages.RecoverCall{Addr: "b:1", Incarnation: 2})
 		if acc.count+learn.count+prep.count+must.count != 0 {
 			t.Fatal("answered before the disk")
 		}
@@ -328,11 +328,11 @@
 		}
 		voter.settle()
 		var p consensus.Promise
-		var m messages.Mustered
+		var m messages.RecoverReply
 		if err := errors.Join(prep.err, learn.err, must.err, rpc.Decode(prep.body, &p), rpc.Decode(must.body, &m)); err != nil {
 			t.Fatal(err)
 		}
-		if (acc.err != nil) != fails || !p.Granted || p.Accepted != want || m.Accepted != want || m.Promised != b2 || m.Vouch.Incarnations[1] != 2 || voter.acceptor.Chosen != want {
+		if (acc.err != nil) != fails || !p.Granted || p.Accepted != want || m.Accepted != want || m.Promised != b2 || m.Origin.Incarnations[1] != 2 || voter.acceptor.Chosen != want {
 			t.Errorf("fails %v: %v, promise %+v, muster %+v", fails, acc.err, p, m)
 		}
 		if voter.registerBusy || len(voter.queuedCalls) > 0 {
@@ -346,11 +346,11 @@
 func TestRepairBetweenTwoClaims(t *testing.T) {
 	voter := newTestVoter(t, Options{})
 	voter.openDisk()
-	voter.voterSet = messages.Roll{Epoch: 1, Voters: voters}
+	voter.voterSet = messages.VoterSet{Epoch: 1, Voters: voters}
 	voter.locate()
 	voter.setState(Repairing)
 	recovered := func(by int, n uint64) recoveredState {
-		return recoveredState{last: messages.Mustered{Vouch: consensus.Origin{Voter: by, Incarnations: []uint64{2, 1, 1}}}, claims: []messages.ClaimCall{{Key: "k", ID: id(n)}}}
+		return recoveredState{last: messages.RecoverReply{Origin: consensus.Origin{Voter: by, Incarnations: []uint64{2, 1, 1}}}, claims: []messages.ClaimCall{{Key: "k", ID: id(n)}}}
 	}
 	voter.restore(2, []recoveredState{recovered(1, 1), recovered(2, 2)}, voter.staleRows(t))
 	voter.writeInParts([]storage.Put{voter.putVoterSet()}, func(*voterState, error) {})
@@ -367,7 +367,7 @@
 				t.Errorf("%d: %+v", n, g)
 			}
 		}
-		if m := x.recoveryReply(messages.MusterCall{}); len(m.Claims) != 1 || !m.Claims[0].ID.IsZero() {
+		if m := x.recoveryReply(messages.RecoverCall{}); len(m.Claims) != 1 || !m.Claims[0].ID.IsZero() {
 			t.Errorf("reports %+v", m.Claims)
 		}
 	}
@@ -380,12 +380,12 @@
 	item := func(v configuration.Version, b uint64) configuration.Item {
 		return configuration.Item{Key: configuration.Key{Kind: configuration.Limits}, Version: v, Ballot: configuration.Ballot{N: b}, Spec: []byte("{}")}
 	}
-	accept := func(b uint64, chosen bool) (a messages.Accepted) {
+	accept := func(b uint64, chosen bool) (a messages.AcceptReply) {
 		x := configuration.Ballot{N: b}
 		changes := []configuration.Item{item(configuration.Version(b), b)}
 		kind, v := messages.Accept, any(messages.AcceptCall{B: x, Changes: changes, Epoch: 1})
 		if chosen {
-			kind, v = messages.Turn, messages.TurnCall{Page: consensus.Page{UpTo: x, Target: x, Items: changes}, Epoch: 1}
+			kind, v = messages.SendPage, messages.SendPageCall{Page: consensus.Page{UpTo: x, Target: x, Items: changes}, Epoch: 1}
 		}
 		r := voter.call(kind, v)
 		voter.settle()
@@ -396,16 +396,16 @@
 	}
 	voter.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 9}, Epoch: 1})
 	voter.settle()
-	if accept(7, false).Taken {
+	if accept(7, false).OK {
 		t.Fatal("a value below the promise was taken")
 	}
-	if !accept(7, true).Taken || voter.acceptor.Chosen.N != 7 || voter.acceptor.Promised.N != 9 {
+	if !accept(7, true).OK || voter.acceptor.Chosen.N != 7 || voter.acceptor.Promised.N != 9 {
 		t.Errorf("chosen %v, promised %v", voter.acceptor.Chosen, voter.acceptor.Promised)
 	}
-	if accept(6, true).Taken || accept(8, false).Taken || voter.acceptor.Accepted.N != 7 {
+	if accept(6, true).OK || accept(8, false).OK || voter.acceptor.Accepted.N != 7 {
 		t.Errorf("accepted %v, below what was chosen or promised", voter.acceptor.Accepted)
 	}
-	if !accept(9, false).Taken {
+	if !accept(9, false).OK {
 		t.Error("the value that was promised for was not taken")
 	}
 }
@@ -421,8 +421,8 @@
 	voter.openDisk() // as after a restart
 	r := voter.call(messages.Accept, messages.AcceptCall{B: configuration.Ballot{N: 1}, Epoch: 1})
 	voter.settle()
-	var a messages.Accepted
-	if r.err != nil || rpc.Decode(r.body, &a) != nil || a.Taken || a.Accepted.N != 2 {
+	var a messages.AcceptReply
+	if r.err != nil || rpc.Decode(r.body, &a) != nil || a.OK || a.Accepted.N != 2 {
 		t.Errorf("a lower ballot: %+v, %v", a, r.err)
 	}
 }
@@ -435,7 +435,7 @@
 	voter.openDisk()
 	voter.tick()
 	r := voter.call(messages.Watch, messages.WatchCall{})
-	var w messages.Watched
+	var w messages.WatchReply
 	if r.count != 1 || r.err != nil || rpc.Decode(r.body, &w) != nil || w.State != string(NoDisk) {
 		t.Errorf("%d answers, %v, %+v", r.count, r.err, w)
 	}
@@ -508,9 +508,9 @@
 			if call(messages.Prepare, messages.PrepareCall{B: b, Epoch: 1}, &p) && p.Granted {
 				promised = b
 			}
-			var a messages.Accepted
+			var a messages.AcceptReply
 			i := configuration.Item{Key: configuration.Key{Kind: configuration.Limits}, Version: configuration.Version(b.N), Ballot: b, Spec: []byte("{}")}
-			if call(messages.Accept, messages.AcceptCall{B: b, Changes: []configuration.Item{i}, Epoch: 1}, &a) && a.Taken {
+			if call(messages.Accept, messages.AcceptCall{B: b, Changes: []configuration.Item{i}, Epoch: 1}, &a) && a.OK {
 				accepted = b
 			}
 			call(messages.Learn, messages.LearnCall{B: b}, nil)
@@ -522,8 +522,8 @@
 			delete(granted, "a")
 		}
 		claim("a", 3)
-		var m messages.Mustered
-		if call(messages.Muster, messages.MusterCall{Addr: "b:1", Inc: 2}, &m) {
+		var m messages.RecoverReply
+		if call(messages.Recover, messages.RecoverCall{Addr: "b:1", Incarnation: 2}, &m) {
 			inc = 2
 		}
 		change(ballots[1])
@@ -644,9 +644,9 @@
 			}
 		}
 	}
-	reported := messages.Mark{Epoch: 1, Inc: 1, N: voter.watchReply(configuration.Ballot{}).Mark}
-	if reported.N != 3 {
-		t.Fatalf("mark %d after three writes at least markInterval apart", reported.N)
+	reported := messages.Mark{Epoch: 1, Incarnation: 1, Counter: voter.watchReply(configuration.Ballot{}).Mark}
+	if reported.Counter != 3 {
+		t.Fatalf("mark %d after three writes at least markInterval apart", reported.Counter)
 	}
 	for _, c := range []struct {
 		name  string
@@ -657,8 +657,8 @@
 		{"its own disk", voter.fake, []messages.Mark{{}, reported}, Serving},
 		{"a copy, and no registry knows the mark", copied, []messages.Mark{{}}, Serving},
 		{"a copy", copied, []messages.Mark{{}, reported}, Repairing},
-		{"a disk from before a repair", voter.fake, []messages.Mark{{Epoch: 1, Inc: 2}}, Repairing},
-		{"a disk from before a change of the voter set", voter.fake, []messages.Mark{{Epoch: 2, Inc: 1}}, Repairing},
+		{"a disk from before a repair", voter.fake, []messages.Mark{{Epoch: 1, Incarnation: 2}}, Repairing},
+		{"a disk from before a change of the voter set", voter.fake, []messages.Mark{{Epoch: 2, Incarnation: 1}}, Repairing},
 	} {
 		n := newTestVoter(t, Options{Bootstrap: true, InitialVoters: voters})
 		n.fake, n.marks = newFakeDisk(), c.known
