--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -6,103 +6,103 @@
 	"time"
 )
 
-// Receive takes a datagram and returns what is to be sent. What is none of ours is counted and dropped, whatever its bytes.
-func (r *Roster) Receive(now time.Duration, from netip.AddrPort, datagram []byte) []Send {
-	r.enter(now)
-	r.counts.Received++
-	r.counts.ReceivedBytes += uint64(len(datagram))
+// Receive processes a datagram and returns the datagrams to send. Malformed datagrams are counted and dropped.
+func (node *Node) Receive(now time.Duration, from netip.AddrPort, datagram []byte) []Send {
+	node.enter(now)
+	node.counts.Received++
+	node.counts.ReceivedBytes += uint64(len(datagram))
 	m, err := decode(datagram)
 	if err != nil {
-		r.counts.Refused++
+		node.counts.Malformed++
 		return nil
 	}
-	if r.left {
+	if node.left {
 		return nil
 	}
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-	if m.Name == r.self.m.Name {
-		if m.Life != r.self.m.Life && r.keeps(r.self, from) {
-			r.refuse(r.self, r.now, Member{Name: m.Name, Life: m.Life, Generation: m.Generation, Incarnation: m.Incarnation, Addr: from})
-		} else if m.Life != r.self.m.Life && newer(m.Generation, m.Life, r.self.m.Generation, r.self.m.Life) > 0 {
-			r.askClaim(m.Generation + 1)
+	if m.Name == node.self.m.Name {
+		if m.Life != node.self.m.Life && node.keepsName(node.self, from) {
+			node.reportConflict(node.self, node.clock, Member{Name: m.Name, Life: m.Life, Generation: m.Generation, Incarnation: m.Incarnation, Addr: from})
+		} else if m.Life != node.self.m.Life && compareLives(m.Generation, m.Life, node.self.m.Generation, node.self.m.Life) > 0 {
+			node.requestGeneration(m.Generation + 1)
 		}
-		return r.take()
+		return node.drain()
 	}
 
-	// What is said of others by one that is itself held dead, or not known yet, accuses nobody.
+	// Suspicions and deaths reported by a sender that is unknown or not live here are ignored.
 	var newerHere []*entry
-	again := false // tell the sender of this member
+	sendSelf := false // the sender needs this member's record
 	for _, accusing := range []bool{false, true} {
-		if accusing && !r.believed(m) {
+		if accusing && !node.trusted(m) {
 			break
 		}
 		for i := range m.News {
 			n := &m.News[i]
-			if n.Name == r.self.m.Name {
-				again = !accusing && r.ofSelf(n) || again
+			if n.Name == node.self.m.Name {
+				sendSelf = !accusing && node.receiveOwnRecord(n) || sendSelf
 			} else if (n.State == Suspect || n.State == Dead) != accusing {
 				continue
-			} else if r.merge(r.now, n, m.Name) {
-				newerHere = append(newerHere, r.entries[n.Name])
+			} else if node.merge(node.clock, n, m.Name) {
+				newerHere = append(newerHere, node.entries[n.Name])
 			}
 		}
 	}
-	peer, want, stale := r.sender(m)
+	peer, want, stale := node.compareSender(m)
 	var first []*entry
-	if again || m.Want || peer == nil && m.Kind == ping {
-		first = append(first, r.self)
+	if sendSelf || m.WantRecord || peer == nil && m.Kind == ping {
+		first = append(first, node.self)
 	}
 	if stale {
 		first = append(first, peer)
 	}
 	if peer != nil && m.Life == peer.m.Life {
-		r.heard(peer, m.Kind == ack && m.About == "")
+		node.markHeard(peer, m.Kind == ack && m.Target == "")
 	}
 	switch {
 	case peer == nil || m.Kind != ping && m.Kind != ack:
-	case m.Digest != r.digest:
-		r.alike = 0
+	case m.Digest != node.digest:
+		node.digestMatches = 0
 	default:
-		if r.alike++; r.alike >= alikeMost {
-			r.agreed()
+		if node.digestMatches++; node.digestMatches >= minDigestMatches {
+			node.countDigestMatch()
 		}
 	}
 	switch m.Kind {
 	case ping:
-		r.write(from, head{Kind: ack, Seq: m.Seq, Want: want}, peer, first...)
-		return r.take()
+		node.enqueue(from, header{Kind: ack, Seq: m.Seq, WantRecord: want}, peer, first...)
+		return node.drain()
 	case ack:
-		r.acked(m, from)
+		node.receiveAck(m, from)
 		if want || stale || len(first) > 0 {
-			r.write(from, head{Kind: tidings, Want: want}, peer, first...)
+			node.enqueue(from, header{Kind: gossip, WantRecord: want}, peer, first...)
 		}
-		return r.take()
-	case ask:
-		r.asked(m, from)
+		return node.drain()
+	case pingRequest:
+		node.receivePingRequest(m, from)
 	case nack:
-		if p := r.probe; p != nil && p.seq == m.Seq && m.About == p.e.m.Name {
-			p.replies++
+		if p := node.probe; p != nil && p.seq == m.Seq && m.Target == p.target.m.Name {
+			p.nacks++
 		}
-	case pull:
-		r.page(m, from, peer)
-	case page:
-		r.paged(m, from, len(newerHere) > 0)
+	case syncRequest:
+		node.sendPage(m, from, peer)
+	case syncPage:
+		node.receivePage(m, from, len(newerHere) > 0)
 		first = append(first, newerHere...)
 	}
 	if !stale && len(first) > 0 {
-		r.write(from, head{Kind: tidings}, peer, first...)
+		node.enqueue(from, header{Kind: gossip}, peer, first...)
 	}
-	return r.take()
+	return node.drain()
 }
 
-// sender is who sent it: want says that it should tell of itself, because what is known here is older; stale that it has to be
-// told of itself, because others know of another life of its name, or hold it for suspect or dead.
-func (r *Roster) sender(m *incoming) (e *entry, want, stale bool) {
-	e = r.entries[m.Name]
+// compareSender returns the entry of the sender. want says that the sender's own record is needed, because the one here is older;
+// stale that the sender must receive its record from here, because a newer life of its name is known or it is not held alive.
+func (node *Node) compareSender(m *incoming) (e *entry, want, stale bool) {
+	e = node.entries[m.Name]
 	if e == nil {
 		return nil, true, false
 	}
-	switch newer(m.Generation, m.Life, e.m.Generation, e.m.Life) {
+	switch compareLives(m.Generation, m.Life, e.m.Generation, e.m.Life) {
 	case 1:
 		return e, true, false
 	case -1:
@@ -114,175 +114,175 @@
 	return e, false, e.state != Alive
 }
 
-// believed says whether a sender may accuse others: it is held for a live one itself.
-func (r *Roster) believed(m *incoming) bool {
-	e := r.entries[m.Name]
-	return e != nil && e.state.Live() && newer(m.Generation, m.Life, e.m.Generation, e.m.Life) == 0
+// trusted reports whether suspicions from a sender are accepted: it must be live here, in the same life.
+func (node *Node) trusted(m *incoming) bool {
+	e := node.entries[m.Name]
+	return e != nil && e.state.Live() && compareLives(m.Generation, m.Life, e.m.Generation, e.m.Life) == 0
 }
 
-// heard notes that a member has proved to be alive.
-func (r *Roster) heard(e *entry, byProbe bool) {
+// markHeard records direct evidence that a member is alive.
+func (node *Node) markHeard(e *entry, byProbe bool) {
 	if !e.state.Live() {
 		return
 	}
-	e.heard = r.now
-	if p := r.probe; p != nil && p.e == e {
-		r.probe = nil
+	e.lastHeard = node.clock
+	if p := node.probe; p != nil && p.target == e {
+		node.probe = nil
 		if byProbe {
-			r.slowness -= (r.slowness + 1) / 2
+			node.slowness -= (node.slowness + 1) / 2
 		}
 	}
 }
 
-// acked takes the answer to a ping of this member's, or of one that it has sent for another.
-func (r *Roster) acked(m *incoming, from netip.AddrPort) {
-	if m.About != "" {
-		if p := r.probe; p != nil && p.seq == m.Seq && p.e.m.Name == m.About {
-			r.heard(p.e, true)
+// receiveAck handles the answer to a probe of this member or to a relayed one.
+func (node *Node) receiveAck(m *incoming, from netip.AddrPort) {
+	if m.Target != "" {
+		if p := node.probe; p != nil && p.seq == m.Seq && p.target.m.Name == m.Target {
+			node.markHeard(p.target, true)
 		}
 		return
 	}
-	for i, l := range r.relays {
-		if l.seq == m.Seq && l.about == m.Name {
-			r.write(l.to, head{Kind: ack, Seq: l.their, About: l.about}, nil)
-			r.relays = slices.Delete(r.relays, i, i+1)
+	for i, l := range node.relays {
+		if l.seq == m.Seq && l.target == m.Name {
+			node.enqueue(l.requester, header{Kind: ack, Seq: l.requestSeq, Target: l.target}, nil)
+			node.relays = slices.Delete(node.relays, i, i+1)
 			return
 		}
 	}
-	if m.Digest == r.digest {
-		r.apart, r.settled = 0, true
+	if m.Digest == node.digest {
+		node.digestMismatches, node.inSync = 0, true
 		return
 	}
-	r.apart++
-	wait := r.o.Period
-	if !r.settled {
-		wait = r.o.AckTimeout
+	node.digestMismatches++
+	wait := node.options.Period
+	if !node.inSync {
+		wait = node.options.AckTimeout
 	}
-	if (!r.settled || r.apart >= apartMost) && r.pulling == nil && r.now-r.lastPull >= wait && r.believed(m) {
-		r.lastPull = r.now
-		r.pulling = &pulling{to: from}
-		r.pullOn()
+	if (!node.inSync || node.digestMismatches >= maxDigestMismatches) && node.sync == nil && node.clock-node.lastSync >= wait && node.trusted(m) {
+		node.lastSync = node.clock
+		node.sync = &syncSession{to: from}
+		node.requestPage()
 	}
 }
 
-// asked probes for another.
-func (r *Roster) asked(m *incoming, from netip.AddrPort) {
-	to, ok := readAddr(m.AboutAddr)
-	if !ok || m.About == "" || to.Port() == 0 || len(r.relays) >= mostRelays || to == r.self.m.Addr {
+// receivePingRequest pings a target on behalf of another member.
+func (node *Node) receivePingRequest(m *incoming, from netip.AddrPort) {
+	to, ok := decodeAddr(m.TargetAddr)
+	if !ok || m.Target == "" || to.Port() == 0 || len(node.relays) >= maxRelays || to == node.self.m.Addr {
 		return
 	}
-	l := relay{seq: r.nextSeq(), about: m.About, to: from, their: m.Seq, end: r.now + r.o.AckTimeout}
-	r.relays = append(r.relays, l)
-	e := r.entries[m.About]
-	r.write(to, head{Kind: ping, Seq: l.seq}, e)
+	l := relay{seq: node.nextSeq(), target: m.Target, requester: from, requestSeq: m.Seq, deadline: node.clock + node.options.AckTimeout}
+	node.relays = append(node.relays, l)
+	e := node.entries[m.Target]
+	node.enqueue(to, header{Kind: ping, Seq: l.seq}, e)
 }
 
-// pullOn asks for the next page, or for the same again.
-func (r *Roster) pullOn() {
-	p := r.pulling
-	r.counts.Pulls++
-	p.seq, p.again = r.nextSeq(), r.now+r.o.AckTimeout/3
-	r.write(p.to, head{Kind: pull, Seq: p.seq, Parts: r.digests(), After: p.after}, nil)
+// requestPage requests the next page of a sync, or the same page again.
+func (node *Node) requestPage() {
+	p := node.sync
+	node.counts.Pulls++
+	p.seq, p.retryAt = node.nextSeq(), node.clock+node.options.AckTimeout/3
+	node.enqueue(p.to, header{Kind: syncRequest, Seq: p.seq, BucketDigests: node.digests(), After: p.afterName}, nil)
 }
 
-// page answers a pull: the entries of the parts that differ, after a place, as many as fit.
-func (r *Roster) page(m *incoming, from netip.AddrPort, peer *entry) {
-	if len(m.Parts) != parts*4 {
+// sendPage answers a sync request with the entries of differing buckets after a given name, as many as fit.
+func (node *Node) sendPage(m *incoming, from netip.AddrPort, peer *entry) {
+	if len(m.BucketDigests) != buckets*4 {
 		return
 	}
-	own := r.digests()
+	own := node.digests()
 	i := 0
 	if m.After != "" {
 		var found bool
-		if i, found = r.place(m.After); found {
+		if i, found = node.search(m.After); found {
 			i++
 		}
 	}
-	h := head{Kind: page, Seq: m.Seq}
-	size := 256 // more than a head
+	h := header{Kind: syncPage, Seq: m.Seq}
+	size := 256 // more than a header takes
 	if peer != nil && peer.state != Alive {
-		size += len(peer.encode(r.now, "")) // is told first
+		size += len(peer.encode(node.clock, "")) // is sent first
 	}
 	var out []*entry
-	for ; i < len(r.order); i++ {
-		e := r.order[i]
-		at := int(e.part) * 4
-		if string(own[at:at+4]) == string(m.Parts[at:at+4]) {
+	for ; i < len(node.sorted); i++ {
+		e := node.sorted[i]
+		at := int(e.bucket) * 4
+		if string(own[at:at+4]) == string(m.BucketDigests[at:at+4]) {
 			continue
 		}
-		if size += len(e.encode(r.now, "")); size > DatagramBytes && len(out) > 0 {
+		if size += len(e.encode(node.clock, "")); size > DatagramBytes && len(out) > 0 {
 			h.After = out[len(out)-1].m.Name
 			break
 		}
 		out = append(out, e)
 	}
-	r.write(from, h, peer, out...)
+	node.enqueue(from, h, peer, out...)
 }
 
-// paged goes on to the next page.
-func (r *Roster) paged(m *incoming, from netip.AddrPort, newer bool) {
-	p := r.pulling
+// receivePage handles a page of a sync and requests the next one.
+func (node *Node) receivePage(m *incoming, from netip.AddrPort, newer bool) {
+	p := node.sync
 	if p == nil || p.seq != m.Seq || p.to != from {
 		return
 	}
-	p.newer = p.newer || newer
-	if m.After == "" || p.after != "" && byPart(m.After, p.after) <= 0 {
-		r.pulling, r.settled, r.apart = nil, !p.newer, 0
+	p.sentNewer = p.sentNewer || newer
+	if m.After == "" || p.afterName != "" && compareNames(m.After, p.afterName) <= 0 {
+		node.sync, node.inSync, node.digestMismatches = nil, !p.sentNewer, 0
 		return
 	}
-	p.after, p.tries = m.After, 0
-	r.pullOn()
+	p.afterName, p.tries = m.After, 0
+	node.requestPage()
 }
 
-// ofSelf takes what others say of this member, and reports whether it has to tell them better.
-func (r *Roster) ofSelf(n *record) bool {
-	m := r.self.m
-	if other, _ := n.member(); n.Life != m.Life && n.State.Live() && r.keeps(r.self, other.Addr) {
-		r.refuse(r.self, r.now, other)
+// receiveOwnRecord handles a record of this member sent by another, and reports whether it must be answered with the current one.
+func (node *Node) receiveOwnRecord(n *record) bool {
+	m := node.self.m
+	if other, _ := n.member(); n.Life != m.Life && n.State.Live() && node.keepsName(node.self, other.Addr) {
+		node.reportConflict(node.self, node.clock, other)
 		return false
 	}
-	switch life := newer(n.Generation, n.Life, m.Generation, m.Life); {
+	switch life := compareLives(n.Generation, n.Life, m.Generation, m.Life); {
 	case life > 0 || life == 0 && n.State == Left:
-		return r.askClaim(n.Generation + 1)
+		return node.requestGeneration(n.Generation + 1)
 	case life < 0 || n.Incarnation < m.Incarnation || n.Incarnation == m.Incarnation && n.State == Alive:
 		return false
 	}
-	if n.Incarnation >= highest {
+	if n.Incarnation >= maxCounter {
 		return false
 	}
 	if n.State != Alive {
-		r.counts.Refuted++
-		r.slower(1)
+		node.counts.Refuted++
+		node.increaseSlowness(1)
 	}
 	m.Incarnation = n.Incarnation + 1
-	r.change(r.self, r.now, m, Alive, r.self.since)
-	r.tell(r.self, "")
+	node.update(node.self, node.clock, m, Alive, node.self.since)
+	node.broadcast(node.self, "")
 	return true
 }
 
-// askClaim takes a generation above another life of this name: at once for the first, then with waits that double up to 64
-// periods, so that two processes that were given the same name by mistake do not flood the fleet.
-func (r *Roster) askClaim(generation uint64) bool {
-	if generation > highest {
+// requestGeneration takes a generation above that of another life of this name: immediately the first time, then with backoff
+// doubling up to 64 periods, so that two processes that were given the same name by mistake do not flood the cluster.
+func (node *Node) requestGeneration(generation uint64) bool {
+	if generation > maxCounter {
 		return false
 	}
-	r.claim = max(r.claim, generation)
-	if r.now < r.nextClaim {
+	node.wantedGeneration = max(node.wantedGeneration, generation)
+	if node.clock < node.nextGeneration {
 		return false
 	}
-	r.takeClaim()
+	node.takeGeneration()
 	return true
 }
 
-func (r *Roster) takeClaim() {
-	m := r.self.m
-	if r.claim > m.Generation {
-		m.Generation = r.claim
-		r.counts.Claims++
-		r.nextClaim = r.now + r.o.Period<<min(r.claims, 6)
-		r.claims++
-		r.change(r.self, r.now, m, Alive, r.self.since)
-		r.tell(r.self, "")
-	}
-	r.claim = 0
+func (node *Node) takeGeneration() {
+	m := node.self.m
+	if node.wantedGeneration > m.Generation {
+		m.Generation = node.wantedGeneration
+		node.counts.Claims++
+		node.nextGeneration = node.clock + node.options.Period<<min(node.generationsTaken, 6)
+		node.generationsTaken++
+		node.update(node.self, node.clock, m, Alive, node.self.since)
+		node.broadcast(node.self, "")
+	}
+	node.wantedGeneration = 0
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -11,57 +11,57 @@
 	"time"
 )
 
-// parts is into how many a view is split to be compared.
-const parts = 64
+// buckets is the number of buckets into which the members are split for anti-entropy.
+const buckets = 64
 
-// mostChanges bounds what nobody drains.
-const mostChanges = 1 << 14
+// maxChanges bounds the changes that are kept until Changes is called.
+const maxChanges = 1 << 14
 
-// table is the members and what there is to tell of them.
+// table holds the members and the updates to broadcast.
 type table struct {
-	r        *Roster
-	entries  map[string]*entry
-	live     int
-	digest   uint32
-	byPart   [parts]uint32
-	order    []*entry // all, by part and name
-	suspects []*entry
-	gone     []*entry // Dead and Left, as they came
-	news     []*entry // in line, the newest last
-	ridden   uint64   // datagrams that news has ridden on
-	changes  []Change
+	node          *Node
+	entries       map[string]*entry
+	live          int
+	digest        uint32
+	bucketDigests [buckets]uint32
+	sorted        []*entry // all, by bucket and name
+	suspects      []*entry
+	ended         []*entry // Dead and Left, oldest first
+	broadcasts    []*entry // queued updates, newest last
+	datagram      uint64   // number of datagrams that carried piggybacked updates
+	changes       []Change
 }
 
-// entry is one name.
+// entry is one known member.
 type entry struct {
-	m     Member
-	state State
-	since time.Duration
-	heard time.Duration
-	part  uint8
-	twice time.Duration // when it was last told that another has the name
-	hash  uint32        // as it stands in the digests; 0 for those who are not live
+	m            Member
+	state        State
+	since        time.Duration
+	lastHeard    time.Duration
+	bucket       uint8
+	lastConflict time.Duration // when a conflict about its name was last reported
+	hash         uint32        // its contribution to the digests; 0 unless live
 
 	// of a suspect
-	by     []string
-	start  time.Duration
-	end    time.Duration
-	sealed bool // somebody holds it dead: the shortest time
-
-	// of news in line
-	queued bool
-	told   int
-	rode   uint64 // the last datagram
-	by1    string // the accuser to name
-	raw    []byte // as it is told, of one that is alive and in line
+	suspectedBy  []string
+	suspectedAt  time.Duration
+	suspicionEnd time.Duration
+	reportedDead bool // another member reported it dead: shortest suspicion time
+
+	// of a queued update
+	queued       bool
+	transmits    int
+	lastDatagram uint64 // the last datagram that carried it
+	accuser      string // the suspecting member to name in the update
+	encoded      []byte // cached encoding while it is alive and queued
 }
 
 func (e *entry) status() Status {
-	return Status{Member: e.m, State: e.state, Since: e.since, Heard: e.heard, By: slices.Clone(e.by)}
+	return Status{Member: e.m, State: e.state, Since: e.since, LastHeard: e.lastHeard, SuspectedBy: slices.Clone(e.suspectedBy)}
 }
 
-// newer orders two lives of a name.
-func newer(aGeneration, aLife, bGeneration, bLife uint64) int {
+// compareLives orders two lives of a name, the newer one last.
+func compareLives(aGeneration, aLife, bGeneration, bLife uint64) int {
 	return cmp.Or(cmp.Compare(aGeneration, bGeneration), cmp.Compare(aLife, bLife))
 }
 
@@ -81,7 +81,7 @@
 	return h ^ h>>33
 }
 
-func partOf(name string) uint8 { return uint8(hash64(name) % parts) }
+func bucketOf(name string) uint8 { return uint8(hash64(name) % buckets) }
 
 func hashOf(m *Member) uint32 {
 	h := hash64(m.Name)
@@ -91,96 +91,98 @@
 	return uint32(h) | 1
 }
 
-func byPart(a, b string) int { return cmp.Or(cmp.Compare(partOf(a), partOf(b)), strings.Compare(a, b)) }
+func compareNames(a, b string) int {
+	return cmp.Or(cmp.Compare(bucketOf(a), bucketOf(b)), strings.Compare(a, b))
+}
 
-// place is where a name stands or would stand among all entries.
-func (t *table) place(name string) (int, bool) {
-	part := partOf(name)
-	return slices.BinarySearchFunc(t.order, name, func(e *entry, name string) int {
-		return cmp.Or(cmp.Compare(e.part, part), strings.Compare(e.m.Name, name))
+// search returns the index of a name in sorted, or where it would be inserted, and whether it is there.
+func (t *table) search(name string) (int, bool) {
+	part := bucketOf(name)
+	return slices.BinarySearchFunc(t.sorted, name, func(e *entry, name string) int {
+		return cmp.Or(cmp.Compare(e.bucket, part), strings.Compare(e.m.Name, name))
 	})
 }
 
 func (t *table) digests() []byte {
-	raw := make([]byte, 0, parts*4)
-	for _, d := range t.byPart {
+	raw := make([]byte, 0, buckets*4)
+	for _, d := range t.bucketDigests {
 		raw = binary.BigEndian.AppendUint32(raw, d)
 	}
 	return raw
 }
 
-// put takes up a name that was not there; nil if there is no place.
-func (t *table) put(now time.Duration, m Member, s State, since time.Duration) *entry {
-	if len(t.entries) >= t.r.o.MaxMembers {
-		t.r.counts.Full++
+// add inserts a new name. It returns nil if MaxMembers is reached.
+func (t *table) add(now time.Duration, m Member, s State, since time.Duration) *entry {
+	if len(t.entries) >= t.node.options.MaxMembers {
+		t.node.counts.Full++
 		return nil
 	}
-	e := &entry{m: Member{Name: m.Name}, heard: never, twice: never, part: partOf(m.Name)}
+	e := &entry{m: Member{Name: m.Name}, lastHeard: beforeAllTime, lastConflict: beforeAllTime, bucket: bucketOf(m.Name)}
 	t.entries[m.Name] = e
-	at, _ := t.place(m.Name)
-	t.order = slices.Insert(t.order, at, e)
-	t.change(e, now, m, s, since)
+	at, _ := t.search(m.Name)
+	t.sorted = slices.Insert(t.sorted, at, e)
+	t.update(e, now, m, s, since)
 	return e
 }
 
-// change brings an entry to what a member tells and to a state, and writes it down. What is to be told is the caller's.
-func (t *table) change(e *entry, now time.Duration, m Member, s State, since time.Duration) {
+// update sets the member and state of an entry and records the change. The caller decides whether to broadcast it.
+func (t *table) update(e *entry, now time.Duration, m Member, s State, since time.Duration) {
 	was := e.status()
 	if was.Life != m.Life {
-		e.heard = never
+		e.lastHeard = beforeAllTime
 	}
 	if e.hash != 0 {
 		t.live--
 	}
 	t.digest ^= e.hash
-	t.byPart[e.part] ^= e.hash
+	t.bucketDigests[e.bucket] ^= e.hash
 	e.hash = 0
 	if s.Live() {
 		e.hash = hashOf(&m)
 		t.live++
 	}
 	t.digest ^= e.hash
-	t.byPart[e.part] ^= e.hash
-	e.m, e.state, e.since, e.raw = m, s, since, nil
+	t.bucketDigests[e.bucket] ^= e.hash
+	e.m, e.state, e.since, e.encoded = m, s, since, nil
 	if was.State != s {
 		switch was.State {
 		case Suspect:
 			t.suspects = without(t.suspects, e)
 		case Dead, Left:
-			t.gone = without(t.gone, e)
+			t.ended = without(t.ended, e)
 		}
 		switch s {
 		case Suspect:
 			t.suspects = append(t.suspects, e)
 		case Dead, Left:
-			t.gone = append(t.gone, e)
+			t.ended = append(t.ended, e)
 		}
 	}
 	if s != Suspect {
-		e.by, e.sealed = nil, false
+		e.suspectedBy, e.reportedDead = nil, false
 	}
 	if s.Live() && !was.State.Live() {
-		t.r.joinTurn(e)
+		t.node.addToProbeOrder(e)
 	}
-	t.write1(Change{At: now, Was: was, Is: e.status()})
+	t.recordChange(Change{At: now, Before: was, After: e.status()})
 }
 
-func (t *table) write1(c Change) {
-	if len(t.changes) >= mostChanges {
-		t.changes = slices.Delete(t.changes, 0, mostChanges/4)
-		t.r.counts.LostChanges += mostChanges / 4
+func (t *table) recordChange(c Change) {
+	if len(t.changes) >= maxChanges {
+		t.changes = slices.Delete(t.changes, 0, maxChanges/4)
+		t.node.counts.LostChanges += maxChanges / 4
 	}
 	t.changes = append(t.changes, c)
 }
 
-// forget drops a name for good.
+// forget removes a member.
 func (t *table) forget(e *entry, now time.Duration) {
 	was := e.status()
-	t.gone = without(t.gone, e)
-	t.news = without(t.news, e)
+	t.ended = without(t.ended, e)
+	t.broadcasts = without(t.broadcasts, e)
 	delete(t.entries, e.m.Name)
-	t.order = without(t.order, e)
-	t.write1(Change{At: now, Was: was, Is: Status{Member: e.m, Since: now, Heard: e.heard}})
+	t.sorted = without(t.sorted, e)
+	t.recordChange(Change{At: now, Before: was, After: Status{Member: e.m, Since: now, LastHeard: e.lastHeard}})
 }
 
 func without(es []*entry, e *entry) []*entry {
@@ -190,55 +192,55 @@
 	return es
 }
 
-// merge takes news of another member. The result does not hang on the order in which news comes, but for when a suspicion
-// began. It reports whether what was known here is the newer.
-func (t *table) merge(now time.Duration, n *record, teller string) (older bool) {
+// merge applies a record of another member, received from sender. Apart from the start time of a suspicion the result does not
+// depend on the order of records. It reports whether the record is older than what is known here.
+func (t *table) merge(now time.Duration, n *record, sender string) (older bool) {
 	m, _ := n.member()
 	age := time.Duration(n.Age) * time.Second
 	ended := n.State == Dead || n.State == Left
 	e := t.entries[m.Name]
 	if e == nil {
-		if ended && age >= t.r.o.DeadFor {
+		if ended && age >= t.node.options.RetainDead {
 			return false
 		}
-		if e = t.put(now, m, Alive, now); e == nil {
+		if e = t.add(now, m, Alive, now); e == nil {
 			return false
 		}
 		if n.State != Suspect {
-			t.change(e, now, m, n.State, now-age)
+			t.update(e, now, m, n.State, now-age)
 		}
-		t.accuse(e, now, n, n.By)
-		t.tell(e, n.By)
+		t.suspect(e, now, n, n.By)
+		t.broadcast(e, n.By)
 		return false
 	}
-	life := newer(m.Generation, m.Life, e.m.Generation, e.m.Life)
+	life := compareLives(m.Generation, m.Life, e.m.Generation, e.m.Life)
 	switch {
 	case life < 0:
 		return true
-	case life > 0 && t.keeps(e, m.Addr):
+	case life > 0 && t.keepsName(e, m.Addr):
 		if !ended {
-			t.refuse(e, now, m)
+			t.reportConflict(e, now, m)
 		}
 		return false
 	case life > 0:
-		t.change(e, now, m, Alive, now)
+		t.update(e, now, m, Alive, now)
 		if ended {
-			t.change(e, now, m, n.State, now-age)
+			t.update(e, now, m, n.State, now-age)
 		}
-		t.accuse(e, now, n, n.By)
-		t.tell(e, n.By)
+		t.suspect(e, now, n, n.By)
+		t.broadcast(e, n.By)
 		return false
 	case e.state == Left:
 		if n.State != Left {
 			return true
 		}
 		if e.since = min(e.since, now-age); m.Incarnation > e.m.Incarnation {
-			t.change(e, now, m, Left, e.since)
+			t.update(e, now, m, Left, e.since)
 		}
 		return m.Incarnation < e.m.Incarnation
 	case n.State == Left:
-		t.change(e, now, m, Left, now-age)
-		t.tell(e, "")
+		t.update(e, now, m, Left, now-age)
+		t.broadcast(e, "")
 		return false
 	case m.Incarnation < e.m.Incarnation:
 		return true
@@ -247,17 +249,17 @@
 		switch {
 		case n.State != Dead:
 			if dead {
-				t.r.settled = false // a cut may have healed: others have more to tell
+				t.node.inSync = false // a partition may have healed: others may have more records
 			}
-			t.change(e, now, m, Alive, now)
-			t.accuse(e, now, n, n.By)
-			t.tell(e, n.By)
+			t.update(e, now, m, Alive, now)
+			t.suspect(e, now, n, n.By)
+			t.broadcast(e, n.By)
 		case dead:
-			t.change(e, now, m, Dead, min(e.since, now-age))
-			t.tell(e, "")
+			t.update(e, now, m, Dead, min(e.since, now-age))
+			t.broadcast(e, "")
 		default:
-			t.change(e, now, m, Alive, now)
-			t.seal(e, now, teller)
+			t.update(e, now, m, Alive, now)
+			t.suspectReportedDead(e, now, sender)
 		}
 		return false
 	}
@@ -266,155 +268,157 @@
 		if e.state == Dead {
 			return true
 		}
-		if t.accuse(e, now, n, n.By) {
-			t.tell(e, n.By)
+		if t.suspect(e, now, n, n.By) {
+			t.broadcast(e, n.By)
 		}
 	case Dead:
 		if e.state == Dead {
 			e.since = min(e.since, now-age)
 			return false
 		}
-		t.seal(e, now, teller)
+		t.suspectReportedDead(e, now, sender)
 	}
 	return n.State == Alive && e.state != Alive
 }
 
-// keeps says whether a name stays with who has it, whoever claims it from an address.
-func (t *table) keeps(e *entry, from netip.AddrPort) bool {
-	return t.r.o.FirstKeeps && e.state.Live() && e.m.Addr != from
+// keepsName reports whether a live member keeps its name against another life at address from; see Options.KeepLiveNames.
+func (t *table) keepsName(e *entry, from netip.AddrPort) bool {
+	return t.node.options.KeepLiveNames && e.state.Live() && e.m.Addr != from
 }
 
-// refuse tells that another process has the name of a live member.
-func (t *table) refuse(e *entry, now time.Duration, other Member) {
-	if e.twice != never && now-e.twice < t.r.o.Period {
+// reportConflict records a Change about another process with the name of a live member, at most once per period.
+func (t *table) reportConflict(e *entry, now time.Duration, other Member) {
+	if e.lastConflict != beforeAllTime && now-e.lastConflict < t.node.options.Period {
 		return
 	}
-	e.twice = now
-	t.r.counts.Conflicts++
-	t.write1(Change{At: now, Was: e.status(), Is: e.status(), Refused: &other})
+	e.lastConflict = now
+	t.node.counts.Conflicts++
+	t.recordChange(Change{At: now, Before: e.status(), After: e.status(), Conflict: &other})
 }
 
-// accuse notes an accuser of a live member, if the news is a suspicion. It reports whether that is new.
-func (t *table) accuse(e *entry, now time.Duration, n *record, by string) bool {
-	if n.State != Suspect || !e.state.Live() || slices.Contains(e.by, by) || len(e.by) > t.r.o.Confirmations {
+// suspect adds the member by to those that suspect a live member, if n is a suspicion. It reports whether that is new.
+func (t *table) suspect(e *entry, now time.Duration, n *record, by string) bool {
+	if n.State != Suspect || !e.state.Live() || slices.Contains(e.suspectedBy, by) || len(e.suspectedBy) > t.node.options.Confirmations {
 		return false
 	}
 	if e.state == Alive {
-		e.start = now
-		e.by, e.sealed = []string{by}, false
-		e.end = e.start + t.suspicion(e)
-		t.change(e, now, e.m, Suspect, now)
+		e.suspectedAt = now
+		e.suspectedBy, e.reportedDead = []string{by}, false
+		e.suspicionEnd = e.suspectedAt + t.suspicionTime(e)
+		t.update(e, now, e.m, Suspect, now)
 	} else {
-		e.by = append(e.by, by)
-		slices.Sort(e.by)
-		e.end = min(e.end, max(now, e.start+t.suspicion(e))) // a timer in the past would look like time that was slept through
+		e.suspectedBy = append(e.suspectedBy, by)
+		slices.Sort(e.suspectedBy)
+		e.suspicionEnd = min(e.suspicionEnd, max(now, e.suspectedAt+t.suspicionTime(e))) // a timer in the past would look as if this node had not run
 	}
 	return true
 }
 
-// seal is what becomes of a live member that somebody else holds dead: a suspicion of the shortest time. It is passed on as
-// an ordinary one.
-func (t *table) seal(e *entry, now time.Duration, teller string) {
-	if e.sealed {
+// suspectReportedDead suspects, for the shortest time, a live member that sender declared dead. It is broadcast as an ordinary
+// suspicion.
+func (t *table) suspectReportedDead(e *entry, now time.Duration, sender string) {
+	if e.reportedDead {
 		return
 	}
-	was := e.state
-	if t.accuse(e, now, &record{State: Suspect}, teller) {
-		t.tell(e, teller)
+	before := e.state
+	if t.suspect(e, now, &record{State: Suspect}, sender) {
+		t.broadcast(e, sender)
 	}
-	e.sealed = true
-	end := e.start + t.shortest()
-	if was == Suspect {
-		end = max(end, now+2*t.r.o.Period)
+	e.reportedDead = true
+	end := e.suspectedAt + t.minSuspicion()
+	if before == Suspect {
+		end = max(end, now+2*t.node.options.Period)
 	}
-	e.end = min(e.end, end)
+	e.suspicionEnd = min(e.suspicionEnd, end)
 }
 
-// shortest is the shortest time of suspicion.
-func (t *table) shortest() time.Duration {
-	return time.Duration(float64(t.r.o.SuspicionPeriods) * max(1, math.Log10(float64(max(1, t.live)))) * float64(t.r.o.Period))
+// minSuspicion returns the shortest suspicion time.
+func (t *table) minSuspicion() time.Duration {
+	return time.Duration(float64(t.node.options.SuspicionPeriods) * max(1, math.Log10(float64(max(1, t.live)))) * float64(t.node.options.Period))
 }
 
-// suspicion is how long a suspect has in all, as many as accuse it.
-func (t *table) suspicion(e *entry) time.Duration {
-	least := t.shortest()
-	k := min(t.r.o.Confirmations, t.live-3) // the accuser, the suspect and this one aside
-	if k < 1 || e.sealed {
-		return least
+// suspicionTime returns the total suspicion time of a suspect, given the number of members that suspect it.
+func (t *table) suspicionTime(e *entry) time.Duration {
+	shortest := t.minSuspicion()
+	k := min(t.node.options.Confirmations, t.live-3) // excluding the suspecting member, the suspect and this one
+	if k < 1 || e.reportedDead {
+		return shortest
 	}
-	most := least * time.Duration(t.r.o.LongestFactor)
-	share := min(1, math.Log(float64(len(e.by)))/math.Log(float64(k+1)))
-	return most - time.Duration(share*float64(most-least))
+	longest := shortest * time.Duration(t.node.options.SuspicionMaxFactor)
+	share := min(1, math.Log(float64(len(e.suspectedBy)))/math.Log(float64(k+1)))
+	return longest - time.Duration(share*float64(longest-shortest))
 }
 
-// tells is how often news is told.
-func (t *table) tells() int {
-	return t.r.o.TellFactor * int(math.Ceil(math.Log10(float64(t.live+1))))
+// transmitLimit returns how many times an update is sent.
+func (t *table) transmitLimit() int {
+	return t.node.options.RetransmitFactor * int(math.Ceil(math.Log10(float64(t.live+1))))
 }
 
-// tell puts an entry in the line of news, as new.
-func (t *table) tell(e *entry, by string) {
+// broadcast queues an entry as a new update; by is the suspecting member, if any.
+func (t *table) broadcast(e *entry, by string) {
 	if t.entries[e.m.Name] != e {
 		return
 	}
-	t.r.nextTidings = max(t.r.nextTidings, t.r.now)
+	t.node.nextGossip = max(t.node.nextGossip, t.node.clock)
 	if e.queued {
-		t.news = without(t.news, e)
+		t.broadcasts = without(t.broadcasts, e)
 	}
-	e.queued, e.told, e.by1 = true, 0, by
-	t.news = append(t.news, e)
+	e.queued, e.transmits, e.accuser = true, 0, by
+	t.broadcasts = append(t.broadcasts, e)
 }
 
-// agreed notes that somebody else holds the same live members in the same incarnations: whom it met at random, so news of that
-// kind has gone far. It counts as a quarter of the tellings. Suspicions and ends do not show in the digests.
-func (t *table) agreed() {
-	if len(t.news) == 0 {
+// countDigestMatch handles repeated contacts with members that have the same live members and incarnations. Contacts are random,
+// so updates about live members have spread widely: a match counts as a quarter of their transmissions. Suspicions, deaths and
+// departures still have to be sent, because digests do not tell whether others know of them.
+func (t *table) countDigestMatch() {
+	if len(t.broadcasts) == 0 {
 		return
 	}
-	share := max(1, t.tells()/4)
-	for _, e := range t.news {
+	share := max(1, t.transmitLimit()/4)
+	for _, e := range t.broadcasts {
 		if e.state == Alive {
-			e.told += share
+			e.transmits += share
 		}
 	}
-	t.retire()
+	t.dropTransmitted()
 }
 
-// retire drops from the line what has been told often enough.
-func (t *table) retire() {
-	most := t.tells()
-	t.news = slices.DeleteFunc(t.news, func(e *entry) bool {
-		if e.told < most {
+// dropTransmitted removes updates that have been sent often enough from the queue.
+func (t *table) dropTransmitted() {
+	limit := t.transmitLimit()
+	t.broadcasts = slices.DeleteFunc(t.broadcasts, func(e *entry) bool {
+		if e.transmits < limit {
 			return false
 		}
-		e.queued, e.raw = false, nil
+		e.queued, e.encoded = false, nil
 		return true
 	})
 }
 
-// ride adds news in line, the least told and among them the newest first, as long as it finds place.
-func (t *table) ride(peer *entry, done []*entry, add func(*entry, string) bool) {
-	if len(t.news) == 0 {
+// piggyback adds queued updates to a datagram until it is full: the least often sent first, and the newest among these. It leaves
+// out peer, the receiver, and the entries in done, which the datagram already carries.
+func (t *table) piggyback(peer *entry, done []*entry, add func(*entry, string) bool) {
+	if len(t.broadcasts) == 0 {
 		return
 	}
-	t.ridden++
+	t.datagram++
 	for _, e := range done {
-		e.rode = t.ridden
+		e.lastDatagram = t.datagram
 	}
 	if peer != nil {
-		peer.rode = t.ridden
+		peer.lastDatagram = t.datagram
 	}
-	most := t.tells()
+	limit := t.transmitLimit()
 	full := false
-	for told := 0; told < most && !full; told++ {
-		for i := len(t.news) - 1; i >= 0 && !full; i-- {
-			if e := t.news[i]; e.told == told && e.rode != t.ridden {
-				if full = !add(e, e.by1); !full {
-					e.told++
-					e.rode = t.ridden
+	for transmits := 0; transmits < limit && !full; transmits++ {
+		for i := len(t.broadcasts) - 1; i >= 0 && !full; i-- {
+			if e := t.broadcasts[i]; e.transmits == transmits && e.lastDatagram != t.datagram {
+				if full = !add(e, e.accuser); !full {
+					e.transmits++
+					e.lastDatagram = t.datagram
 				}
 			}
 		}
 	}
-	t.retire()
+	t.dropTransmitted()
 }
--- a/internal/membership/transport/masthead.go
+++ b/internal/membership/transport/masthead.go
@@ -38,7 +38,7 @@
 
 // Masthead is one program's part. Its methods may be called by any goroutine.
 type Masthead struct {
-	carriage *udp.Carriage
+	carriage *udp.Runner
 	first    int
 	place    int
 	log      func(event, text string)
@@ -85,7 +85,7 @@
 		log("roster", "none: "+err.Error())
 		return nil
 	}
-	m.carriage = udp.Start(udp.Options{Conn: conn, OnChange: m.changed, Roster: membership.Options{Self: self, Seeds: m.seeds(s),
+	m.carriage = udp.Start(udp.Options{Conn: conn, OnChange: m.changed, Membership: membership.Options{Self: self, Seeds: m.seeds(s),
 		Rand: rand.New(rand.NewSource(int64(life))), Period: Period, MaxMembers: names}})
 	return m
 }
@@ -108,7 +108,7 @@
 		peers[addr] = p
 	}
 	for _, c := range changes {
-		is := c.Is
+		is := c.After
 		if len(is.Meta) < 2 || len(is.Name) < 2 || is.Role != messages.RoleHarbour && is.Role != messages.RoleTug {
 			continue // of another version, which tells more
 		}
@@ -134,7 +134,7 @@
 // say logs what became of a member that was known.
 func (m *Masthead) say(c membership.Change, p *peer) {
 	what := ""
-	switch was, is := c.Was.State, c.Is.State; {
+	switch was, is := c.Before.State, c.After.State; {
 	case was == membership.Unknown || is == membership.Unknown || was == is:
 	case is == membership.Alive:
 		what = "back"
@@ -158,7 +158,7 @@
 	now := int64(time.Since(m.begun))
 	p.heard.Store(now)
 	if told := p.told.Load(); now-told >= int64(heardEvery) && p.told.CompareAndSwap(told, now) {
-		m.carriage.Heard(p.name)
+		m.carriage.ConfirmAlive(p.name)
 	}
 }
 
@@ -264,9 +264,9 @@
 		return
 	}
 	c := m.carriage.Counts()
-	r := c.Roster
+	r := c.Membership
 	for k, n := range map[string]uint64{"probes": r.Probes, "unanswered": r.Unanswered, "refuted": r.Refuted, "sent": r.Sent,
-		"sent_bytes": r.SentBytes, "received": r.Received, "refused": r.Refused, "pulls": r.Pulls, "late": r.Late, "dropped": c.Dropped} {
+		"sent_bytes": r.SentBytes, "received": r.Received, "refused": r.Malformed, "pulls": r.Pulls, "late": r.Late, "dropped": c.Dropped} {
 		out["roster_"+k] = int64(n)
 	}
 	out["roster_live"] = int64(m.carriage.Snapshot().Live)
--- a/internal/membership/udp/udp.go
+++ b/internal/membership/udp/udp.go
@@ -1,5 +1,5 @@
-// Package udp carries a roster on a socket: one goroutine owns the roster and works through a queue of commands and datagrams
-// with one timer, another reads the socket. It decides nothing.
+// Package udp runs a membership.Node on a UDP socket. One goroutine owns the Node and processes a queue of commands and datagrams
+// and a timer; another reads the socket. The package has no protocol logic.
 package udp
 
 import (
@@ -14,41 +14,41 @@
 	"saltmast/internal/membership"
 )
 
-// ErrClosed is returned for what comes after Close.
-var ErrClosed = errors.New("the roster is closed")
+// ErrClosed is returned by calls after Close.
+var ErrClosed = errors.New("membership is closed")
 
-// Options are what Start needs.
+// Options configure a Runner.
 type Options struct {
-	Conn   net.PacketConn // UDP; belongs to the carriage from Start on, and is closed by Close
-	Roster membership.Options
-	// Queue is how many commands and datagrams may wait; 256. When it is full, datagrams and Heard are dropped and counted, the
-	// other calls wait.
+	Conn       net.PacketConn // a UDP socket; owned by the Runner from Start on and closed by Close
+	Membership membership.Options
+	// Queue is the capacity of the queue of commands and datagrams; default 256. When it is full, datagrams and calls of
+	// ConfirmAlive are dropped and counted, and other calls block.
 	Queue int
-	// OnChange is called by the owner with what changed, in order, after the snapshot that shows it stands. It has to return at
-	// once and must not call Leave or Close. May be nil.
+	// OnChange is called by the goroutine that owns the Node, with changes in order, after the snapshot that includes them is
+	// published. It must return at once and must not call Leave or Close. It may be nil.
 	OnChange func([]membership.Change)
 }
 
-// Snapshot is the roster at one time. It is not to be changed.
+// Snapshot is the membership at one time. It must not be modified.
 type Snapshot struct {
-	At      time.Duration // on the clock of Now
+	At      time.Duration // on the clock of Runner.Now
 	Self    membership.Member
-	Members []membership.Status // by name, this one included
+	Members []membership.Status // by name, including this one
 	Live    int
-	Full    bool // see roster.Roster.Full
+	Full    bool // see membership.Node.Full
 	Digest  uint32
 }
 
 // Counts are totals since Start.
 type Counts struct {
-	Roster   membership.Counts // at most one period old
-	Dropped  uint64            // datagrams and calls of Heard that found the queue full
-	Unsent   uint64            // datagrams that the socket refused
-	ReadErrs uint64
+	Membership membership.Counts // at most one period old
+	Dropped    uint64            // datagrams and calls of ConfirmAlive dropped because the queue was full
+	Unsent     uint64            // datagrams that could not be written to the socket
+	ReadErrs   uint64
 }
 
-// Carriage is a roster at work. Its methods may be called by any goroutine.
-type Carriage struct {
+// Runner runs a membership.Node. Its methods are safe for concurrent use.
+type Runner struct {
 	o     Options
 	conn  net.PacketConn
 	start time.Time
@@ -64,55 +64,56 @@
 	readErrs atomic.Uint64
 }
 
-// command is a datagram, a name that was heard, or something to do with the roster.
+// command is a datagram, the name of a member shown to be alive, or a function to run with the Node.
 type command struct {
 	from     netip.AddrPort
 	datagram []byte
 	heard    string
-	do       func(r *membership.Roster, now time.Duration) []membership.Send
+	do       func(node *membership.Node, now time.Duration) []membership.Send
 }
 
-// Start begins to carry a roster. Its Options must be right, see roster.New.
-func Start(o Options) *Carriage {
+// Start starts a Runner. It panics on invalid Options.Membership, see membership.New.
+func Start(o Options) *Runner {
 	if o.Queue <= 0 {
 		o.Queue = 256
 	}
-	c := &Carriage{o: o, conn: o.Conn, start: time.Now(), queue: make(chan command, o.Queue), done: make(chan struct{})}
-	r := membership.New(o.Roster, 0)
-	c.publish(r, true)
+	c := &Runner{o: o, conn: o.Conn, start: time.Now(), queue: make(chan command, o.Queue), done: make(chan struct{})}
+	node := membership.New(o.Membership, 0)
+	c.publish(node, true)
 	c.wg.Add(2)
 	go c.read()
-	go c.own(r)
+	go c.run(node)
 	return c
 }
 
-// Now is the steady clock of the roster: the time since Start.
-func (c *Carriage) Now() time.Duration { return time.Since(c.start) }
+// Now returns the time since Start, which is the monotonic clock of the Node.
+func (c *Runner) Now() time.Duration { return time.Since(c.start) }
 
-// Snapshot is the roster as it last changed.
-func (c *Carriage) Snapshot() *Snapshot { return c.snapshot.Load() }
+// Snapshot returns the membership as of the last change.
+func (c *Runner) Snapshot() *Snapshot { return c.snapshot.Load() }
 
-// Counts are the totals so far.
-func (c *Carriage) Counts() Counts {
-	return Counts{Roster: *c.counts.Load(), Dropped: c.dropped.Load(), Unsent: c.unsent.Load(), ReadErrs: c.readErrs.Load()}
+// Counts returns the totals so far.
+func (c *Runner) Counts() Counts {
+	return Counts{Membership: *c.counts.Load(), Dropped: c.dropped.Load(), Unsent: c.unsent.Load(), ReadErrs: c.readErrs.Load()}
 }
 
-// Heard says that other traffic proved a member alive just now, see roster.Roster.Heard. It never waits.
-func (c *Carriage) Heard(name string) { c.offer(command{heard: name}) }
+// ConfirmAlive records that other traffic has just shown a member to be alive, see membership.Node.ConfirmAlive. It never
+// blocks.
+func (c *Runner) ConfirmAlive(name string) { c.tryEnqueue(command{heard: name}) }
 
 // SetSeeds replaces the seeds. It returns ErrClosed after Close.
-func (c *Carriage) SetSeeds(seeds []netip.AddrPort) error {
-	return c.do(func(r *membership.Roster, now time.Duration) []membership.Send {
-		r.SetSeeds(now, seeds)
+func (c *Runner) SetSeeds(seeds []netip.AddrPort) error {
+	return c.do(func(node *membership.Node, now time.Duration) []membership.Send {
+		node.SetSeeds(now, seeds)
 		return nil
 	})
 }
 
-// SetMeta replaces what this member tells of itself. It returns ErrClosed after Close, and roster.ErrMember for too much.
-func (c *Carriage) SetMeta(meta []byte) error {
+// SetMeta replaces the Meta of this member. It returns ErrClosed after Close, and membership.ErrMember if meta is too long.
+func (c *Runner) SetMeta(meta []byte) error {
 	var err error
-	if closed := c.do(func(r *membership.Roster, now time.Duration) []membership.Send {
-		err = r.SetMeta(now, meta)
+	if closed := c.do(func(node *membership.Node, now time.Duration) []membership.Send {
+		err = node.SetMeta(now, meta)
 		return nil
 	}); closed != nil {
 		return closed
@@ -120,14 +121,14 @@
 	return err
 }
 
-// Leave tells others that this member goes for good. It returns once the first datagrams are on their way; Close may follow at
-// once. It returns ErrClosed after Close.
-func (c *Carriage) Leave() error {
-	return c.do(func(r *membership.Roster, now time.Duration) []membership.Send { return r.Leave(now) })
+// Leave announces that this member leaves for good. It returns once the first datagrams are sent; Close may follow at once. It
+// returns ErrClosed after Close.
+func (c *Runner) Leave() error {
+	return c.do(func(node *membership.Node, now time.Duration) []membership.Send { return node.Leave(now) })
 }
 
-// Close ends both goroutines and closes the socket. Others are told nothing: to them this member stops to answer.
-func (c *Carriage) Close() error {
+// Close stops both goroutines and closes the socket. It announces nothing: other members see this one stop answering.
+func (c *Runner) Close() error {
 	var err error
 	c.once.Do(func() {
 		close(c.done)
@@ -137,12 +138,12 @@
 	return err
 }
 
-// do has the owner do something, and waits until it is done and what it gave out is sent.
-func (c *Carriage) do(f func(*membership.Roster, time.Duration) []membership.Send) error {
+// do runs f in the goroutine that owns the Node, and waits until the datagrams that f returns are sent.
+func (c *Runner) do(f func(*membership.Node, time.Duration) []membership.Send) error {
 	did := make(chan struct{})
-	cmd := command{do: func(r *membership.Roster, now time.Duration) []membership.Send {
+	cmd := command{do: func(node *membership.Node, now time.Duration) []membership.Send {
 		defer close(did)
-		c.send(f(r, now))
+		c.send(f(node, now))
 		return nil
 	}}
 	select {
@@ -158,7 +159,7 @@
 	}
 }
 
-func (c *Carriage) offer(cmd command) {
+func (c *Runner) tryEnqueue(cmd command) {
 	select {
 	case c.queue <- cmd:
 	default:
@@ -166,10 +167,10 @@
 	}
 }
 
-// read hands datagrams to the owner until the socket is closed.
-func (c *Carriage) read() {
+// read queues received datagrams until the socket is closed.
+func (c *Runner) read() {
 	defer c.wg.Done()
-	b := make([]byte, membership.DatagramBytes+1) // what is longer is cut here and refused there
+	b := make([]byte, membership.DatagramBytes+1) // longer datagrams are truncated here and rejected by the Node
 	for {
 		n, from, err := c.conn.ReadFrom(b)
 		if err != nil {
@@ -181,7 +182,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			// A refusal by the other end of an earlier datagram may come as an error of this one.
+			// An ICMP error for a datagram sent earlier may be returned by this read.
 			c.readErrs.Add(1)
 			select {
 			case <-c.done:
@@ -195,7 +196,7 @@
 			c.readErrs.Add(1)
 			continue
 		}
-		c.offer(command{from: addr, datagram: append([]byte(nil), b[:n]...)})
+		c.tryEnqueue(command{from: addr, datagram: append([]byte(nil), b[:n]...)})
 	}
 }
 
@@ -208,8 +209,8 @@
 	return ap, err == nil
 }
 
-// own is the owner's loop.
-func (c *Carriage) own(r *membership.Roster) {
+// run is the main loop of the goroutine that owns the Node.
+func (c *Runner) run(node *membership.Node) {
 	defer c.wg.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -219,53 +220,53 @@
 		case <-c.done:
 			return
 		case <-timer.C:
-			c.send(r.Step(c.Now()))
+			c.send(node.Step(c.Now()))
 		case cmd := <-c.queue:
-			c.one(r, cmd)
-			// What else has come is taken before the timer is set again.
+			c.handle(node, cmd)
+			// Process the whole queue before the timer is set again.
 			for range len(c.queue) {
-				c.one(r, <-c.queue)
+				c.handle(node, <-c.queue)
 			}
 		}
 		now := c.Now()
-		changed := c.publish(r, now-counted >= time.Second)
+		changed := c.publish(node, now-counted >= time.Second)
 		if now-counted >= time.Second {
 			counted = now
 		}
 		if changed != nil && c.o.OnChange != nil {
 			c.o.OnChange(changed)
 		}
-		timer.Reset(max(0, min(r.NextAt()-c.Now(), time.Hour)))
+		timer.Reset(max(0, min(node.NextAt()-c.Now(), time.Hour)))
 	}
 }
 
-func (c *Carriage) one(r *membership.Roster, cmd command) {
+func (c *Runner) handle(node *membership.Node, cmd command) {
 	now := c.Now()
 	switch {
 	case cmd.do != nil:
-		c.send(cmd.do(r, now))
+		c.send(cmd.do(node, now))
 	case cmd.datagram != nil:
-		c.send(r.Receive(now, cmd.from, cmd.datagram))
+		c.send(node.Receive(now, cmd.from, cmd.datagram))
 	case cmd.heard != "":
-		r.Heard(now, cmd.heard)
+		node.ConfirmAlive(now, cmd.heard)
 	}
 }
 
-// publish makes a snapshot if there are changes, and returns them.
-func (c *Carriage) publish(r *membership.Roster, counts bool) []membership.Change {
-	changed := r.Changes()
+// publish stores a new snapshot if there are changes, and returns them.
+func (c *Runner) publish(node *membership.Node, counts bool) []membership.Change {
+	changed := node.Changes()
 	if changed != nil || c.snapshot.Load() == nil {
-		c.snapshot.Store(&Snapshot{At: c.Now(), Self: r.Self(), Members: r.Members(), Live: r.Live(), Full: r.Full(), Digest: r.Digest()})
+		c.snapshot.Store(&Snapshot{At: c.Now(), Self: node.Self(), Members: node.Members(), Live: node.Live(), Full: node.Full(), Digest: node.Digest()})
 	}
 	if counts || changed != nil {
-		now := r.Counts()
+		now := node.Counts()
 		c.counts.Store(&now)
 	}
 	return changed
 }
 
-// send gives datagrams to the socket. What it does not take is as good as lost on the way.
-func (c *Carriage) send(out []membership.Send) {
+// send writes datagrams to the socket. Failures are counted and otherwise treated as loss on the network.
+func (c *Runner) send(out []membership.Send) {
 	for _, s := range out {
 		if _, err := c.conn.WriteTo(s.Data, net.UDPAddrFromAddrPort(s.To)); err != nil {
 			c.unsent.Add(1)
--- a/internal/membership/udp/udp_test.go
+++ b/internal/membership/udp/udp_test.go
@@ -14,8 +14,8 @@
 	"saltmast/internal/membership"
 )
 
-// harbour is three carriages on loopback, each with a channel on which its owner's changes arrive.
-func launch(t *testing.T, i int, seeds []netip.AddrPort) (*Carriage, netip.AddrPort, chan membership.Change) {
+// startRunner starts a Runner on loopback, and returns it with its address and a channel that receives its changes.
+func startRunner(t *testing.T, i int, seeds []netip.AddrPort) (*Runner, netip.AddrPort, chan membership.Change) {
 	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -24,7 +24,7 @@
 	changes := make(chan membership.Change, 1000)
 	c := Start(Options{
 		Conn: conn,
-		Roster: membership.Options{
+		Membership: membership.Options{
 			Self:   membership.Member{Name: fmt.Sprint("tug-", i), Life: uint64(i + 1), Addr: addr},
 			Seeds:  seeds,
 			Rand:   rand.New(rand.NewSource(int64(i))),
@@ -40,17 +40,17 @@
 	return c, addr, changes
 }
 
-// await reads changes until one says that a member is in a state.
+// await reads changes until one says that the named member is in state s.
 func await(t *testing.T, changes chan membership.Change, name string, s membership.State) {
 	t.Helper()
-	bound := time.After(20 * time.Second)
+	timeout := time.After(20 * time.Second)
 	for {
 		select {
 		case c := <-changes:
-			if c.Is.Name == name && c.Is.State == s {
+			if c.After.Name == name && c.After.State == s {
 				return
 			}
-		case <-bound:
+		case <-timeout:
 			t.Fatalf("%s does not become %v", name, s)
 		}
 	}
@@ -58,11 +58,11 @@
 
 func TestThreeOnLoopback(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	a, addr, fromA := launch(t, 0, nil)
-	b, _, fromB := launch(t, 1, []netip.AddrPort{addr})
-	c, _, _ := launch(t, 2, []netip.AddrPort{addr})
-	await(t, fromA, "tug-1", membership.Alive)
-	await(t, fromB, "tug-2", membership.Alive)
+	a, addr, changesA := startRunner(t, 0, nil)
+	b, _, changesB := startRunner(t, 1, []netip.AddrPort{addr})
+	c, _, _ := startRunner(t, 2, []netip.AddrPort{addr})
+	await(t, changesA, "tug-1", membership.Alive)
+	await(t, changesB, "tug-2", membership.Alive)
 	if s := a.Snapshot(); len(s.Members) < 2 || s.Members[0].Name != "tug-0" {
 		t.Errorf("the snapshot is %+v", s)
 	}
@@ -70,21 +70,21 @@
 		t.Error(err)
 	}
 	if err := b.SetMeta(make([]byte, membership.MetaBytes+1)); !errors.Is(err, membership.ErrMember) {
-		t.Errorf("too much meta: %v", err)
+		t.Errorf("SetMeta with too much data: %v", err)
 	}
-	b.Heard("tug-0")
+	b.ConfirmAlive("tug-0")
 	if err := b.Leave(); err != nil {
 		t.Error(err)
 	}
-	await(t, fromA, "tug-1", membership.Left)
+	await(t, changesA, "tug-1", membership.Left)
 	c.Close()
-	await(t, fromA, "tug-2", membership.Dead)
-	for _, x := range []*Carriage{a, b} {
+	await(t, changesA, "tug-2", membership.Dead)
+	for _, x := range []*Runner{a, b} {
 		if err := x.Close(); err != nil {
 			t.Error(err)
 		}
 		if err := x.SetSeeds(nil); !errors.Is(err, ErrClosed) {
-			t.Errorf("after Close: %v", err)
+			t.Errorf("SetSeeds after Close: %v", err)
 		}
 	}
 }
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -8,49 +8,50 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// version is that of the messages; another one is refused whole. Fields may be added within one: unknown keys are passed over.
+// version is the message format version. Messages of other versions are rejected. Fields may be added without a new version:
+// unknown keys are ignored.
 const version = 1
 
-type kind uint8
+type messageKind uint8
 
 const (
-	ping    kind = 1 + iota
-	ack          // to a ping, or for somebody else's: About
-	ask          // ping About for me
-	nack         // About did not answer me either, but I answer you
-	tidings      // news alone
-	pull         // here are the digests of my parts: tell me what differs, after After
-	page         // the answer; After says where the next page begins, empty at the end
+	ping        messageKind = 1 + iota
+	ack                     // answers a ping; with Target set, one relayed for that member
+	pingRequest             // asks the receiver to ping Target
+	nack                    // answers a pingRequest whose target did not answer
+	gossip                  // carries only updates
+	syncRequest             // asks for the entries of buckets that differ from BucketDigests, after name After
+	syncPage                // answers a syncRequest; the next page starts after name After, empty at the end
 )
 
-// head is a message without its news: who sends it, and what it holds beside.
-type head struct {
-	Version     uint8  `cbor:"1,keyasint"`
-	Kind        kind   `cbor:"2,keyasint"`
-	Seq         uint32 `cbor:"3,keyasint,omitempty"`
-	Name        string `cbor:"4,keyasint"`
-	Life        uint64 `cbor:"5,keyasint"`
-	Generation  uint64 `cbor:"6,keyasint,omitempty"`
-	Incarnation uint64 `cbor:"7,keyasint,omitempty"`
-	Digest      uint32 `cbor:"8,keyasint,omitempty"`
-	Want        bool   `cbor:"9,keyasint,omitempty"` // tell me of yourself
-	About       string `cbor:"10,keyasint,omitempty"`
-	AboutAddr   []byte `cbor:"11,keyasint,omitempty"`
-	Parts       []byte `cbor:"12,keyasint,omitempty"`
-	After       string `cbor:"13,keyasint,omitempty"`
+// header is a message without its updates.
+type header struct {
+	Version       uint8       `cbor:"1,keyasint"`
+	Kind          messageKind `cbor:"2,keyasint"`
+	Seq           uint32      `cbor:"3,keyasint,omitempty"`
+	Name          string      `cbor:"4,keyasint"`
+	Life          uint64      `cbor:"5,keyasint"`
+	Generation    uint64      `cbor:"6,keyasint,omitempty"`
+	Incarnation   uint64      `cbor:"7,keyasint,omitempty"`
+	Digest        uint32      `cbor:"8,keyasint,omitempty"`
+	WantRecord    bool        `cbor:"9,keyasint,omitempty"` // asks the receiver for its own record
+	Target        string      `cbor:"10,keyasint,omitempty"`
+	TargetAddr    []byte      `cbor:"11,keyasint,omitempty"`
+	BucketDigests []byte      `cbor:"12,keyasint,omitempty"`
+	After         string      `cbor:"13,keyasint,omitempty"`
 }
 
 type outgoing struct {
-	head
+	header
 	News []cbor.RawMessage `cbor:"14,keyasint,omitempty"`
 }
 
 type incoming struct {
-	head
+	header
 	News []record `cbor:"14,keyasint,omitempty"`
 }
 
-// record is one piece of news.
+// record is one update about a member.
 type record struct {
 	Name        string `cbor:"1,keyasint"`
 	Life        uint64 `cbor:"2,keyasint"`
@@ -61,8 +62,8 @@
 	Zone        string `cbor:"7,keyasint,omitempty"`
 	Role        uint8  `cbor:"8,keyasint,omitempty"`
 	Meta        []byte `cbor:"9,keyasint,omitempty"`
-	By          string `cbor:"10,keyasint,omitempty"` // the accuser, of a suspect
-	Age         uint32 `cbor:"11,keyasint,omitempty"` // seconds since, of the dead and of those who left
+	By          string `cbor:"10,keyasint,omitempty"` // the suspecting member, for a suspect
+	Age         uint32 `cbor:"11,keyasint,omitempty"` // seconds in this state, for Dead and Left
 }
 
 var (
@@ -89,9 +90,9 @@
 	}()
 )
 
-var errDatagram = errors.New("no datagram of a roster")
+var errDatagram = errors.New("malformed membership datagram")
 
-// decode reads a datagram and checks all that is in it.
+// decode decodes and validates a datagram.
 func decode(raw []byte) (*incoming, error) {
 	if len(raw) > DatagramBytes {
 		return nil, errDatagram
@@ -100,9 +101,9 @@
 	if err := decMode.Unmarshal(raw, m); err != nil {
 		return nil, err
 	}
-	if m.Version != version || m.Kind < ping || m.Kind > page || m.Name == "" || len(m.Name) > NameBytes || m.Life == 0 ||
-		m.Generation > highest || m.Incarnation > highest || len(m.About) > NameBytes || len(m.After) > NameBytes ||
-		len(m.Parts) != 0 && len(m.Parts) != parts*4 {
+	if m.Version != version || m.Kind < ping || m.Kind > syncPage || m.Name == "" || len(m.Name) > NameBytes || m.Life == 0 ||
+		m.Generation > maxCounter || m.Incarnation > maxCounter || len(m.Target) > NameBytes || len(m.After) > NameBytes ||
+		len(m.BucketDigests) != 0 && len(m.BucketDigests) != buckets*4 {
 		return nil, errDatagram
 	}
 	for i := range m.News {
@@ -115,19 +116,19 @@
 }
 
 func (n *record) member() (m Member, ok bool) {
-	addr, ok := readAddr(n.Addr)
+	addr, ok := decodeAddr(n.Addr)
 	return Member{Name: n.Name, Life: n.Life, Generation: n.Generation, Incarnation: n.Incarnation, Addr: addr, Zone: n.Zone,
 		Role: n.Role, Meta: n.Meta}, ok
 }
 
-func readAddr(raw []byte) (a netip.AddrPort, ok bool) {
+func decodeAddr(raw []byte) (a netip.AddrPort, ok bool) {
 	if a.UnmarshalBinary(raw) != nil || !a.IsValid() || a.Addr().Zone() != "" {
 		return a, false
 	}
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()), true
 }
 
-func writeAddr(a netip.AddrPort) []byte {
+func encodeAddr(a netip.AddrPort) []byte {
 	raw, err := a.MarshalBinary()
 	if err != nil {
 		panic(err)
@@ -135,25 +136,25 @@
 	return raw
 }
 
-// encode writes an entry as news.
+// encode encodes an entry as a record, which names by, if set, as the suspecting member.
 func (e *entry) encode(now time.Duration, by string) []byte {
-	if e.raw != nil {
-		return e.raw
+	if e.encoded != nil {
+		return e.encoded
 	}
 	n := record{Name: e.m.Name, Life: e.m.Life, Generation: e.m.Generation, Incarnation: e.m.Incarnation, State: e.state,
-		Addr: writeAddr(e.m.Addr), Zone: e.m.Zone, Role: e.m.Role, Meta: e.m.Meta}
+		Addr: encodeAddr(e.m.Addr), Zone: e.m.Zone, Role: e.m.Role, Meta: e.m.Meta}
 	switch e.state {
 	case Suspect:
 		n.By = by
-		if by == "" && len(e.by) > 0 {
-			n.By = e.by[0]
+		if by == "" && len(e.suspectedBy) > 0 {
+			n.By = e.suspectedBy[0]
 		}
 	case Dead, Left:
 		n.Age = uint32(min((now-e.since)/time.Second, 1<<31))
 	}
 	raw := marshal(n)
 	if e.queued && e.state == Alive {
-		e.raw = raw
+		e.encoded = raw
 	}
 	return raw
 }
@@ -161,21 +162,21 @@
 func marshal(v any) []byte {
 	raw, err := encMode.Marshal(v)
 	if err != nil {
-		panic(err) // plain structs of plain fields
+		panic(err) // cannot fail for structs of plain fields
 	}
 	return raw
 }
 
-// write gives out a datagram: the head, then these entries, then news in line as far as there is room. To a member that is held
-// for anything but alive it is told first, so that it can refute it.
-func (r *Roster) write(to netip.AddrPort, h head, peer *entry, first ...*entry) {
-	m := outgoing{head: h}
+// enqueue adds a datagram to the outbox: the header, the entries in first, and queued updates as far as there is room. If the
+// receiver peer is not held alive, its own record comes first, so that it can refute it.
+func (node *Node) enqueue(to netip.AddrPort, h header, peer *entry, first ...*entry) {
+	m := outgoing{header: h}
 	m.Version = version
-	m.Name, m.Life = r.self.m.Name, r.self.m.Life
-	m.Generation, m.Incarnation, m.Digest = r.self.m.Generation, r.self.m.Incarnation, r.digest
-	size := 72 + len(m.Name) + len(h.About) + len(h.AboutAddr) + len(h.Parts) + len(h.After) // with all figures at their longest
+	m.Name, m.Life = node.self.m.Name, node.self.m.Life
+	m.Generation, m.Incarnation, m.Digest = node.self.m.Generation, node.self.m.Incarnation, node.digest
+	size := 72 + len(m.Name) + len(h.Target) + len(h.TargetAddr) + len(h.BucketDigests) + len(h.After) // with all numbers at their maximum length
 	add := func(e *entry, by string) bool {
-		raw := e.encode(r.now, by)
+		raw := e.encode(node.clock, by)
 		if size+len(raw) > DatagramBytes || len(m.News) == 64 {
 			return false
 		}
@@ -194,13 +195,13 @@
 			done = append(done, e)
 		}
 	}
-	if h.Kind != pull && h.Kind != page {
-		r.ride(peer, done, add)
+	if h.Kind != syncRequest && h.Kind != syncPage {
+		node.piggyback(peer, done, add)
 	}
 	raw := marshal(m)
-	r.counts.Sent++
-	r.counts.SentBytes += uint64(len(raw))
-	r.out = append(r.out, Send{To: to, Data: raw})
+	node.counts.Sent++
+	node.counts.SentBytes += uint64(len(raw))
+	node.outbox = append(node.outbox, Send{To: to, Data: raw})
 }
 
 func contains(es []*entry, e *entry) bool {
@@ -212,9 +213,9 @@
 	return false
 }
 
-// take hands over what was written.
-func (r *Roster) take() []Send {
-	out := r.out
-	r.out = nil
+// drain returns and clears the outbox.
+func (node *Node) drain() []Send {
+	out := node.outbox
+	node.outbox = nil
 	return out
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -501,7 +501,7 @@
 			}
 			called = p.missing()
 			q.roster.SetSeeds(called)
-			if n := q.roster.Counts().Roster.Full; n > full {
+			if n := q.roster.Counts().Membership.Full; n > full {
 				full = n
 				p.rare.say("no more members are taken", "members", p.o.Members)
 			}
@@ -549,11 +549,11 @@
 // changed takes what became of members. The roster's owner calls it.
 func (p *Peers) changed(changes []membership.Change) {
 	for _, c := range changes {
-		if o := c.Refused; o != nil {
+		if o := c.Conflict; o != nil {
 			p.refused.Add(1)
-			p.rare.say("a name is taken twice: the second is refused", "name", c.Is.Name, "have", c.Is.Addr, "other", o.Addr)
-		} else if c.Is.Name != p.self.Name {
-			p.note(c.Is)
+			p.rare.say("a name is taken twice: the second is refused", "name", c.After.Name, "have", c.After.Addr, "other", o.Addr)
+		} else if c.After.Name != p.self.Name {
+			p.note(c.After)
 		}
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -331,7 +331,7 @@
 	c.Write(change("\x64bbbb", "\x64cccc"))
 	testsupport.Until(t, "one that is good", func() bool { return p.View().Alive == 2 })
 	c.Write(e.seal(forDatagram, good))
-	testsupport.Until(t, "one beyond the bound", func() bool { return p.quay.Load().roster.Counts().Roster.Full > 0 })
+	testsupport.Until(t, "one beyond the bound", func() bool { return p.quay.Load().roster.Counts().Membership.Full > 0 })
 	testsupport.Until(t, "a word of it", func() bool { return log.Has("no more members") })
 	if v := p.View(); len(v.Members) != 2 || v.Members[1].Name != "cccc" {
 		t.Errorf("%+v", v)
--- a/internal/peers/quay.go
+++ b/internal/peers/quay.go
@@ -37,7 +37,7 @@
 	tcp      *net.TCPListener
 	dialer   net.Dialer
 	streams  time.Duration
-	roster   *udp.Carriage
+	roster   *udp.Runner
 
 	ctx     context.Context // ends connections
 	cancel  context.CancelFunc
@@ -90,9 +90,9 @@
 		return nil, fmt.Errorf("peers: %w", err)
 	}
 	q.ctx, q.cancel = context.WithCancel(context.Background())
-	q.roster = udp.Start(udp.Options{Conn: &datagrams{UDPConn: q.udp, q: q}, OnChange: p.changed, Roster: membership.Options{Self: self,
-		Rand: rand.New(rand.NewSource(int64(o.Incarnation))), Period: o.Probe, AckTimeout: o.Probe / 2, DeadFor: forgetAfter,
-		MaxMembers: o.Members, FirstKeeps: true}})
+	q.roster = udp.Start(udp.Options{Conn: &datagrams{UDPConn: q.udp, q: q}, OnChange: p.changed, Membership: membership.Options{Self: self,
+		Rand: rand.New(rand.NewSource(int64(o.Incarnation))), Period: o.Probe, AckTimeout: o.Probe / 2, RetainDead: forgetAfter,
+		MaxMembers: o.Members, KeepLiveNames: true}})
 	q.running.Add(1)
 	go q.accept()
 	return q, nil
--- a/internal/peers/view.go
+++ b/internal/peers/view.go
@@ -81,7 +81,7 @@
 func (p *Peers) View() View {
 	addr, refused := p.Addr(), p.refused.Load()
 	if q := p.quay.Load(); q != nil {
-		refused += int64(q.roster.Counts().Roster.Refused)
+		refused += int64(q.roster.Counts().Membership.Malformed)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
