--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -101,10 +101,10 @@
 		return nil
 	}
 	e := &ValidationError{Subject: "call", Reason: err.Error()}
-	var f *schema.Fault
+	var f *schema.Violation
 	if errors.As(err, &f) && len(f.Path) >= 2 {
 		e.Subject = Key{Kind: Kind(max(0, slices.Index(kindNames[:], f.Path[0]))), Name: f.Path[1]}.String()
-		e.Reason = (&schema.Fault{Path: f.Path[2:], Want: f.Want, Got: f.Got}).Error()
+		e.Reason = (&schema.Violation{Path: f.Path[2:], Expected: f.Expected, Actual: f.Actual}).Error()
 	}
 	return e
 }
--- a/internal/console/ask.go
+++ b/internal/console/ask.go
@@ -160,9 +160,9 @@
 
 func trouble(k errcode.Kind) string {
 	switch k {
-	case errcode.Away:
+	case errcode.Unreachable:
 		return "can't be reached"
-	case errcode.Broken:
+	case errcode.ConnectionLost:
 		return "connection broke"
 	}
 	return k.String()
--- a/internal/console/roll.go
+++ b/internal/console/roll.go
@@ -42,7 +42,7 @@
 		err := c.Call(messages.Rolls, call, &t, rollWait)
 		c.Close()
 		switch {
-		case errcode.Of(err) == errcode.Away:
+		case errcode.Of(err) == errcode.Unreachable:
 			continue
 		case err != nil:
 			return wrong("%s: %v; whether the roll was changed can't be told", addr, err)
--- a/internal/controlapi/pilot.go
+++ b/internal/controlapi/pilot.go
@@ -65,7 +65,7 @@
 func ReadBeat(id string, body []byte) (Beat, error) {
 	var b beatBody
 	if err := json.Unmarshal(body, &b); err != nil {
-		return Beat{}, errcode.New(errcode.Unreadable, "beat: %w", err)
+		return Beat{}, errcode.New(errcode.InvalidRequest, "beat: %w", err)
 	}
 	out := Beat{ID: id, Addr: b.Address, Service: b.Info.Service, Release: b.Info.Version, Zone: b.Info.Zone,
 		Capacity: b.Info.Capacity, Count: b.Status.Count}
@@ -75,15 +75,15 @@
 	case "draining":
 		out.State = backends.Draining
 	default:
-		return out, errcode.New(errcode.Unreadable, "beat: status.state: serving or draining wanted, got %.40q", b.Status.State)
+		return out, errcode.New(errcode.InvalidRequest, "beat: status.state: serving or draining wanted, got %.40q", b.Status.State)
 	}
 	switch {
 	case out.Service == "":
-		return out, errcode.New(errcode.Unreadable, "beat: node-info.service: a name wanted")
+		return out, errcode.New(errcode.InvalidRequest, "beat: node-info.service: a name wanted")
 	case out.Capacity < 0:
-		return out, errcode.New(errcode.Unreadable, "beat: node-info.capacity: 0 or more wanted, got %d", out.Capacity)
+		return out, errcode.New(errcode.InvalidRequest, "beat: node-info.capacity: 0 or more wanted, got %d", out.Capacity)
 	case !(b.Status.Warm >= 0 && b.Status.Warm < 1e6):
-		return out, errcode.New(errcode.Unreadable, "beat: status.warmup-left-s: seconds wanted, got %v", b.Status.Warm)
+		return out, errcode.New(errcode.InvalidRequest, "beat: status.warmup-left-s: seconds wanted, got %v", b.Status.Warm)
 	}
 	out.Warm = time.Duration(b.Status.Warm * float64(time.Second))
 	return out, nil
@@ -98,7 +98,7 @@
 			p.Refused(k, err.Error())
 		}
 		a := k.Answer()
-		if a.Again {
+		if a.RetryAfter {
 			w.Header().Set("Retry-After", "0.2")
 		}
 		body, _ = json.Marshal(map[string]string{"error": err.Error()})
@@ -118,7 +118,7 @@
 func (p *Port) dispatch(r *http.Request) ([]byte, error) {
 	seg := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
 	if len(seg) < 2 || seg[0] != "v1" {
-		return nil, errcode.New(errcode.NoCall, "%s", r.URL.Path)
+		return nil, errcode.New(errcode.UnknownCall, "%s", r.URL.Path)
 	}
 	switch {
 	case len(seg) == 2 && seg[1] == "readiness" && r.Method == http.MethodGet && p.Ready != nil:
@@ -144,19 +144,19 @@
 	case len(seg) == 2 && seg[1] == "configuration" && r.Method == http.MethodGet && p.Configure != nil:
 		return p.Configure(r.Context())
 	}
-	return nil, errcode.New(errcode.NoCall, "%s %s", r.Method, r.URL.Path)
+	return nil, errcode.New(errcode.UnknownCall, "%s %s", r.Method, r.URL.Path)
 }
 
 func read(r *http.Request, most int64) ([]byte, error) {
 	raw, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, most))
 	if tooLong := (*http.MaxBytesError)(nil); errors.As(err, &tooLong) {
-		return nil, errcode.New(errcode.BodyTooLong, "over %d bytes", most)
+		return nil, errcode.New(errcode.BodyTooLarge, "over %d bytes", most)
 	}
 	if ne := net.Error(nil); errors.As(err, &ne) || errors.Is(err, io.ErrUnexpectedEOF) { // it did not come whole: nothing is wrong with it
-		return nil, errcode.New(errcode.TooSlow, "%w", err)
+		return nil, errcode.New(errcode.RequestTimeout, "%w", err)
 	}
 	if err != nil {
-		return nil, errcode.New(errcode.Unreadable, "%w", err)
+		return nil, errcode.New(errcode.InvalidRequest, "%w", err)
 	}
 	return raw, nil
 }
--- a/internal/controlapi/pilot_test.go
+++ b/internal/controlapi/pilot_test.go
@@ -18,10 +18,10 @@
 	called := ""
 	all := &Port{
 		Beat:  func(b Beat) error { called = "beat " + b.ID; return nil },
-		Leave: func(id string) error { called = "leave " + id; return errcode.New(errcode.Gone, "") },
+		Leave: func(id string) error { called = "leave " + id; return errcode.New(errcode.NotFound, "") },
 		Change: func(_ context.Context, b []byte) error {
 			called = "change " + string(b)
-			return errcode.New(errcode.Conflict, "")
+			return errcode.New(errcode.VersionConflict, "")
 		},
 		Configure: func(context.Context) ([]byte, error) { called = "configure"; return []byte(`{"a":1}`), nil },
 		Ready:     func() error { called = "ready"; return errcode.New(errcode.NotReady, "") },
@@ -78,7 +78,7 @@
 		{`}}`, `}`, "beat"},
 	} {
 		_, err := ReadBeat("i-1", []byte(strings.Replace(beat, c.old, c.new, 1)))
-		if errcode.Of(err) != errcode.Unreadable || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") || len(err.Error()) > 200 {
+		if errcode.Of(err) != errcode.InvalidRequest || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") || len(err.Error()) > 200 {
 			t.Errorf("%s for %s: %v", c.new, c.old, err)
 		}
 	}
--- a/internal/dataplane/admission.go
+++ b/internal/dataplane/admission.go
@@ -48,7 +48,7 @@
 // turnOut turns away all that wait. The caller holds g.mu.
 func (g *Gate) turnOut() {
 	for len(g.queue) > 0 {
-		heap.Pop(&g.queue).(*wait).ready <- errcode.Leaving
+		heap.Pop(&g.queue).(*wait).ready <- errcode.Draining
 	}
 }
 
@@ -119,13 +119,13 @@
 	switch {
 	case g.ended:
 		g.mu.Unlock()
-		return errcode.Leaving
+		return errcode.Draining
 	case g.berth.Instance != a.Instance || g.berth.Service != a.Service:
 		g.mu.Unlock()
-		return errcode.Elsewhere
+		return errcode.BackendReplaced
 	case g.berth.State != backends.Serving:
 		g.mu.Unlock()
-		return errcode.Leaving
+		return errcode.Draining
 	case g.running < g.limit(a.Rank):
 		g.begin(a.Rank)
 		g.mu.Unlock()
@@ -133,7 +133,7 @@
 	case a.Hold == 0 || g.crowded(a.Rank):
 		g.keep(a.Rank)
 		g.mu.Unlock()
-		return errcode.Full
+		return errcode.Overloaded
 	}
 	g.order++
 	w := &wait{rank: a.Rank, order: g.order, ready: make(chan errcode.Kind, 1)}
@@ -152,10 +152,10 @@
 	if w.at >= 0 {
 		heap.Remove(&g.queue, w.at)
 		if ctx.Err() != nil {
-			return errcode.ClientLeft
+			return errcode.ClientDisconnected
 		}
 		g.keep(a.Rank)
-		return errcode.Full
+		return errcode.Overloaded
 	}
 	return <-w.ready // it was decided in the same moment
 }
@@ -173,7 +173,7 @@
 		return false
 	}
 	heap.Remove(&g.queue, last.at)
-	last.ready <- errcode.Full
+	last.ready <- errcode.Overloaded
 	return true
 }
 
--- a/internal/dataplane/backend.go
+++ b/internal/dataplane/backend.go
@@ -57,7 +57,7 @@
 		g.pool.Close(c) // not even its head can be there: nothing ran
 		if c.Since().IsZero() || !time.Now().Before(cut) || ctx.Err() != nil {
 			g.Counts.Away.Add(1)
-			return outcome{told: told{Code: errcode.Away}, err: err}
+			return outcome{told: told{Code: errcode.Unreachable}, err: err}
 		}
 	}
 	g.Counts.Sent.Add(1)
@@ -67,7 +67,7 @@
 	}
 	if errors.Is(err, errClient) {
 		g.pool.Close(c)
-		return outcome{told: told{Code: errcode.Broken, Sent: true}, err: err}
+		return outcome{told: told{Code: errcode.ConnectionLost, Sent: true}, err: err}
 	}
 	most := &headBound{r: c}
 	in := getReader(most)
@@ -108,7 +108,7 @@
 		if !isTimeout(err) && ctx.Err() == nil {
 			g.refused(a.Instance)
 		}
-		return nil, &outcome{told: told{Code: errcode.Away}, err: err}
+		return nil, &outcome{told: told{Code: errcode.Unreachable}, err: err}
 	}
 	return c, nil
 }
@@ -126,16 +126,16 @@
 // answer reads the answer to an ask. again: another request may follow on the connection, which may rest for so long.
 func (g *Gate) answer(c *links.Conn, in *bufio.Reader, most *headBound, a *ask, end time.Time) (o outcome, again bool, rest time.Duration) {
 	fail := func(err error) (outcome, bool, time.Duration) {
-		k := errcode.Broken
+		k := errcode.ConnectionLost
 		var ne net.Error
 		switch {
 		case isTimeout(err):
-			k = errcode.TimedOut
+			k = errcode.ResponseTimeout
 			g.Counts.TimedOut.Add(1)
 		case errors.As(err, &ne), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 			g.Counts.Broken.Add(1)
 		default:
-			k = errcode.Failed
+			k = errcode.InvalidResponse
 			g.Counts.Failed.Add(1)
 		}
 		return outcome{told: told{Code: k, Sent: true}, err: err}, false, 0
@@ -193,7 +193,7 @@
 				again = false
 			}
 			g.Counts.TurnedAway.Add(1)
-			return outcome{told: told{Code: errcode.TurnedAway, Sent: true, Status: status}}, again, rest
+			return outcome{told: told{Code: errcode.Declined, Sent: true, Status: status}}, again, rest
 		}
 		if status/100 == 2 && (h.Get(HeaderSeal) == "" || h.Get("Content-Encoding") != "") {
 			return fail(fmt.Errorf("a %d that is not the backend's", status))
--- a/internal/dataplane/balancer.go
+++ b/internal/dataplane/balancer.go
@@ -229,7 +229,7 @@
 		r.awayTill = now + r.away
 	case o.Code == errcode.OK && o.Status/100 == 2:
 		h.bucket.Refill(1)
-	case o.Code == errcode.Leaving, o.Code == errcode.Elsewhere, o.Code == errcode.Away:
+	case o.Code == errcode.Draining, o.Code == errcode.BackendReplaced, o.Code == errcode.Unreachable:
 		if r.Instance == c.instance { // its own word comes soon
 			r.awayTill = now + awayHigh
 		}
@@ -259,7 +259,7 @@
 		return 0, enough
 	}
 	cost := retryCost
-	if last == errcode.TimedOut {
+	if last == errcode.ResponseTimeout {
 		cost = timeoutCost
 	}
 	if h.bucket.Tokens() < cost {
--- a/internal/dataplane/balancer_test.go
+++ b/internal/dataplane/balancer_test.go
@@ -40,7 +40,7 @@
 	for _, c := range []struct {
 		last errcode.Kind
 		want int
-	}{{errcode.Full, 100}, {errcode.Broken, 100}, {errcode.TimedOut, 50}} {
+	}{{errcode.Overloaded, 100}, {errcode.ConnectionLost, 100}, {errcode.ResponseTimeout, 50}} {
 		h, n := helmOf(1), 0
 		for again(h, 0, c.last) {
 			n++
@@ -50,7 +50,7 @@
 		}
 		failed := outcome{told: told{Status: 500}}
 		for i := range 5 {
-			if again(h, 0, errcode.Full) {
+			if again(h, 0, errcode.Overloaded) {
 				t.Errorf("a retry for %d tokens", i)
 			}
 			if !h.Pick(0, "s", "").ok {
@@ -60,7 +60,7 @@
 			h.Over(0, ch, &failed)
 			h.Over(0, ch, &served)
 		}
-		if !again(h, 0, errcode.Full) || again(h, 0, errcode.Full) {
+		if !again(h, 0, errcode.Overloaded) || again(h, 0, errcode.Overloaded) {
 			t.Error("5 served requests are not worth one retry")
 		}
 		for range 1000 {
@@ -72,20 +72,20 @@
 	}
 	h := helmOf(1)
 	for retries, want := range []bool{true, true, true, true, true, false, false} {
-		if again(h, retries, errcode.Full) != want {
+		if again(h, retries, errcode.Overloaded) != want {
 			t.Errorf("retry %d: %v", retries+1, !want)
 		}
 	}
 	before := h.bucket.Tokens()
-	if _, no := h.Again(0, slow, "s", 0, errcode.Full, false, 0); no == granted || h.bucket.Tokens() != before {
+	if _, no := h.Again(0, slow, "s", 0, errcode.Overloaded, false, 0); no == granted || h.bucket.Tokens() != before {
 		t.Errorf("a retry with no time left: %v, %v tokens of %v", no, h.bucket.Tokens(), before)
 	}
 	h.Allowance, h.Ratio = 0, 0
 	h.rations = map[string]*retrybudget.Ration{}
-	if _, no := h.Again(0, slow, "s", 0, errcode.TurnedAway, true, time.Hour); no == granted || h.bucket.Tokens() != before {
+	if _, no := h.Again(0, slow, "s", 0, errcode.Declined, true, time.Hour); no == granted || h.bucket.Tokens() != before {
 		t.Error("one more arrival beyond the ration")
 	}
-	if _, no := h.Again(0, slow, "s", 0, errcode.Full, false, time.Hour); no != granted {
+	if _, no := h.Again(0, slow, "s", 0, errcode.Overloaded, false, time.Hour); no != granted {
 		t.Error("what never arrived waits for the ration")
 	}
 }
@@ -105,7 +105,7 @@
 			h := helmOf(1)
 			low, high := time.Hour, time.Duration(0)
 			for range 90 {
-				w, no := h.Again(0, &configuration.Route{Target: c.target}, "s", retries, errcode.Full, false, time.Hour)
+				w, no := h.Again(0, &configuration.Route{Target: c.target}, "s", retries, errcode.Overloaded, false, time.Hour)
 				if no != granted {
 					t.Fatal("no retry")
 				}
@@ -140,7 +140,7 @@
 		}
 	}
 	h = helmOf(2)
-	away := outcome{told: told{Code: errcode.Away}, err: errcode.New(errcode.Away, "")}
+	away := outcome{told: told{Code: errcode.Unreachable}, err: errcode.New(errcode.Unreachable, "")}
 	h.Over(0, choice{node: "n0", instance: "i0"}, &away)
 	for range 20 {
 		if c := h.Pick(awayLow/2, "s", ""); c.node != "n1" {
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -181,7 +181,7 @@
 func (g *DataPlane) AskNews(at string, call []byte, wait time.Duration) (news []byte, err error) {
 	o := g.hops.do(context.Background(), at, &ask{Kind: newsFor, Length: int64(len(call))}, call, nil, time.Now().Add(wait))
 	if o.answer == nil {
-		return nil, errcode.New(errcode.Away, "%s", at)
+		return nil, errcode.New(errcode.Unreachable, "%s", at)
 	}
 	if o.answer.Rest == nil {
 		return o.answer.Body, nil
--- a/internal/dataplane/front.go
+++ b/internal/dataplane/front.go
@@ -165,8 +165,8 @@
 	g.Counts.Requests.Add(1)
 	body, rest, k := c.body(r, limits)
 	if k != errcode.OK {
-		g.ended(&passage{kind: k, gone: k == errcode.Broken}, nil)
-		if k != errcode.Broken {
+		g.ended(&passage{kind: k, gone: k == errcode.ConnectionLost}, nil)
+		if k != errcode.ConnectionLost {
 			g.Counts.Bad.Add(1)
 			c.turnAway(g.byLimits(k.Answer().Status, k.String()))
 		}
@@ -179,7 +179,7 @@
 		v.rest = &stalling{c: c.Conn, r: rest}
 	}
 	var a *Answer
-	k = errcode.ClientLeft
+	k = errcode.ClientDisconnected
 	if !sock.Closed(c.Conn) { // it may have waited in the socket for longer than its client did
 		a, k = v.sail()
 	}
@@ -201,12 +201,12 @@
 		switch {
 		case errors.Is(v.err, http1.ErrTooLarge):
 			g.Counts.Bad.Add(1)
-			v.log.kind = errcode.BodyTooLong
-			c.turnAway(errcode.BodyTooLong.Answer().Status, errcode.BodyTooLong.String())
+			v.log.kind = errcode.BodyTooLarge
+			c.turnAway(errcode.BodyTooLarge.Answer().Status, errcode.BodyTooLarge.String())
 		case errors.Is(v.err, http1.ErrBody):
 			g.Counts.Bad.Add(1)
-			v.log.kind = errcode.Unreadable
-			c.turnAway(errcode.Unreadable.Answer().Status, errcode.Unreadable.String())
+			v.log.kind = errcode.InvalidRequest
+			c.turnAway(errcode.InvalidRequest.Answer().Status, errcode.InvalidRequest.String())
 		default:
 			v.log.gone = true
 		}
@@ -237,7 +237,7 @@
 	if r.Expect && c.in.Buffered() == 0 {
 		c.SetWriteDeadline(time.Now().Add(stallTime))
 		if _, err := io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
-			return nil, nil, errcode.Broken
+			return nil, nil, errcode.ConnectionLost
 		}
 	}
 	b := http1.NewBody(c.in, r.Length, http1.Limits{Head: limits.MaxHeaderBytes, Body: limits.MaxBodyBytes})
@@ -252,13 +252,13 @@
 	body, whole, err := readSome(b, length)
 	switch {
 	case errors.Is(err, http1.ErrTooLarge):
-		return nil, nil, errcode.BodyTooLong
+		return nil, nil, errcode.BodyTooLarge
 	case errors.Is(err, http1.ErrBody):
-		return nil, nil, errcode.Unreadable
+		return nil, nil, errcode.InvalidRequest
 	case isTimeout(err):
-		return nil, nil, errcode.TooSlow
+		return nil, nil, errcode.RequestTimeout
 	case err != nil:
-		return nil, nil, errcode.Broken
+		return nil, nil, errcode.ConnectionLost
 	case !whole:
 		return body, b, errcode.OK
 	}
@@ -290,7 +290,7 @@
 	if id := v.r.Header.Get(HeaderID); id != "" && plain(id) {
 		head += HeaderID + ": " + id + "\r\n"
 	}
-	if a.Again {
+	if a.RetryAfter {
 		head += "Retry-After: " + strconv.FormatFloat(v.comeBack(k).Seconds(), 'f', 3, 64) + "\r\n"
 	}
 	return c.put(a.Status, head, []byte(a.Text+"\n"), last, v.r.Method)
@@ -416,7 +416,7 @@
 
 // ended counts a request that has ended.
 func (c *client) ended(v *voyage) {
-	if v.log.kind == errcode.ClientLeft || disconnect.Left(v.ctx) {
+	if v.log.kind == errcode.ClientDisconnected || disconnect.Left(v.ctx) {
 		v.log.gone = true
 		c.g.Counts.ClientLeft.Add(1)
 	}
@@ -450,7 +450,7 @@
 	}
 	wait, spread := aim/10, aim/16
 	switch k {
-	case errcode.NotReady, errcode.NoBackend, errcode.CoreOut, errcode.Away, errcode.Repairing, errcode.DiskOut:
+	case errcode.NotReady, errcode.NoBackend, errcode.NoQuorum, errcode.Unreachable, errcode.Recovering, errcode.DiskUnavailable:
 		wait, spread = aim/outPart, aim/8
 		if left := time.Until(v.cut); v.route != nil {
 			wait = min(max(wait, left/outLeft), aim)
@@ -486,7 +486,7 @@
 	if s := v.r.Header.Get(HeaderLeft); s != "" {
 		ms, err := strconv.ParseFloat(s, 64)
 		if err != nil || !(ms >= 0 && ms < 1e9) {
-			return nil, errcode.Unreadable
+			return nil, errcode.InvalidRequest
 		}
 		left = min(left, time.Duration(ms*float64(time.Millisecond)))
 	}
@@ -494,12 +494,12 @@
 	v.log.target = v.route.Target
 	for _, name := range [...]string{HeaderID, HeaderLeft, HeaderKey} {
 		if len(v.r.Header[name]) > 1 { // which of them counts, its backend may read in another way
-			return nil, errcode.Unreadable
+			return nil, errcode.InvalidRequest
 		}
 	}
 	rest := time.Until(v.cut)
 	if v.log.body = left - rest; rest <= 0 {
-		return nil, errcode.Overdue
+		return nil, errcode.DeadlinePassed
 	}
 	if v.route.Kind == configuration.Deduplicated {
 		return v.once()
@@ -540,14 +540,14 @@
 	a := v.ask()
 	var service, failed string
 	var c choice
-	sent := 0         // attempts that may have reached a backend
-	k = errcode.Full  // of the last attempt
-	ran := errcode.OK // of the last attempt that may have run; OK: none
-	var last *Answer  // a backend's own failure, if that is all there is
+	sent := 0              // attempts that may have reached a backend
+	k = errcode.Overloaded // of the last attempt
+	ran := errcode.OK      // of the last attempt that may have run; OK: none
+	var last *Answer       // a backend's own failure, if that is all there is
 	first := time.Now()
 	for retries := 0; ; retries++ {
 		if disconnect.Left(v.ctx) {
-			k = errcode.ClientLeft
+			k = errcode.ClientDisconnected
 			break
 		}
 		g.balancer.Ask(func(h *Balancer) {
@@ -564,7 +564,7 @@
 		}
 		left := time.Until(v.cut)
 		if left <= time.Millisecond {
-			k = errcode.Overdue
+			k = errcode.DeadlinePassed
 			break
 		}
 		a.Instance, a.Service = c.instance, c.service
@@ -590,15 +590,15 @@
 				g.Counts.Served.Add(1)
 				return o.answer, k, c.addr
 			}
-			last, ran = o.answer, errcode.Failed
-			k = errcode.Failed
+			last, ran = o.answer, errcode.InvalidResponse
+			k = errcode.InvalidResponse
 			v.log.tried = causeBackend
 		} else if !k.NotRun() {
 			ran, where = k, c.addr
 			if !v.route.Kind.Repeatable() {
 				break
 			}
-		} else if k == errcode.Full {
+		} else if k == errcode.Overloaded {
 			g.Counts.HopFull.Add(1)
 		}
 		if o.Code != errcode.OK {
--- a/internal/dataplane/gate.go
+++ b/internal/dataplane/gate.go
@@ -219,11 +219,11 @@
 	g.Counts.WaitMicros.Add(held.Microseconds())
 	if k != errcode.OK {
 		switch k {
-		case errcode.ClientLeft:
+		case errcode.ClientDisconnected:
 			g.Counts.GivenUp.Add(1)
-		case errcode.Full:
+		case errcode.Overloaded:
 			g.Counts.Full.Add(1)
-		case errcode.Elsewhere:
+		case errcode.BackendReplaced:
 			g.Counts.Elsewhere.Add(1)
 		default:
 			g.Counts.Leaving.Add(1)
@@ -233,7 +233,7 @@
 	left := time.Duration(a.Left)*time.Millisecond - held
 	if left <= 0 {
 		g.exit(a.Rank)
-		return g.tell(outcome{told: told{Code: errcode.Overdue}})
+		return g.tell(outcome{told: told{Code: errcode.DeadlinePassed}})
 	}
 	if ctx.Err() != nil || a.gone != nil && a.gone() {
 		g.exit(a.Rank)
@@ -302,8 +302,8 @@
 // recallHere tells what is known on this machine of a key: by own, where it was claimed here, or else by the backend's side.
 func (g *Gate) recallHere(a *ask, own func(*ask) outcome) outcome {
 	o := own(a)
-	if o.Code == errcode.Gone {
-		if ran := g.recallAnswer(a); ran.Code != errcode.Gone {
+	if o.Code == errcode.NotFound {
+		if ran := g.recallAnswer(a); ran.Code != errcode.NotFound {
 			return ran
 		}
 	}
@@ -314,13 +314,13 @@
 func recalled(op idempotency.Op[*Answer], known bool, id idempotency.ID) outcome {
 	switch {
 	case !known || op.ID != id:
-		return outcome{told: told{Code: errcode.Gone}}
+		return outcome{told: told{Code: errcode.NotFound}}
 	case op.State == idempotency.Done:
 		return outcome{told: told{State: idempotency.Done}, answer: op.Answer}
 	case op.State == idempotency.AtWork:
-		return outcome{told: told{Code: errcode.KeyAtWork, State: op.State}}
+		return outcome{told: told{Code: errcode.KeyInProgress, State: op.State}}
 	case op.State == idempotency.Void:
-		return outcome{told: told{Code: errcode.KeySplit, State: op.State}}
+		return outcome{told: told{Code: errcode.KeyContended, State: op.State}}
 	}
-	return outcome{told: told{Code: errcode.KeyUnknown, State: op.State}}
+	return outcome{told: told{Code: errcode.KeyOutcomeUnknown, State: op.State}}
 }
--- a/internal/dataplane/gate_test.go
+++ b/internal/dataplane/gate_test.go
@@ -66,13 +66,13 @@
 	a := func(id string, rank int, hold uint32) *ask {
 		return &ask{Instance: id, Service: "ledger", Rank: rank, Hold: hold}
 	}
-	if k := g.enter(context.Background(), a("i-0", 0, 0)); k != errcode.Elsewhere {
+	if k := g.enter(context.Background(), a("i-0", 0, 0)); k != errcode.BackendReplaced {
 		t.Errorf("another life: %v", k)
 	}
 	if k := g.enter(context.Background(), a("i-1", 0, 0)); k != errcode.OK {
 		t.Fatalf("the first: %v", k)
 	}
-	if k := g.enter(context.Background(), a("i-1", 0, 0)); k != errcode.Full {
+	if k := g.enter(context.Background(), a("i-1", 0, 0)); k != errcode.Overloaded {
 		t.Errorf("one that may not wait: %v", k)
 	}
 	got := make(chan errcode.Kind, 1)
@@ -101,7 +101,7 @@
 		}
 		end(id)
 		g.exit(1)
-		if k := <-got; k != errcode.Leaving {
+		if k := <-got; k != errcode.Draining {
 			t.Errorf("one that waited when the backend left, way %d: %v", n, k)
 		}
 		if k := g.enter(context.Background(), a(id, 0, 0)); k == errcode.OK {
@@ -134,14 +134,14 @@
 		t.Fatalf("the first: %v", k)
 	}
 	low := wait(2)
-	if k := g.enter(context.Background(), ask(2)); k != errcode.Full {
+	if k := g.enter(context.Background(), ask(2)); k != errcode.Overloaded {
 		t.Errorf("one of the same rank as the last: %v", k)
 	}
 	high := wait(1)
-	if k := <-low; k != errcode.Full {
+	if k := <-low; k != errcode.Overloaded {
 		t.Errorf("the last, when one came that ranks before it: %v", k)
 	}
-	if k := g.enter(context.Background(), ask(2)); k != errcode.Full {
+	if k := g.enter(context.Background(), ask(2)); k != errcode.Overloaded {
 		t.Errorf("one that ranks behind: %v", k)
 	}
 	g.exit(2)
@@ -170,7 +170,7 @@
 			}
 		}
 		for range 9 {
-			if k := enter(1); k != errcode.Full {
+			if k := enter(1); k != errcode.Overloaded {
 				t.Fatalf("an eleventh: %v", k)
 			}
 		}
@@ -180,7 +180,7 @@
 		for range 3 {
 			g.exit(2)
 		}
-		if a, b, c := enter(2), enter(1), enter(0); a != errcode.Full || b != errcode.OK || c != errcode.OK {
+		if a, b, c := enter(2), enter(1), enter(0); a != errcode.Overloaded || b != errcode.OK || c != errcode.OK {
 			t.Errorf("with 7 of 10 taken, ranks 2, 1, 0 get: %v, %v, %v", a, b, c)
 		}
 		time.Sleep(keepHalf)
@@ -237,7 +237,7 @@
 // A client comes back soon where a place was lost to others, and later where something is out; never beyond the route's target.
 func TestComeBack(t *testing.T) {
 	v := &voyage{came: time.Now(), cut: time.Now().Add(10 * time.Second), route: &configuration.Route{Target: 400 * time.Millisecond}}
-	soon, later := v.comeBack(errcode.Full), v.comeBack(errcode.CoreOut)
+	soon, later := v.comeBack(errcode.Overloaded), v.comeBack(errcode.NoQuorum)
 	if soon < 40*time.Millisecond || soon > 65*time.Millisecond || later < 400*time.Millisecond || later > 450*time.Millisecond {
 		t.Errorf("full: %v, out with 10 s left: %v; want 40 to 65 ms, and the target and up to an eighth more", soon, later)
 	}
@@ -260,11 +260,11 @@
 		want  errcode.Kind
 	}{
 		{"done", idempotency.Op[*Answer]{ID: id, State: idempotency.Done, Answer: kept}, true, id, errcode.OK},
-		{"another claim", idempotency.Op[*Answer]{ID: id, State: idempotency.Done, Answer: kept}, true, other, errcode.Gone},
-		{"unheard of", idempotency.Op[*Answer]{}, false, id, errcode.Gone},
-		{"at work", idempotency.Op[*Answer]{ID: id, State: idempotency.AtWork}, true, id, errcode.KeyAtWork},
-		{"unknown", idempotency.Op[*Answer]{ID: id, State: idempotency.Unknown}, true, id, errcode.KeyUnknown},
-		{"void", idempotency.Op[*Answer]{ID: id, State: idempotency.Void}, true, id, errcode.KeySplit},
+		{"another claim", idempotency.Op[*Answer]{ID: id, State: idempotency.Done, Answer: kept}, true, other, errcode.NotFound},
+		{"unheard of", idempotency.Op[*Answer]{}, false, id, errcode.NotFound},
+		{"at work", idempotency.Op[*Answer]{ID: id, State: idempotency.AtWork}, true, id, errcode.KeyInProgress},
+		{"unknown", idempotency.Op[*Answer]{ID: id, State: idempotency.Unknown}, true, id, errcode.KeyOutcomeUnknown},
+		{"void", idempotency.Op[*Answer]{ID: id, State: idempotency.Void}, true, id, errcode.KeyContended},
 	} {
 		if o := recalled(c.op, c.known, c.by); o.Code != c.want || (o.answer != nil) != (c.want == errcode.OK) {
 			t.Errorf("%s: %v, answer %v", c.name, o.Code, o.answer)
@@ -276,7 +276,7 @@
 		b.Begin(0, "k", id)
 		b.End("k", id, idempotency.Void, nil, 0, "")
 	})
-	if o := g.recallAnswer(&ask{Key: "k", Claim: id}); o.Code != errcode.Gone {
+	if o := g.recallAnswer(&ask{Key: "k", Claim: id}); o.Code != errcode.NotFound {
 		t.Errorf("an attempt that was declined: %v", o.Code)
 	}
 	again := kept.under("second")
--- a/internal/dataplane/hop.go
+++ b/internal/dataplane/hop.go
@@ -232,9 +232,9 @@
 
 // givenUp is the outcome of an attempt whose client left. sent: it may have run.
 func givenUp(sent bool) outcome {
-	k := errcode.ClientLeft
+	k := errcode.ClientDisconnected
 	if sent {
-		k = errcode.Broken
+		k = errcode.ConnectionLost
 	}
 	return outcome{told: told{Code: k, Sent: sent}, err: disconnect.ErrPeerClosed, canceled: true}
 }
@@ -280,7 +280,7 @@
 	}
 	if err != nil {
 		h.pool.CloseIdle(addr)
-		return outcome{told: told{Code: errcode.Away}, err: err, hop: true}
+		return outcome{told: told{Code: errcode.Unreachable}, err: err, hop: true}
 	}
 	c.SetDeadline(cut)
 	c.CloseOn(ctx)
@@ -301,7 +301,7 @@
 	if len(msg)-len(body)-4 > maxHopHead { // nobody reads it
 		putBuf(buf)
 		h.pool.Release(c)
-		return outcome{told: told{Code: errcode.HeadTooLong}}
+		return outcome{told: told{Code: errcode.HeaderTooLarge}}
 	}
 	out := h.pacer.Writer(c)
 	n, err := out.Write(msg)
@@ -314,15 +314,15 @@
 			if ctx.Err() == nil {
 				h.pool.CloseIdle(addr)
 			}
-			return outcome{told: told{Code: errcode.Away}, err: err, hop: true}
+			return outcome{told: told{Code: errcode.Unreachable}, err: err, hop: true}
 		}
-		return outcome{told: told{Code: errcode.Broken, Sent: true}, err: err, hop: true}
+		return outcome{told: told{Code: errcode.ConnectionLost, Sent: true}, err: err, hop: true}
 	}
 	if stream != nil {
 		sock.SetQuiet(c.Conn, longHop)
 		if err = sendPieces(c, out, stream); errors.Is(err, errClient) {
 			h.pool.Close(c)
-			return outcome{told: told{Code: errcode.Broken, Sent: true}, err: err}
+			return outcome{told: told{Code: errcode.ConnectionLost, Sent: true}, err: err}
 		}
 		c.SetDeadline(cut)
 		if err != nil { // it may have said why before it read all
@@ -339,14 +339,14 @@
 	if err != nil {
 		putReader(in)
 		h.pool.Close(c)
-		k := errcode.Broken
+		k := errcode.ConnectionLost
 		if isTimeout(err) {
-			k = errcode.TimedOut
+			k = errcode.ResponseTimeout
 			if time.Now().Before(cut) { // the link's own time-out, of bytes that nobody acknowledged
-				k = errcode.Broken
+				k = errcode.ConnectionLost
 			}
 		}
-		if k == errcode.Broken && ctx.Err() == nil {
+		if k == errcode.ConnectionLost && ctx.Err() == nil {
 			h.pool.CloseIdle(addr)
 		}
 		return outcome{told: told{Code: k, Sent: true}, err: err, hop: true}
@@ -362,7 +362,7 @@
 	if err != nil {
 		putReader(in)
 		h.pool.Close(c)
-		return outcome{told: told{Code: errcode.Broken, Sent: true, Status: t.Status}, err: err, hop: true}
+		return outcome{told: told{Code: errcode.ConnectionLost, Sent: true, Status: t.Status}, err: err, hop: true}
 	}
 	if o.answer.Rest != nil && a.Kind != newsFor { // news is read whole within its time
 		c.SetDeadline(time.Time{})
--- a/internal/dataplane/hop_answer_test.go
+++ b/internal/dataplane/hop_answer_test.go
@@ -98,16 +98,16 @@
 			time.Sleep(time.Millisecond) // in which as much follows as there is room for
 			c.Close()
 		}
-		if o := do(100<<10, reset); !errors.Is(o.err, syscall.ECONNRESET) || o.Code != errcode.Away || o.Sent {
+		if o := do(100<<10, reset); !errors.Is(o.err, syscall.ECONNRESET) || o.Code != errcode.Unreachable || o.Sent {
 			t.Errorf("an ask that broke off: %+v, %v", o.told, o.err)
 		}
-		if o := do(100<<10, func(net.Conn, *bufio.Reader) {}); !isTimeout(o.err) || o.Code != errcode.Away || o.Sent {
+		if o := do(100<<10, func(net.Conn, *bufio.Reader) {}); !isTimeout(o.err) || o.Code != errcode.Unreachable || o.Sent {
 			t.Errorf("an ask that was not taken in time: %+v, %v", o.told, o.err)
 		}
-		if o := do(10, reset); o.Code != errcode.Broken || !o.Sent {
+		if o := do(10, reset); o.Code != errcode.ConnectionLost || !o.Sent {
 			t.Errorf("an ask that may have come whole: %+v, %v", o.told, o.err)
 		}
-		if o := do(10, func(c net.Conn, in *bufio.Reader) { readMessage(in, new(ask)); c.Close() }); o.Code != errcode.Broken || !o.Sent {
+		if o := do(10, func(c net.Conn, in *bufio.Reader) { readMessage(in, new(ask)); c.Close() }); o.Code != errcode.ConnectionLost || !o.Sent {
 			t.Errorf("an ask that came whole: %+v, %v", o.told, o.err)
 		}
 	})
@@ -122,11 +122,11 @@
 			c, in := f.accept(t)
 			var a ask
 			if readMessage(in, &a) == nil { // answered before its body was read, as a gate without room does
-				writeTold(c, c, outcome{told: told{Code: errcode.Full}})
+				writeTold(c, c, outcome{told: told{Code: errcode.Overloaded}})
 			}
 		}()
 		o := f.h.do(context.Background(), f.addr, &ask{Kind: run, Length: pieces}, nil, strings.NewReader("short"), time.Now().Add(time.Second))
-		if o.Code != errcode.Full || f.h.pool.Idle(f.addr) != 0 {
+		if o.Code != errcode.Overloaded || f.h.pool.Idle(f.addr) != 0 {
 			t.Errorf("%+v, %v; %d kept", o.told, o.err, f.h.pool.Idle(f.addr))
 		}
 	})
@@ -152,10 +152,10 @@
 		do := func(kind uint8) outcome {
 			return h.do(context.Background(), "10.0.0.1:82", &ask{Kind: kind, Instance: "i-1", Service: "ledger", Left: 1000}, nil, nil, time.Now().Add(time.Second))
 		}
-		if o := do(recall); o.Code != errcode.Gone {
+		if o := do(recall); o.Code != errcode.NotFound {
 			t.Fatalf("%+v, %v", o.told, o.err)
 		}
-		if o := do(run); o.Code != errcode.Leaving || o.Sent || reads != 2 {
+		if o := do(run); o.Code != errcode.Draining || o.Sent || reads != 2 {
 			t.Errorf("%+v, %v, after %d reads", o.told, o.err, reads)
 		}
 		time.Sleep(time.Second)
@@ -176,7 +176,7 @@
 		f := newFar(t)
 		defer f.end()
 		o := f.h.do(context.Background(), f.addr, &ask{Kind: run, Target: strings.Repeat("x", maxHopHead)}, nil, nil, time.Now().Add(time.Second))
-		if o.Code != errcode.HeadTooLong || !o.Code.NotRun() || o.Sent {
+		if o.Code != errcode.HeaderTooLarge || !o.Code.NotRun() || o.Sent {
 			t.Errorf("%+v, %v", o.told, o.err)
 		}
 		w := newWay(t, lookup, func(o io.Writer, r *http.Request) {
@@ -188,7 +188,7 @@
 		})
 		a := &ask{Instance: "i-1", Service: "ledger", Method: "GET", Target: "/", ID: "A", Left: 1000, Header: []Field{{Name: HeaderID, Value: "A"}, {Name: "Host", Value: "h"}}}
 		o = w.Gate.run(context.Background(), a, nil, nil)
-		if o.Code != errcode.Failed || !errors.Is(o.err, errLongHead) {
+		if o.Code != errcode.InvalidResponse || !errors.Is(o.err, errLongHead) {
 			t.Errorf("%+v, %v", o.told, o.err)
 		}
 	})
--- a/internal/dataplane/keyed.go
+++ b/internal/dataplane/keyed.go
@@ -26,7 +26,7 @@
 func (v *voyage) once() (*Answer, errcode.Kind) {
 	g := v.g
 	if v.key = v.r.Header.Get(HeaderKey); v.key == "" || len(v.key) > 512 {
-		return nil, errcode.Unreadable
+		return nil, errcode.InvalidRequest
 	}
 	id := idempotency.ID{Life: g.o.Life, N: g.claim.Add(1), At: g.o.GateAddr}
 	var known idempotency.Op[*Answer]
@@ -41,19 +41,19 @@
 	v.claim = id
 	k, holder := v.claimKey()
 	if k == errcode.OK && disconnect.Left(v.ctx) {
-		k = errcode.ClientLeft
+		k = errcode.ClientDisconnected
 	}
 	switch k {
 	case errcode.OK:
-	case errcode.KeyAtWork: // another has it
+	case errcode.KeyInProgress: // another has it
 		g.Counts.Lost.Add(1)
 		mine := v.claim // not the first one where votes were split
 		g.book.Send(func(b *idempotency.Book[*Answer]) { b.Forget(v.key, mine) })
 		return v.ofAnother(holder)
-	case errcode.KeySplit: // those who hold a part of the votes may know more
+	case errcode.KeyContended: // those who hold a part of the votes may know more
 		v.release()
 		if holder.At != "" {
-			if o := v.recall(holder.At, holder); o.Code == errcode.OK && o.answer != nil || o.Code == errcode.KeyAtWork {
+			if o := v.recall(holder.At, holder); o.Code == errcode.OK && o.answer != nil || o.Code == errcode.KeyInProgress {
 				return v.told(o)
 			} else if o.State == idempotency.Void {
 				v.free(holder)
@@ -118,20 +118,20 @@
 			return errcode.OK, holder
 		case idempotency.Lost:
 			v.free(v.claim)
-			return errcode.KeyAtWork, holder
+			return errcode.KeyInProgress, holder
 		case idempotency.Split:
 			g.Counts.Split.Add(1)
 			v.free(v.claim)
 			// Whoever is told may have had a majority with a member that is silent now: it knows.
 			switch o := v.recall(holder.At, holder); {
-			case o.Code == errcode.KeyAtWork:
+			case o.Code == errcode.KeyInProgress:
 			case o.State == idempotency.Void && o.Code != errcode.OK:
 				v.free(holder)
 			default:
-				return errcode.KeyAtWork, holder
+				return errcode.KeyInProgress, holder
 			}
 			if try+1 >= claimTries || time.Now().After(end) || disconnect.Left(v.ctx) {
-				return errcode.KeySplit, holder
+				return errcode.KeyContended, holder
 			}
 			time.Sleep(5*time.Millisecond + rand.N(20*time.Millisecond))
 			old := v.claim // void for good
@@ -143,7 +143,7 @@
 			continue
 		}
 		g.Counts.CoreOut.Add(1)
-		return errcode.CoreOut, holder
+		return errcode.NoQuorum, holder
 	}
 }
 
@@ -235,7 +235,7 @@
 		g.o.Council.Gather(messages.Claim, func(int) []byte { return msg }, time.Until(end), func(t quorum.Told) bool {
 			var gr idempotency.Grant
 			if t.Err != nil || rpc.Decode(t.Body, &gr) != nil {
-				if vote.Missed(); errcode.Of(t.Err) == errcode.Gone {
+				if vote.Missed(); errcode.Of(t.Err) == errcode.NotFound {
 					if gone++; gone == 1 {
 						g.o.Council.Learn(t.Place, roll.Epoch)
 					}
@@ -257,9 +257,9 @@
 	o := v.recall(holder.At, holder)
 	if o.State == idempotency.Void && o.Code != errcode.OK { // it never ran and never will: whoever asks may try anew
 		v.free(holder)
-		return nil, errcode.KeySplit
+		return nil, errcode.KeyContended
 	}
-	if o.Code == errcode.Gone || o.Code == errcode.Away || o.Code == errcode.Broken || o.Code == errcode.TimedOut {
+	if o.Code == errcode.NotFound || o.Code == errcode.Unreachable || o.Code == errcode.ConnectionLost || o.Code == errcode.ResponseTimeout {
 		var at []string
 		v.g.balancer.Ask(func(h *Balancer) {
 			for _, r := range h.rows {
@@ -275,7 +275,7 @@
 			go func() { ch <- v.recall(addr, holder) }()
 		}
 		for range at {
-			if x := <-ch; x.Code == errcode.OK && x.answer != nil || x.Code == errcode.KeyAtWork {
+			if x := <-ch; x.Code == errcode.OK && x.answer != nil || x.Code == errcode.KeyInProgress {
 				o = x
 				break
 			}
@@ -303,12 +303,12 @@
 	case o.Code == errcode.OK && o.answer != nil:
 		v.g.Counts.Replayed.Add(1)
 		return o.answer.under(v.r.Header.Get(HeaderID)), errcode.OK
-	case o.Code == errcode.KeyAtWork:
-		return nil, errcode.KeyAtWork
-	case o.State == idempotency.Void && o.Code == errcode.KeySplit:
-		return nil, errcode.KeySplit
+	case o.Code == errcode.KeyInProgress:
+		return nil, errcode.KeyInProgress
+	case o.State == idempotency.Void && o.Code == errcode.KeyContended:
+		return nil, errcode.KeyContended
 	}
-	return nil, errcode.KeyUnknown
+	return nil, errcode.KeyOutcomeUnknown
 }
 
 // under is an answer as it goes to a repeat of its request, which has an id of its own.
--- a/internal/dataplane/loss.go
+++ b/internal/dataplane/loss.go
@@ -64,11 +64,11 @@
 
 // causeOf is the cause of what ended with a kind; causeOther for those that end no request.
 var causeOf = [32]cause{
-	errcode.Unreadable: causeClient, errcode.NoRoute: causeClient, errcode.HeadTooLong: causeClient, errcode.BodyTooLong: causeClient,
-	errcode.TooSlow: causeClientSlow, errcode.NotReady: causeColdProxy, errcode.NoBackend: causeNoBackend, errcode.Full: causeFull,
-	errcode.Overdue: causeOverdue, errcode.Leaving: causeLeaving, errcode.Elsewhere: causeLeaving, errcode.Away: causeAway,
-	errcode.TurnedAway: causeDeclined, errcode.Failed: causeUnusable, errcode.Broken: causeBroken, errcode.TimedOut: causeTimeout,
-	errcode.KeyAtWork: causeKeyAtWork, errcode.KeyUnknown: causeKeyUnknown, errcode.KeySplit: causeKeySplit, errcode.CoreOut: causeCoreOut,
+	errcode.InvalidRequest: causeClient, errcode.NoRoute: causeClient, errcode.HeaderTooLarge: causeClient, errcode.BodyTooLarge: causeClient,
+	errcode.RequestTimeout: causeClientSlow, errcode.NotReady: causeColdProxy, errcode.NoBackend: causeNoBackend, errcode.Overloaded: causeFull,
+	errcode.DeadlinePassed: causeOverdue, errcode.Draining: causeLeaving, errcode.BackendReplaced: causeLeaving, errcode.Unreachable: causeAway,
+	errcode.Declined: causeDeclined, errcode.InvalidResponse: causeUnusable, errcode.ConnectionLost: causeBroken, errcode.ResponseTimeout: causeTimeout,
+	errcode.KeyInProgress: causeKeyAtWork, errcode.KeyOutcomeUnknown: causeKeyUnknown, errcode.KeyContended: causeKeySplit, errcode.NoQuorum: causeCoreOut,
 }
 
 // passage is what is known of a request once it has ended. Times are of one clock, and parts of took.
--- a/internal/dataplane/loss_test.go
+++ b/internal/dataplane/loss_test.go
@@ -39,9 +39,9 @@
 		"a 500":                          {passage{status: 500, runs: 2, took: 10}, endFailed, causeBackend},
 		"a 500, and no ration":           {passage{status: 500, runs: 1, took: 10, denied: noRation}, endFailed, causeRation},
 		"a part of an answer":            {passage{status: 200, runs: 1, took: 10, cut: true}, endFailed, causeBroken},
-		"full, and no tokens":            {passage{kind: errcode.Full, denied: noTokens}, endRefused, causeTokens},
-		"full, and no time":              {passage{kind: errcode.Full, denied: enough}, endRefused, causeFull},
-		"none waits":                     {passage{kind: errcode.Broken, gone: true}, endFailed, causeClientGone},
+		"full, and no tokens":            {passage{kind: errcode.Overloaded, denied: noTokens}, endRefused, causeTokens},
+		"full, and no time":              {passage{kind: errcode.Overloaded, denied: enough}, endRefused, causeFull},
+		"none waits":                     {passage{kind: errcode.ConnectionLost, gone: true}, endFailed, causeClientGone},
 		"no number of ours":              {passage{kind: 255}, endFailed, causeOther},
 	} {
 		c.p.target = 100
@@ -49,7 +49,7 @@
 			t.Errorf("%s: %s %s, want %s %s", name, endingNames[e], causeNames[x], endingNames[c.e], causeNames[c.c])
 		}
 	}
-	for k := errcode.Unreadable; k <= errcode.CoreOut; k++ { // those that end requests
+	for k := errcode.InvalidRequest; k <= errcode.NoQuorum; k++ { // those that end requests
 		e, c := (&passage{kind: k}).judge()
 		if c == causeOther || (e == endRefused) != k.NotRun() {
 			t.Errorf("%s: %s %s", k, endingNames[e], causeNames[c])
--- a/internal/dataplane/owner_test.go
+++ b/internal/dataplane/owner_test.go
@@ -59,14 +59,14 @@
 		go func() { got <- do("i-1") }()
 		time.Sleep(time.Second / 2)
 		own("i-2", 0)
-		want("its address has a new owner that the gate has not heard of", do("i-1"), errcode.TurnedAway)
+		want("its address has a new owner that the gate has not heard of", do("i-1"), errcode.Declined)
 		w.Gate.Beat(controlapi.Beat{ID: "i-2", Service: "ledger", Capacity: 2, Count: 1, State: backends.Serving})
 		want("what was at work", <-got, errcode.OK)
 		synctest.Wait()
 		if idle := w.Gate.pool.Idle("i-1") + w.Gate.pool.Idle("i-2"); idle != 0 {
 			t.Errorf("%d connections of the first life are kept", idle)
 		}
-		want("what is meant for the first life", do("i-1"), errcode.Elsewhere)
+		want("what is meant for the first life", do("i-1"), errcode.BackendReplaced)
 		want("the second life", do("i-2"), errcode.OK)
 		mu.Lock()
 		defer mu.Unlock()
--- a/internal/dataplane/report.go
+++ b/internal/dataplane/report.go
@@ -19,7 +19,7 @@
 // elseFor does for others what has nothing to do with requests.
 func (g *DataPlane) elseFor(a *ask, body []byte) outcome {
 	if a.Kind != reportOf || g.o.Report == nil {
-		return outcome{told: told{Code: errcode.NoCall}}
+		return outcome{told: told{Code: errcode.UnknownCall}}
 	}
 	answer, err := g.o.Report(body)
 	if err != nil {
@@ -82,7 +82,7 @@
 		if raw, err = k.ask(addr, rpc.Encode(call), cut); err == nil {
 			return r, rpc.Decode(raw, &r)
 		}
-		if errcode.Of(err) != errcode.Broken {
+		if errcode.Of(err) != errcode.ConnectionLost {
 			break
 		}
 	}
@@ -92,7 +92,7 @@
 func (k *Asker) ask(addr string, body []byte, cut time.Time) (raw []byte, err error) {
 	c, err := k.hops.dial(context.Background(), addr, cut)
 	if err != nil {
-		return nil, errcode.New(errcode.Away, "%w", err)
+		return nil, errcode.New(errcode.Unreachable, "%w", err)
 	}
 	c.SetDeadline(cut)
 	in := getReader(c)
@@ -117,11 +117,11 @@
 		k.hops.pool.CloseIdle(addr)
 		switch {
 		case isTimeout(err):
-			return nil, errcode.New(errcode.TimedOut, "%s", addr)
+			return nil, errcode.New(errcode.ResponseTimeout, "%s", addr)
 		case errcode.Of(err) == errcode.Malformed:
 			return nil, err
 		}
-		return nil, errcode.New(errcode.Broken, "%w", err)
+		return nil, errcode.New(errcode.ConnectionLost, "%w", err)
 	}
 	k.hops.release(c, in, false)
 	return raw, nil
--- a/internal/dataplane/walk_gate_test.go
+++ b/internal/dataplane/walk_gate_test.go
@@ -440,13 +440,13 @@
 			{"a fresh one", -1, errcode.OK, 1},
 			{"nothing left", 0, errcode.OK, 1},
 			{"a part of the head left", 40, errcode.OK, 1},
-			{"the head left", 200, errcode.Broken, 0},
-			{"a part of the head left on a fresh one", 40, errcode.Away, 0},
+			{"the head left", 200, errcode.ConnectionLost, 0},
+			{"a part of the head left on a fresh one", 40, errcode.Unreachable, 0},
 			{"a fresh one again", -1, errcode.OK, 1},
 		} {
 			was := ran
 			take = step.take
-			if o := do(strings.Repeat("x", 500)); o.Code != step.want || ran-was != step.runs || o.Code == errcode.Away && o.Sent {
+			if o := do(strings.Repeat("x", 500)); o.Code != step.want || ran-was != step.runs || o.Code == errcode.Unreachable && o.Sent {
 				t.Errorf("%s: %+v, %v; it ran %d times", step.name, o.told, o.err, ran-was)
 			}
 			if c := w.Gate.pool.Take("i-1"); c != nil { // asked again under its id, it would go out on a fresh one
--- a/internal/dataplane/walk_hop_test.go
+++ b/internal/dataplane/walk_hop_test.go
@@ -50,7 +50,7 @@
 
 func (h *hopped) refuse() bool { return h.tell(full, h.a.Number) }
 
-var full = outcome{told: told{Code: errcode.Full}}
+var full = outcome{told: told{Code: errcode.Overloaded}}
 
 // gateDeeds are what may happen to an ask at the other end. whole: it is read whole, and its request may run.
 var gateDeeds = []struct {
--- a/internal/errcode/errcode.go
+++ b/internal/errcode/errcode.go
@@ -1,6 +1,6 @@
-// Package errcode is the closed list of what can go wrong with a call in the mesh, and the table from each kind to its
-// answer. Every program of the mesh names its errors by it: to clients and operators as a status, to each other as one
-// byte. A kind that is not here can't be sent.
+// Package errcode defines the closed set of error kinds of calls in the mesh, and the answer to a client for each of them. All
+// programs use it: towards clients and operators a kind becomes an HTTP status, between programs it is sent as one byte. Errors
+// outside this set cannot be sent.
 package errcode
 
 import (
@@ -9,103 +9,103 @@
 	"net/http"
 )
 
-// Kind is one kind of error. Its number is what programs tell each other: numbers are never given again.
+// Kind is a kind of error. Its number is sent between programs, so numbers must never be reused.
 type Kind uint8
 
-// The kinds. Those behind notRun promise that nothing has run and nothing will.
+// The kinds. Those with Answer.NotRun promise that nothing has been executed and nothing will be.
 const (
-	OK          Kind = 0
-	Unreadable  Kind = 1  // a request that can't be read, or may be read in two ways
-	NoRoute     Kind = 2  // no route takes it
-	HeadTooLong Kind = 3  // more bytes of header than the limits allow
-	BodyTooLong Kind = 4  // more bytes of body than the limits allow
-	TooSlow     Kind = 5  // the client did not send it whole in time
-	NotReady    Kind = 6  // no configuration yet
-	NoBackend   Kind = 7  // no backend of the service is known to serve
-	Full        Kind = 8  // the backends asked have no room within the time
-	Overdue     Kind = 9  // its time was over before it was sent
-	Leaving     Kind = 10 // the backend leaves, or has left
-	Elsewhere   Kind = 11 // another backend has the place of the one that was meant
-	Away        Kind = 12 // no connection could be had
-	TurnedAway  Kind = 13 // the backend itself declined it, with proof
-	Failed      Kind = 14 // what came back is not an answer
-	Broken      Kind = 15 // the connection ended before the answer did
-	TimedOut    Kind = 16 // no answer within the time
-	KeyAtWork   Kind = 17 // the first request of this key is still at work
-	KeyUnknown  Kind = 18 // whether the first request of this key ran can't be told: it will not run again
-	KeySplit    Kind = 19 // several requests of one key at once, and none was granted
-	CoreOut     Kind = 20 // no majority of those that keep keys and configuration answers
-	Invalid     Kind = 21 // a configuration that is not valid
-	Conflict    Kind = 22 // another content of this version stands already
-	NoCall      Kind = 23 // no such call, or not by this method
-	Repairing   Kind = 24 // a member that lost its disk and has not made up for it
-	Preempted   Kind = 25 // a higher ballot was promised
-	DiskOut     Kind = 26 // the disk is full, hangs or fails
-	Malformed   Kind = 27 // a message between programs that can't be read
-	Gone        Kind = 28 // nothing is known of it any more
-	Spent       Kind = 29 // no further try is allowed by the budget
-	Unsure      Kind = 30 // whether this version was taken, and with which content, can't be told
-	ClientLeft  Kind = 31 // its client closed the connection before it was sent to a backend
-	kinds       Kind = 32
+	OK                   Kind = 0
+	InvalidRequest       Kind = 1  // the request is malformed or ambiguous
+	NoRoute              Kind = 2  // no route matches
+	HeaderTooLarge       Kind = 3  // the header exceeds the limit
+	BodyTooLarge         Kind = 4  // the body exceeds the limit
+	RequestTimeout       Kind = 5  // the client did not send the whole request in time
+	NotReady             Kind = 6  // no configuration has been received yet
+	NoBackend            Kind = 7  // no backend of the service is known to be serving
+	Overloaded           Kind = 8  // the backends tried had no capacity in time
+	DeadlinePassed       Kind = 9  // the deadline passed before the request was sent
+	Draining             Kind = 10 // the backend is draining or has stopped
+	BackendReplaced      Kind = 11 // another backend runs at the address of the intended one
+	Unreachable          Kind = 12 // no connection could be established
+	Declined             Kind = 13 // the backend declined the request, with proof that it did not run
+	InvalidResponse      Kind = 14 // the response is not a valid one
+	ConnectionLost       Kind = 15 // the connection was closed before the response was complete
+	ResponseTimeout      Kind = 16 // no response within the deadline
+	KeyInProgress        Kind = 17 // the first request with this idempotency key is still running
+	KeyOutcomeUnknown    Kind = 18 // it is unknown whether the first request with this key ran; it will not run again
+	KeyContended         Kind = 19 // concurrent requests with one key, none of which was granted
+	NoQuorum             Kind = 20 // no majority of the replicas of keys and configuration answers
+	InvalidConfiguration Kind = 21 // the configuration is invalid
+	VersionConflict      Kind = 22 // this version already exists with other content
+	UnknownCall          Kind = 23 // no such call, or not with this method
+	Recovering           Kind = 24 // a member lost its disk and has not recovered yet
+	HigherBallot         Kind = 25 // a higher ballot was promised
+	DiskUnavailable      Kind = 26 // the disk is full, hangs or fails
+	Malformed            Kind = 27 // a message between programs cannot be decoded
+	NotFound             Kind = 28 // no longer known
+	RetryBudgetExhausted Kind = 29 // the retry budget allows no further attempt
+	OutcomeUnknown       Kind = 30 // it is unknown whether this version was accepted, and with which content
+	ClientDisconnected   Kind = 31 // the client closed the connection before the request was sent to a backend
+	kindCount            Kind = 32
 )
 
-// Answer is what a client or operator gets for a kind.
+// Answer is the response to a client or operator for a kind.
 type Answer struct {
-	Status int
-	NotRun bool // the status promises that nothing ran
-	Again  bool // Retry-After is told
-	Text   string
+	Status     int
+	NotRun     bool // the status promises that nothing was executed
+	RetryAfter bool // a Retry-After header is sent
+	Text       string
 }
 
-var table = [kinds]Answer{
-	OK:          {200, false, false, "ok"},
-	Unreadable:  {http.StatusBadRequest, true, false, "request can't be read"},
-	NoRoute:     {http.StatusNotFound, true, false, "no route"},
-	HeadTooLong: {http.StatusRequestHeaderFieldsTooLarge, true, false, "header too long"},
-	BodyTooLong: {http.StatusRequestEntityTooLarge, true, false, "body too long"},
-	TooSlow:     {http.StatusRequestTimeout, true, false, "request did not come whole in time"},
-	NotReady:    {http.StatusServiceUnavailable, true, true, "no configuration yet"},
-	NoBackend:   {http.StatusServiceUnavailable, true, true, "no backend"},
-	Full:        {http.StatusServiceUnavailable, true, true, "backends are full"},
-	Overdue:     {http.StatusServiceUnavailable, true, false, "time was over before it was sent"},
-	Leaving:     {http.StatusServiceUnavailable, true, true, "backend leaves"},
-	Elsewhere:   {http.StatusServiceUnavailable, true, true, "another backend has its place"},
-	Away:        {http.StatusServiceUnavailable, true, true, "backend can't be reached"},
-	TurnedAway:  {http.StatusServiceUnavailable, true, true, "backend declined it"},
-	Failed:      {http.StatusBadGateway, false, false, "no usable answer"},
-	Broken:      {http.StatusBadGateway, false, false, "connection to the backend broke"},
-	TimedOut:    {http.StatusGatewayTimeout, false, false, "no answer in time"},
-	KeyAtWork:   {http.StatusConflict, false, true, "the first request of this key is at work"},
-	KeyUnknown:  {http.StatusBadGateway, false, false, "the first request of this key may have run: its answer is lost"},
-	KeySplit:    {http.StatusServiceUnavailable, true, true, "several requests of this key at once"},
-	CoreOut:     {http.StatusServiceUnavailable, true, true, "no majority answers"},
-	Invalid:     {http.StatusBadRequest, false, false, "configuration is not valid"},
-	Conflict:    {http.StatusConflict, false, false, "another content of this version stands"},
-	NoCall:      {http.StatusNotFound, false, false, "no such call"},
-	Repairing:   {http.StatusServiceUnavailable, true, true, "disk was lost and is being made up for"},
-	Preempted:   {http.StatusServiceUnavailable, false, true, "another write came between"},
-	DiskOut:     {http.StatusServiceUnavailable, false, true, "disk takes no writes"},
-	Malformed:   {http.StatusBadRequest, false, false, "message can't be read"},
-	Gone:        {http.StatusNotFound, false, false, "nothing known of it"},
-	Unsure:      {http.StatusServiceUnavailable, false, true, "whether it was taken can't be told"},
-	ClientLeft:  {http.StatusServiceUnavailable, true, false, "its client has left"},
-	Spent:       {http.StatusServiceUnavailable, true, true, "no further try allowed"},
+var answers = [kindCount]Answer{
+	OK:                   {200, false, false, "ok"},
+	InvalidRequest:       {http.StatusBadRequest, true, false, "request can't be read"},
+	NoRoute:              {http.StatusNotFound, true, false, "no route"},
+	HeaderTooLarge:       {http.StatusRequestHeaderFieldsTooLarge, true, false, "header too long"},
+	BodyTooLarge:         {http.StatusRequestEntityTooLarge, true, false, "body too long"},
+	RequestTimeout:       {http.StatusRequestTimeout, true, false, "request did not come whole in time"},
+	NotReady:             {http.StatusServiceUnavailable, true, true, "no configuration yet"},
+	NoBackend:            {http.StatusServiceUnavailable, true, true, "no backend"},
+	Overloaded:           {http.StatusServiceUnavailable, true, true, "backends are full"},
+	DeadlinePassed:       {http.StatusServiceUnavailable, true, false, "time was over before it was sent"},
+	Draining:             {http.StatusServiceUnavailable, true, true, "backend leaves"},
+	BackendReplaced:      {http.StatusServiceUnavailable, true, true, "another backend has its place"},
+	Unreachable:          {http.StatusServiceUnavailable, true, true, "backend can't be reached"},
+	Declined:             {http.StatusServiceUnavailable, true, true, "backend declined it"},
+	InvalidResponse:      {http.StatusBadGateway, false, false, "no usable answer"},
+	ConnectionLost:       {http.StatusBadGateway, false, false, "connection to the backend broke"},
+	ResponseTimeout:      {http.StatusGatewayTimeout, false, false, "no answer in time"},
+	KeyInProgress:        {http.StatusConflict, false, true, "the first request of this key is at work"},
+	KeyOutcomeUnknown:    {http.StatusBadGateway, false, false, "the first request of this key may have run: its answer is lost"},
+	KeyContended:         {http.StatusServiceUnavailable, true, true, "several requests of this key at once"},
+	NoQuorum:             {http.StatusServiceUnavailable, true, true, "no majority answers"},
+	InvalidConfiguration: {http.StatusBadRequest, false, false, "configuration is not valid"},
+	VersionConflict:      {http.StatusConflict, false, false, "another content of this version stands"},
+	UnknownCall:          {http.StatusNotFound, false, false, "no such call"},
+	Recovering:           {http.StatusServiceUnavailable, true, true, "disk was lost and is being made up for"},
+	HigherBallot:         {http.StatusServiceUnavailable, false, true, "another write came between"},
+	DiskUnavailable:      {http.StatusServiceUnavailable, false, true, "disk takes no writes"},
+	Malformed:            {http.StatusBadRequest, false, false, "message can't be read"},
+	NotFound:             {http.StatusNotFound, false, false, "nothing known of it"},
+	OutcomeUnknown:       {http.StatusServiceUnavailable, false, true, "whether it was taken can't be told"},
+	ClientDisconnected:   {http.StatusServiceUnavailable, true, false, "its client has left"},
+	RetryBudgetExhausted: {http.StatusServiceUnavailable, true, true, "no further try allowed"},
 }
 
-// Answer is the table's row of k; that of Failed where k is none.
+// Answer returns the answer for k; for an unknown kind, that of InvalidResponse.
 func (k Kind) Answer() Answer {
-	if k >= kinds || table[k].Status == 0 {
-		return table[Failed]
+	if k >= kindCount || answers[k].Status == 0 {
+		return answers[InvalidResponse]
 	}
-	return table[k]
+	return answers[k]
 }
 
-// NotRun reports whether k proves that nothing ran.
+// NotRun reports whether k proves that nothing was executed.
 func (k Kind) NotRun() bool { return k.Answer().NotRun }
 
 func (k Kind) String() string { return k.Answer().Text }
 
-// Error is a kind with what it is about.
+// Error is an error of a kind with an optional cause.
 type Error struct {
 	Kind Kind
 	Err  error // may be nil
@@ -118,10 +118,10 @@
 	return fmt.Sprintf("%s: %v", e.Kind, e.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// New returns an error of a kind; format and args as in fmt.Errorf, "" for none.
+// New returns an error of a kind. The cause is formatted as by fmt.Errorf; an empty format means no cause.
 func New(k Kind, format string, args ...any) error {
 	if format == "" {
 		return &Error{Kind: k}
@@ -129,7 +129,7 @@
 	return &Error{Kind: k, Err: fmt.Errorf(format, args...)}
 }
 
-// Of is the kind of an error: OK for nil, Failed for one that has none.
+// Of returns the kind of an error: OK for nil, and InvalidResponse for an error without a kind.
 func Of(err error) Kind {
 	if err == nil {
 		return OK
@@ -137,5 +137,5 @@
 	if e := (*Error)(nil); errors.As(err, &e) {
 		return e.Kind
 	}
-	return Failed
+	return InvalidResponse
 }
--- a/internal/loadline/hollow.go
+++ b/internal/loadline/hollow.go
@@ -293,7 +293,7 @@
 
 // puller pulls as a proxy does, and keeps nothing of the table.
 func (p *plan) puller(a *hollow, end <-chan struct{}) {
-	self := entry(p.Layout, a.i, uint64(a.born), process.Life())
+	self := entry(p.Layout, a.i, uint64(a.born), process.RandomLife())
 	self.Instance = fmt.Sprintf("i-%d-%06x", a.i, a.life)
 	const hold = time.Second
 	for n := a.i; ; n++ {
--- a/internal/process/launch.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process is what the mesh's programs share of being programs: command line, settings file and its changes, signals,
-// log. What a program does is its own package's. Start reading at Main.
+// Package process implements what all programs of the mesh have in common: command line, loading and reloading of settings,
+// signals and logging. See Main. What a program does is implemented in its own package.
 package process
 
 import (
@@ -19,22 +19,22 @@
 	"saltmast/internal/settings"
 )
 
-// Version of the programs.
+// Version is the version of all programs.
 const Version = "0.1.0"
 
-// Program is one of them.
+// Program describes one program.
 type Program struct {
-	Name  string
-	About string
-	Start func(s *settings.Settings, log func(event, text string)) (Running, error)
-	Last  bool // its counters are told once more when it has stopped
+	Name          string
+	Description   string
+	Start         func(s *settings.Settings, log func(event, text string)) (Running, error)
+	FinalCounters bool // log the counters once more after Stop
 }
 
-// Running is a program that has started.
+// Running is a started program.
 type Running interface {
-	Reload(s *settings.Settings) // the settings file has changed
-	Counts() map[string]int64    // for the log, at intervals
-	Stop(grace time.Duration)    // ends in order, within so long
+	Reload(s *settings.Settings) // called when the settings file has changed
+	Counts() map[string]int64    // counters for the periodic log line
+	Stop(grace time.Duration)    // shuts down gracefully within the given time
 }
 
 type checkArgs struct {
@@ -50,13 +50,13 @@
 func (a args) Description() string { return a.about }
 func (args) Version() string       { return "violetlatch " + Version }
 
-// watchEvery is how often the settings file is looked at for a change that no signal told.
-const watchEvery = 2 * time.Second
+// watchInterval is the interval at which the settings file is checked for changes not announced by SIGHUP.
+const watchInterval = 2 * time.Second
 
-// Main runs a program to its end and returns its exit status: 0 after it was asked to stop, 1 where it could not run, 2 for a
-// command line that makes no sense.
+// Main runs a program until it is stopped and returns its exit status: 0 after a signal to stop, 1 if it could not start, 2 for
+// an invalid command line.
 func Main(p Program, argv []string) int {
-	a := args{about: p.About}
+	a := args{about: p.Description}
 	parser, err := arg.NewParser(arg.Config{Program: p.Name, Out: os.Stdout}, &a)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -85,7 +85,7 @@
 		return 0
 	}
 	stop := make(chan os.Signal, 4)
-	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP) // from the first moment on: unheard, they end the process
+	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP) // before anything else: unhandled, these signals kill the process
 	path := settings.Path()
 	watch := settings.NewWatch(path)
 	s, err := settings.Load(path)
@@ -97,15 +97,15 @@
 		debug.SetMemoryLimit(int64(s.MemoryMB * 0.6 * (1 << 20)))
 	}
 	l := &log.Logger{Level: log.InfoLevel, TimeFormat: log.TimeFormatUnixMs, Writer: log.IOWriter{Writer: os.Stderr}}
-	say := func(event, text string) { l.Info().Str("event", event).Msg(text) }
-	r, err := p.Start(s, say)
+	logEvent := func(event, text string) { l.Info().Str("event", event).Msg(text) }
+	r, err := p.Start(s, logEvent)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", p.Name, err)
 		return 1
 	}
-	say("started", p.Name+" "+Version+" on "+s.NodeName)
-	look := time.NewTicker(watchEvery)
-	defer look.Stop()
+	logEvent("started", p.Name+" "+Version+" on "+s.NodeName)
+	poll := time.NewTicker(watchInterval)
+	defer poll.Stop()
 	var count <-chan time.Time
 	if a.Counter > 0 {
 		t := time.NewTicker(time.Duration(a.Counter * float64(time.Second)))
@@ -114,11 +114,11 @@
 	}
 	reload := func() {
 		n, err := settings.Load(path)
-		if err != nil { // what ran goes on
-			say("settings", err.Error())
+		if err != nil { // continue with the old settings
+			logEvent("settings", err.Error())
 			return
 		}
-		say("settings", "changed")
+		logEvent("settings", "changed")
 		r.Reload(n)
 	}
 	counters := func() {
@@ -136,14 +136,14 @@
 				reload()
 				continue
 			}
-			say("stopping", sig.String())
+			logEvent("stopping", sig.String())
 			r.Stop(s.Bounds.Grace - 500*time.Millisecond)
-			if a.Counter > 0 && p.Last {
+			if a.Counter > 0 && p.FinalCounters {
 				counters()
 			}
-			say("stopped", p.Name)
+			logEvent("stopped", p.Name)
 			return 0
-		case <-look.C:
+		case <-poll.C:
 			if watch.Changed() {
 				reload()
 			}
@@ -153,5 +153,5 @@
 	}
 }
 
-// Life is a random number other than 0, for a process.
-func Life() uint64 { return rand.Uint64() | 1 }
+// RandomLife returns a random number other than 0 that identifies one run of a process.
+func RandomLife() uint64 { return rand.Uint64() | 1 }
--- a/internal/process/launch_test.go
+++ b/internal/process/process_test.go
@@ -22,7 +22,7 @@
 	testscript.Main(m, map[string]func(){"tug": func() { os.Exit(process.Main(proxy.Program, os.Args[1:])) }})
 }
 
-// TestScripts runs the command lines as they are documented.
+// TestScripts runs the documented command lines.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata/script", RequireExplicitExec: true, Setup: func(e *testscript.Env) error {
 		e.Setenv("GORACE", "atexit_sleep_ms=0")
@@ -30,7 +30,7 @@
 	}, Cmds: map[string]func(*testscript.TestScript, bool, []string){"status": status, "lines": lines}})
 }
 
-// status runs a program and wants its exit status: status 2 tug --what.
+// status runs a program and checks its exit status, for example: status 2 tug --what.
 func status(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: status STATUS PROGRAM ARGS...")
@@ -47,7 +47,7 @@
 	return strings.TrimPrefix(err.Error(), "exit status ")
 }
 
-// lines wants so many lines in a file: lines 1 stderr.
+// lines checks the number of lines in a file, for example: lines 1 stderr.
 func lines(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: lines NUMBER FILE")
@@ -58,7 +58,8 @@
 	}
 }
 
-// A signal that comes while the settings are still being read ends nothing: SIGHUP alone would.
+// A SIGHUP that arrives while the settings are still being read must not kill the process, as it would if signals were not
+// handled from the start.
 func TestEarlySignal(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
@@ -66,15 +67,15 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	cmd := exec.CommandContext(ctx, "tug") // this test again, as the program: see TestMain
+	cmd := exec.CommandContext(ctx, "tug") // this test binary as the program, see TestMain
 	cmd.Env = append(os.Environ(), "VIOLETLATCH_SETTINGS="+path)
-	var said strings.Builder
-	cmd.Stderr = &said
+	var stderr strings.Builder
+	cmd.Stderr = &stderr
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	var w *os.File
-	for { // until it reads, it can't be opened
+	for { // the FIFO cannot be opened before the program reads it
 		var err error
 		if w, err = os.OpenFile(path, os.O_WRONLY|syscall.O_NONBLOCK, 0); err == nil {
 			break
@@ -85,12 +86,12 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
-	other := path + ".new" // what it finds when it reads again
+	other := path + ".new" // the content of the next read
 	if err := errors.Join(os.WriteFile(other, []byte("ip: 300\n"), 0o600), os.Rename(other, path), w.Close()); err != nil {
 		t.Fatal(err)
 	}
 	cmd.Wait()
-	if s := cmd.ProcessState; s.ExitCode() != 1 || strings.Count(said.String(), "\n") != 1 {
-		t.Errorf("%v, and it said %q", s, said.String())
+	if s := cmd.ProcessState; s.ExitCode() != 1 || strings.Count(stderr.String(), "\n") != 1 {
+		t.Errorf("%v, with stderr %q", s, stderr.String())
 	}
 }
--- a/internal/proxy/tug.go
+++ b/internal/proxy/tug.go
@@ -73,7 +73,7 @@
 )
 
 // Program is the proxy as a program.
-var Program = process.Program{Name: "tug", About: "The proxy of the mesh: carries the requests of one machine.", Last: true,
+var Program = process.Program{Name: "tug", Description: "The proxy of the mesh: carries the requests of one machine.", FinalCounters: true,
 	Start: func(s *settings.Settings, log func(event, text string)) (process.Running, error) {
 		return Start(s, log, nil)
 	}}
@@ -81,7 +81,7 @@
 // Start begins to serve by the settings. on: nil for the system's network.
 func Start(s *settings.Settings, log func(event, text string), on sock.Net) (*Tug, error) {
 	on = sock.On(on)
-	t := &Tug{log: log, net: on, council: quorum.New(on), life: process.Life(), table: backends.New(), sources: sources{}, left: map[string]time.Time{}, stands: configuration.Set{}.WithRoutingTable(),
+	t := &Tug{log: log, net: on, council: quorum.New(on), life: process.RandomLife(), table: backends.New(), sources: sources{}, left: map[string]time.Time{}, stands: configuration.Set{}.WithRoutingTable(),
 		news: make(chan struct{}, 1), ended: make(chan struct{})}
 	t.s.Store(s)
 	listen := func(addr string) (net.Listener, error) {
@@ -166,7 +166,7 @@
 	defer t.mu.Unlock()
 	switch {
 	case t.stopping.Load():
-		return errcode.New(errcode.Leaving, "")
+		return errcode.New(errcode.Draining, "")
 	case !t.way.Configured() || !t.full:
 		return errcode.New(errcode.NotReady, "")
 	}
@@ -373,7 +373,7 @@
 				c.Go(messages.Pull, rpc.Encode(messages.PullCall{Self: &b, Others: others, Life: call.Life, At: messages.Tells, Have: configuration.Ballot{N: 1 << 62}, Sum: call.Sum, Epoch: call.Epoch}), func([]byte, error) {})
 			case <-timer.C:
 				c.Forget(id)
-				r.err = errcode.New(errcode.TimedOut, "")
+				r.err = errcode.New(errcode.ResponseTimeout, "")
 				break wait
 			case <-t.ended:
 				timer.Stop()
--- a/internal/quorum/council.go
+++ b/internal/quorum/council.go
@@ -143,10 +143,10 @@
 	clients := c.clients
 	c.mu.Unlock()
 	if len(clients) == 0 {
-		return errcode.New(errcode.CoreOut, "nobody known that counts")
+		return errcode.New(errcode.NoQuorum, "nobody known that counts")
 	}
 	if wait <= 0 {
-		return errcode.New(errcode.CoreOut, "no time is left")
+		return errcode.New(errcode.NoQuorum, "no time is left")
 	}
 	ch := make(chan Told, len(clients))
 	ids := map[int]uint32{}
@@ -172,8 +172,8 @@
 			for i, id := range ids {
 				clients[i].Forget(id)
 			}
-			return errcode.New(errcode.CoreOut, "no majority within %v%s", wait.Round(time.Millisecond), why)
+			return errcode.New(errcode.NoQuorum, "no majority within %v%s", wait.Round(time.Millisecond), why)
 		}
 	}
-	return errcode.New(errcode.CoreOut, "no majority%s", why)
+	return errcode.New(errcode.NoQuorum, "no majority%s", why)
 }
--- a/internal/registry/contact_test.go
+++ b/internal/registry/contact_test.go
@@ -162,17 +162,17 @@
 		defer h.own.End()
 		items := []configuration.Item{{Key: configuration.Key{Kind: configuration.Services, Name: "s"}, Version: 1, Spec: []byte("{}")}}
 		begun := time.Now()
-		if k := errcode.Of(h.propose(ctx, consensus.Order{Items: items})); k != errcode.CoreOut {
+		if k := errcode.Of(h.propose(ctx, consensus.Order{Items: items})); k != errcode.NoQuorum {
 			t.Error("a call whose caller has gone:", k)
 		}
 		if took := time.Since(begun); took > 10*time.Millisecond {
 			t.Error("it kept the turn from others for", took)
 		}
-		if err := h.tryRound(t.Context(), consensus.Order{Items: items}, time.Now().Add(-20*time.Second)); errcode.Of(err) != errcode.CoreOut {
+		if err := h.tryRound(t.Context(), consensus.Order{Items: items}, time.Now().Add(-20*time.Second)); errcode.Of(err) != errcode.NoQuorum {
 			t.Error("a call from before a sleep:", err)
 		}
 		sleeps = true
-		if k := errcode.Of(h.propose(t.Context(), consensus.Order{})); k != errcode.CoreOut {
+		if k := errcode.Of(h.propose(t.Context(), consensus.Order{})); k != errcode.NoQuorum {
 			t.Error("a read whose answers are of before a sleep:", k)
 		}
 		for _, v := range all {
@@ -206,7 +206,7 @@
 				}
 			})
 			begun := time.Now()
-			if k := errcode.Of(h.propose(t.Context(), consensus.Order{})); k != errcode.CoreOut {
+			if k := errcode.Of(h.propose(t.Context(), consensus.Order{})); k != errcode.NoQuorum {
 				t.Errorf("%s: %v", c.name, k)
 			}
 			if took := time.Since(begun); (took > 0) != c.held {
--- a/internal/registry/harbour.go
+++ b/internal/registry/harbour.go
@@ -559,7 +559,7 @@
 			c.Reply(known, nil)
 		})
 	default:
-		c.Reply(nil, errcode.New(errcode.NoCall, "kind %d", c.Kind))
+		c.Reply(nil, errcode.New(errcode.UnknownCall, "kind %d", c.Kind))
 	}
 }
 
@@ -900,7 +900,7 @@
 		call.Epoch = h.council.Roll().Epoch
 		var n messages.News
 		if err := c.Call(messages.Pull, call, &n, pullHold+callTime); err != nil {
-			if errcode.Of(err) == errcode.Away {
+			if errcode.Of(err) == errcode.Unreachable {
 				h.own.Ask(func(b *books) { b.heardOut(addr) })
 			}
 			wait := 250 * time.Millisecond
@@ -948,13 +948,13 @@
 	h.Counts.Changes.Add(1)
 	call, err := configuration.DecodeCall(body)
 	if err != nil {
-		return errcode.New(errcode.Invalid, "%w", err)
+		return errcode.New(errcode.InvalidConfiguration, "%w", err)
 	}
 	if err := call.Check(); err != nil {
-		return errcode.New(errcode.Invalid, "%w", err)
+		return errcode.New(errcode.InvalidConfiguration, "%w", err)
 	}
 	if !consensus.Fits(call.Items) {
-		return errcode.New(errcode.BodyTooLong, "%d items, which are over %d bytes", len(call.Items), consensus.DeltaMax)
+		return errcode.New(errcode.BodyTooLarge, "%d items, which are over %d bytes", len(call.Items), consensus.DeltaMax)
 	}
 	var o consensus.Order
 	h.own.Ask(func(b *books) { o = consensus.NewOrder(call.Items, b.stands) })
@@ -985,7 +985,7 @@
 func (h *Harbour) propose(ctx context.Context, order consensus.Order) error {
 	end := time.Now().Add(changeTime)
 	if !h.turn(end) {
-		return errcode.New(errcode.Preempted, "by other calls here")
+		return errcode.New(errcode.HigherBallot, "by other calls here")
 	}
 	defer func() { <-h.round }()
 	for {
@@ -996,7 +996,7 @@
 		if err == errCutOff {
 			return err
 		}
-		if k := errcode.Of(err); k != errcode.Preempted && k != errcode.CoreOut {
+		if k := errcode.Of(err); k != errcode.HigherBallot && k != errcode.NoQuorum {
 			return err
 		}
 		h.Counts.Preempted.Add(1)
@@ -1032,10 +1032,10 @@
 	roll := h.council.Roll()
 	n := len(roll.Voters)
 	if n == 0 {
-		return errcode.New(errcode.CoreOut, "nobody known that counts")
+		return errcode.New(errcode.NoQuorum, "nobody known that counts")
 	}
 	if time.Until(end) < leastTime {
-		return errcode.New(errcode.CoreOut, "no time is left")
+		return errcode.New(errcode.NoQuorum, "no time is left")
 	}
 	var silent uint32
 	var b configuration.Ballot
@@ -1075,9 +1075,9 @@
 	switch {
 	case ok:
 	case r.Short != "":
-		return errcode.New(errcode.CoreOut, "%s", r.Short)
+		return errcode.New(errcode.NoQuorum, "%s", r.Short)
 	case b.Less(r.Higher):
-		return errcode.New(errcode.Preempted, "")
+		return errcode.New(errcode.HigherBallot, "")
 	default:
 		return outOr(err)
 	}
@@ -1107,7 +1107,7 @@
 		return err
 	}
 	if first {
-		return errcode.New(errcode.Preempted, "by what was left")
+		return errcode.New(errcode.HigherBallot, "by what was left")
 	}
 	return told(o)
 }
@@ -1116,11 +1116,11 @@
 func told(o consensus.Outcome) error {
 	switch o.Verdict {
 	case consensus.Conflicts:
-		return errcode.New(errcode.Conflict, "%s", o.At)
+		return errcode.New(errcode.VersionConflict, "%s", o.At)
 	case consensus.Invalid:
-		return errcode.New(errcode.Invalid, "%w", o.Why)
+		return errcode.New(errcode.InvalidConfiguration, "%w", o.Why)
 	case consensus.Unclear:
-		return errcode.New(errcode.Unsure, "%s", o.At)
+		return errcode.New(errcode.OutcomeUnknown, "%s", o.At)
 	}
 	return nil
 }
@@ -1133,9 +1133,9 @@
 // lateTime is how much later than its end a round may have been answered.
 const lateTime = 100 * time.Millisecond
 
-var errCutOff = errcode.New(errcode.CoreOut, "no majority heard for 3 s")
+var errCutOff = errcode.New(errcode.NoQuorum, "no majority heard for 3 s")
 
-var errLate = errcode.New(errcode.CoreOut, "its time is over, or its caller has gone")
+var errLate = errcode.New(errcode.NoQuorum, "its time is over, or its caller has gone")
 
 // leastTime is what a round is begun for at least.
 const leastTime = 10 * time.Millisecond
@@ -1153,7 +1153,7 @@
 // failed counts a member that gave no answer but an error, and reports whether the phase is over.
 func (p *phase) failed(err error) bool {
 	p.out++
-	if errcode.Of(err) == errcode.Gone {
+	if errcode.Of(err) == errcode.NotFound {
 		p.gone++
 	}
 	return p.over()
@@ -1168,7 +1168,7 @@
 
 func outOr(err error) error {
 	if err == nil {
-		return errcode.New(errcode.CoreOut, "the epoch has ended")
+		return errcode.New(errcode.NoQuorum, "the epoch has ended")
 	}
 	return err
 }
@@ -1218,7 +1218,7 @@
 		})
 	}
 	if n-len(lag) < consensus.Majority(n) {
-		return errcode.New(errcode.CoreOut, "%d of %d catch up", len(lag), n)
+		return errcode.New(errcode.NoQuorum, "%d of %d catch up", len(lag), n)
 	}
 	var vs []consensus.Vouch
 	var higher configuration.Ballot
@@ -1243,10 +1243,10 @@
 	if !taken {
 		if b.Less(higher) {
 			h.own.Ask(func(t *books) { t.raise(higher) })
-			return errcode.New(errcode.Preempted, "")
+			return errcode.New(errcode.HigherBallot, "")
 		}
 		if err == nil && ph.higher > 0 {
-			return errcode.New(errcode.Preempted, "by what a member lacks")
+			return errcode.New(errcode.HigherBallot, "by what a member lacks")
 		}
 		return outOr(err)
 	}
--- a/internal/registry/harbour_test.go
+++ b/internal/registry/harbour_test.go
@@ -178,7 +178,7 @@
 		}
 		h.council.Take(roll)
 		voters[0].mute = true
-		if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(ours, configuration.Set{}))); k != errcode.Invalid {
+		if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(ours, configuration.Set{}))); k != errcode.InvalidConfiguration {
 			t.Errorf("beside theirs: %v", k)
 		}
 		voters[0].mute, voters[1].mute = false, true
--- a/internal/registry/lag_test.go
+++ b/internal/registry/lag_test.go
@@ -44,7 +44,7 @@
 			i.Version, i.Ballot = version, configuration.Ballot{}
 			return h.propose(t.Context(), consensus.Order{Items: []configuration.Item{i}})
 		}
-		if err := change(2); errcode.Of(err) != errcode.CoreOut || !strings.Contains(err.Error(), "not read yet") {
+		if err := change(2); errcode.Of(err) != errcode.NoQuorum || !strings.Contains(err.Error(), "not read yet") {
 			t.Errorf("with nothing held: %v", err)
 		}
 		h.own.Ask(func(b *books) {
--- a/internal/registry/number_test.go
+++ b/internal/registry/number_test.go
@@ -85,7 +85,7 @@
 	all, order := laid(t, more, 7, routeText("r1", "late"))
 	chamber(t, [3][]configuration.Set{{base, all}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
 		voters[0].mute = true
-		if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(order, configuration.Set{}))); k != errcode.Invalid {
+		if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(order, configuration.Set{}))); k != errcode.InvalidConfiguration {
 			t.Errorf("while nobody tells of its service: %v", k)
 		}
 		voters[0].mute, voters[1].mute = false, true
@@ -111,8 +111,8 @@
 			what  string
 			order consensus.Order
 			want  errcode.Kind
-		}{{"a copy", consensus.NewOrder(order, base), errcode.Invalid}, {"its service", consensus.NewOrder(late, base), errcode.OK},
-			{"the copy that waited", waits, errcode.Unsure}} {
+		}{{"a copy", consensus.NewOrder(order, base), errcode.InvalidConfiguration}, {"its service", consensus.NewOrder(late, base), errcode.OK},
+			{"the copy that waited", waits, errcode.OutcomeUnknown}} {
 			if k := errcode.Of(h.propose(t.Context(), step.order)); k != step.want {
 				t.Errorf("%s: %v, want %v", step.what, k, step.want)
 			}
@@ -170,7 +170,7 @@
 		for _, c := range []struct {
 			version configuration.Version
 			want    errcode.Kind
-		}{{last, errcode.OK}, {last - 1, errcode.OK}, {1, errcode.Unsure}, {last - 17, errcode.OK}, {last - 18, errcode.Unsure}} {
+		}{{last, errcode.OK}, {last - 1, errcode.OK}, {1, errcode.OutcomeUnknown}, {last - 17, errcode.OK}, {last - 18, errcode.OutcomeUnknown}} {
 			if k := errcode.Of(h.propose(t.Context(), consensus.NewOrder(call(c.version), base))); k != c.want {
 				t.Errorf("%s: %v, want %v", c.version, k, c.want)
 			}
@@ -191,7 +191,7 @@
 	left := order.Lay(base, configuration.Ballot{N: 6, Proposer: 9}, configuration.Set.Check).Next
 	chamber(t, [3][]configuration.Set{{base, left}, {base}, {base}}, func(t *testing.T, h *Harbour, voters []*voter) {
 		voters[1].mute = true
-		if k := errcode.Of(h.propose(t.Context(), order)); k != errcode.Invalid {
+		if k := errcode.Of(h.propose(t.Context(), order)); k != errcode.InvalidConfiguration {
 			t.Errorf("%v", k)
 		}
 	})
--- a/internal/registry/program.go
+++ b/internal/registry/program.go
@@ -16,7 +16,7 @@
 )
 
 // Program is the registry as a program.
-var Program = process.Program{Name: "harbourmaster", About: "The registry of the mesh: knows nodes and backends, takes the operator's calls.",
+var Program = process.Program{Name: "harbourmaster", Description: "The registry of the mesh: knows nodes and backends, takes the operator's calls.",
 	Start: func(s *settings.Settings, log func(event, text string)) (process.Running, error) {
 		return Launch(s, log, nil)
 	}}
@@ -47,11 +47,11 @@
 	if err != nil {
 		return r, err
 	}
-	life := process.Life()
+	life := process.RandomLife()
 	r.head = transport.Start(s, messages.RoleHarbour, messages.RosterPort, messages.HarbourPort, life, on, log)
 	r.H = Start(Options{Head: r.head, Self: messages.Master{Name: s.NodeName, Addr: s.Port(messages.HarbourPort), Zone: s.Zone},
 		Purser: s.Port(messages.PurserPort), First: s.Ports[0], Life: life, Control: control, Calls: calls, Net: on, Log: log,
-		Lost: cmp.Or(s.VoterLost, max(s.Bounds.Catchup/2, leastLost)), Losses: max(s.Tolerance.Machines, s.Tolerance.Zones, s.Tolerance.Regions),
+		Lost: cmp.Or(s.VoterReplaceAfter, max(s.Bounds.Catchup/2, leastLost)), Losses: max(s.Tolerance.Machines, s.Tolerance.Zones, s.Tolerance.Regions),
 		Bears: reconfig.Tolerance{Zones: s.Tolerance.Zones, Regions: s.Tolerance.Regions, RegionOf: s.Zones},
 		Seeds: func() []string { return r.s.Load().Seeds }})
 	return r, nil
--- a/internal/registry/rolls.go
+++ b/internal/registry/rolls.go
@@ -292,19 +292,19 @@
 		joins := roll.Place(v.Addr) < 0
 		switch {
 		case t.err != nil && joins:
-			return next, errcode.New(errcode.Away, "%s", v.Addr)
+			return next, errcode.New(errcode.Unreachable, "%s", v.Addr)
 		case t.err != nil:
 		case t.r.Epoch > roll.Epoch:
-			return next, errcode.New(errcode.Preempted, "epoch %d is over", roll.Epoch)
+			return next, errcode.New(errcode.HigherBallot, "epoch %d is over", roll.Epoch)
 		case joins && t.r.State != "apart":
-			return next, errcode.New(errcode.Away, "%s: %s", v.Addr, t.r.State)
+			return next, errcode.New(errcode.Unreachable, "%s: %s", v.Addr, t.r.State)
 		case joins || t.r.State == "serving": // else it makes up for its disk in the new epoch
 			well++
 			v.Disk = t.r.Disk
 		}
 	}
 	if well < consensus.Majority(len(voters)) {
-		return next, errcode.New(errcode.CoreOut, "%d of the %d voters are well", well, len(voters))
+		return next, errcode.New(errcode.NoQuorum, "%d of the %d voters are well", well, len(voters))
 	}
 	return next, nil
 }
@@ -314,7 +314,7 @@
 func (h *Harbour) relieve(roll messages.Roll, voters []messages.Voter) (next messages.Roll, holds int, err error) {
 	var mine messages.Roll
 	if len(roll.Voters) == 0 {
-		return roll, 0, errcode.New(errcode.CoreOut, "nobody known that counts")
+		return roll, 0, errcode.New(errcode.NoQuorum, "nobody known that counts")
 	}
 	if voters != nil {
 		if mine, err = h.prepare(roll, voters, false); err != nil {
@@ -328,12 +328,12 @@
 			h.Counts.Relieved.Add(1)
 			holds = h.hand(next)
 			if voters != nil && !next.Same(mine) {
-				return next, holds, errcode.New(errcode.Preempted, "another change was under way")
+				return next, holds, errcode.New(errcode.HigherBallot, "another change was under way")
 			}
 			return next, holds, nil
 		case h.council.Roll().Epoch != roll.Epoch:
-			return h.council.Roll(), 0, errcode.New(errcode.Preempted, "another change came first")
-		case errcode.Of(err) != errcode.Preempted && errcode.Of(err) != errcode.CoreOut, time.Now().After(end):
+			return h.council.Roll(), 0, errcode.New(errcode.HigherBallot, "another change came first")
+		case errcode.Of(err) != errcode.HigherBallot && errcode.Of(err) != errcode.NoQuorum, time.Now().After(end):
 			return roll, 0, err
 		}
 		if !h.pause(10*time.Millisecond + rand.N(150*time.Millisecond)) {
@@ -353,7 +353,7 @@
 	r := reconfig.Round{Voters: n}
 	gather := func(call messages.SucceedCall, take func(reconfig.Answer) bool) error {
 		if h.council.Roll().Epoch != roll.Epoch {
-			return errcode.New(errcode.Gone, "epoch %d", roll.Epoch)
+			return errcode.New(errcode.NotFound, "epoch %d", roll.Epoch)
 		}
 		ask := rpc.Encode(call)
 		return h.council.Gather(messages.Succeed, func(int) []byte { return ask }, phaseTime, func(t quorum.Told) bool {
@@ -376,11 +376,11 @@
 	}()
 	switch {
 	case !ok && b.Less(r.Higher):
-		return next, errcode.New(errcode.Preempted, "")
+		return next, errcode.New(errcode.HigherBallot, "")
 	case !ok:
 		return next, err
 	case !bound && mine.Epoch == 0:
-		return next, errcode.New(errcode.Gone, "nothing to finish")
+		return next, errcode.New(errcode.NotFound, "nothing to finish")
 	case !bound:
 		next = mine
 	}
@@ -393,7 +393,7 @@
 	case chosen:
 		return next, nil
 	case b.Less(r.Higher):
-		return next, errcode.New(errcode.Preempted, "")
+		return next, errcode.New(errcode.HigherBallot, "")
 	}
 	return next, outOr(err)
 }
@@ -461,7 +461,7 @@
 			t := messages.RollsTold{Was: roll, Roll: roll}
 			voters, err := wished(roll, known, call)
 			if silent > contactMs { // nothing is refused by what may be old here
-				err = errcode.New(errcode.CoreOut, "no majority was heard for %d ms", silent)
+				err = errcode.New(errcode.NoQuorum, "no majority was heard for %d ms", silent)
 			}
 			switch {
 			case err != nil:
@@ -473,7 +473,7 @@
 					t.Roll, t.Holds, err = h.relieve(roll, voters)
 					<-h.turning
 				default:
-					err = errcode.New(errcode.Preempted, "another change is under way")
+					err = errcode.New(errcode.HigherBallot, "another change is under way")
 				}
 				h.o.Log("roll", "the operator's word: "+outcome(err))
 			}
@@ -497,7 +497,7 @@
 				return v, nil
 			}
 		}
-		return messages.Voter{}, errcode.New(errcode.Invalid, "%q is no node with a purser that is known here", name)
+		return messages.Voter{}, errcode.New(errcode.InvalidConfiguration, "%q is no node with a purser that is known here", name)
 	}
 	var voters []messages.Voter
 	for _, n := range call.Voters {
@@ -517,7 +517,7 @@
 		}
 		at := slices.IndexFunc(voters, func(v messages.Voter) bool { return v.Addr == old.Addr })
 		if at < 0 {
-			return nil, errcode.New(errcode.Invalid, "%s does not count", x[0])
+			return nil, errcode.New(errcode.InvalidConfiguration, "%s does not count", x[0])
 		}
 		if voters[at], err = find(x[1]); err != nil {
 			return nil, err
@@ -525,14 +525,14 @@
 	}
 	for i, v := range voters {
 		if slices.ContainsFunc(voters[:i], func(o messages.Voter) bool { return o.Addr == v.Addr }) {
-			return nil, errcode.New(errcode.Invalid, "%s comes twice", v.Addr)
+			return nil, errcode.New(errcode.InvalidConfiguration, "%s comes twice", v.Addr)
 		}
 	}
 	switch {
 	case len(voters)%2 == 0:
-		return nil, errcode.New(errcode.Invalid, "%d voters: an odd number is wanted", len(voters))
+		return nil, errcode.New(errcode.InvalidConfiguration, "%d voters: an odd number is wanted", len(voters))
 	case (messages.Roll{Epoch: roll.Epoch, Voters: voters}).Same(roll):
-		return nil, errcode.New(errcode.Invalid, "that is the roll in force")
+		return nil, errcode.New(errcode.InvalidConfiguration, "that is the roll in force")
 	}
 	return voters, nil
 }
--- a/internal/rpc/signal.go
+++ b/internal/rpc/signal.go
@@ -327,7 +327,7 @@
 	switch {
 	case c.closed, len(c.waiting)-c.left >= maxCalls, c.l == nil && !c.dialing && now.Before(c.till):
 		c.mu.Unlock()
-		go done(nil, errcode.New(errcode.Away, "%s", c.addr))
+		go done(nil, errcode.New(errcode.Unreachable, "%s", c.addr))
 		return 0
 	}
 	for c.next++; c.next == 0 || c.waiting[c.next] != nil; c.next++ { // numbers come round: none whose answer may still come
@@ -387,7 +387,7 @@
 		return Decode(r.body, answer)
 	case <-t.C:
 		c.Forget(id)
-		return errcode.New(errcode.TimedOut, "%s", c.addr)
+		return errcode.New(errcode.ResponseTimeout, "%s", c.addr)
 	}
 }
 
@@ -414,7 +414,7 @@
 		}
 		c.pause = min(max(pauseLow, 2*c.pause), pauseHigh)
 		c.till = time.Now().Add(c.pause)
-		c.failAll(errcode.New(errcode.Away, "%s", c.addr))
+		c.failAll(errcode.New(errcode.Unreachable, "%s", c.addr))
 		return
 	}
 	c.pause = 0
@@ -458,7 +458,7 @@
 	l.end()
 	c.mu.Lock()
 	c.l = nil
-	c.failAll(errcode.New(errcode.Broken, "%s", c.addr))
+	c.failAll(errcode.New(errcode.ConnectionLost, "%s", c.addr))
 }
 
 // failAll fails all that waits. The caller holds c.mu, which it gives back.
--- a/internal/rpc/signal_test.go
+++ b/internal/rpc/signal_test.go
@@ -24,7 +24,7 @@
 func TestFrames(t *testing.T) {
 	for _, size := range []int{0, 1, 100, 3 * firstBytes / 2} {
 		body := bytes.Repeat([]byte("x"), size)
-		raw := framed(7, 3, errcode.Gone, body)
+		raw := framed(7, 3, errcode.NotFound, body)
 		step := max(1, len(raw)/997)
 		for cut := 0; cut < len(raw); cut += step {
 			if f, err := readFrame(bufio.NewReader(bytes.NewReader(raw[:cut]))); err == nil || len(f.body) > 0 || cut > headBytes && err != io.ErrUnexpectedEOF {
@@ -32,7 +32,7 @@
 			}
 		}
 		f, err := readFrame(bufio.NewReader(bytes.NewReader(append(raw, 1, 2, 3))))
-		if err != nil || f.id != 7 || f.kind != 3 || f.err != errcode.Gone || !bytes.Equal(f.body, body) {
+		if err != nil || f.id != 7 || f.kind != 3 || f.err != errcode.NotFound || !bytes.Equal(f.body, body) {
 			t.Errorf("%d bytes: %+v, %v", size, f.id, err)
 		}
 	}
@@ -93,7 +93,7 @@
 	}
 	s.Close()
 	for range n {
-		if err := <-done; errcode.Of(err) != errcode.Broken {
+		if err := <-done; errcode.Of(err) != errcode.ConnectionLost {
 			t.Errorf("%v for a call whose connection ended", err)
 		}
 	}
@@ -104,7 +104,7 @@
 		if err == nil {
 			break
 		}
-		if k := errcode.Of(err); k != errcode.Broken && k != errcode.Away || time.Now().After(end) {
+		if k := errcode.Of(err); k != errcode.ConnectionLost && k != errcode.Unreachable || time.Now().After(end) {
 			t.Fatal(err)
 		}
 	}
@@ -112,7 +112,7 @@
 		t.Errorf("%q, %d told again", got, len(done))
 	}
 	c.Close()
-	if err := c.Call(1, "three", &got, time.Minute); errcode.Of(err) != errcode.Away {
+	if err := c.Call(1, "three", &got, time.Minute); errcode.Of(err) != errcode.Unreachable {
 		t.Errorf("%v for a call of a client that is closed", err)
 	}
 }
--- a/internal/rpc/walk_test.go
+++ b/internal/rpc/walk_test.go
@@ -53,7 +53,7 @@
 		}
 		return true
 	}},
-	{"answered with an error", func(a *called) bool { return a.put(framed(a.id, a.kind, errcode.Gone, nil)) }},
+	{"answered with an error", func(a *called) bool { return a.put(framed(a.id, a.kind, errcode.NotFound, nil)) }},
 	{"answered twice", func(a *called) bool { return a.put(a.good(), a.good()) }},
 	{"answered late", func(a *called) bool {
 		go func() { time.Sleep(2 * walkWait); a.put(a.good()) }()
--- a/internal/settings/articles.cue
+++ b/internal/settings/settings.cue
@@ -1,4 +1,4 @@
-// The settings file of one process. Every struct is open: fields that are not named here are ignored.
+// Schema of the settings file of one process. Every struct is open: unknown fields are ignored.
 #Text: string & !=""
 #IP:   =~"^(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])([.](25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])){3}$"
 #Addr: =~"^(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])([.](25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])){3}:[1-9][0-9]{0,4}$"
--- a/internal/settings/articles.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads the settings file that a process of the mesh is given, checks it, and notices when it changes.
+// Package settings loads and validates the settings file of a process of the mesh, and detects changes of the file.
 //
-// The file is YAML and is held against a schema in CUE. Fields that the schema doesn't know are ignored. The schema is
-// compiled for each reading and dropped afterwards: a process reads its settings at its start and after a change only.
+// The file is YAML and is validated with a CUE schema. Unknown fields are ignored. The schema is compiled for each load and not
+// kept in memory, because a process loads its settings only at startup and after a change.
 package settings
 
 import (
@@ -17,83 +17,83 @@
 	"saltmast/internal/schema"
 )
 
-//go:embed articles.cue
+//go:embed settings.cue
 var settingsSchema string
 
-// Variable is the environment variable that holds the path of the settings file, and DefaultPath where it is without one.
+// PathVariable is the environment variable that holds the path of the settings file. DefaultPath is used if it is not set.
 const (
-	Variable    = "VIOLETLATCH_SETTINGS"
-	DefaultPath = "/etc/violetlatch/local.yaml"
+	PathVariable = "VIOLETLATCH_SETTINGS"
+	DefaultPath  = "/etc/violetlatch/local.yaml"
 )
 
-// Path is where the settings file of this process is.
+// Path returns the path of the settings file of this process.
 func Path() string {
-	if p := os.Getenv(Variable); p != "" {
+	if p := os.Getenv(PathVariable); p != "" {
 		return p
 	}
 	return DefaultPath
 }
 
-// Settings is what a process is told. It is not changed after Load.
+// Settings holds the contents of a settings file. It must not be modified after Load.
 type Settings struct {
-	Path         string // of the file
-	NodeName     string // of the machine
+	Path         string // path of the settings file
+	NodeName     string // name of the machine
 	Role         string
 	MachineClass string
-	IP           string // IPv4, of the machine
+	IP           string // IPv4 address of the machine
 	Zone, Region string
 	Serves       []string          // who may call the role from outside
-	Zones        map[string]string // the region of each zone
-	Listen       map[string]string // host:port by what is served there
-	Ports        [2]int            // the first and the last that are free for the mesh's own use, see Port
-	Seeds        []string          // host:port of agents to begin with; may be down, may be empty
+	Zones        map[string]string // region of each zone
+	Listen       map[string]string // host:port by the name of what is served there
+	Ports        [2]int            // first and last port of the range reserved for the mesh, see Port
+	Seeds        []string          // host:port of agents to join through; they may be down, and the list may be empty
 
-	Bootstrap    bool // the very first start of the whole system
-	QuorumMember bool // counts among the machines whose loss is bounded
+	Bootstrap    bool // set at the very first start of the whole system
+	QuorumMember bool // belongs to the machines whose losses are bounded by Tolerance
 
-	VoterLost time.Duration // after which a voter that answers nobody is replaced; the file can't tell it; 0: half of Bounds.Catchup
+	VoterReplaceAfter time.Duration // after which an unresponsive voter is replaced; cannot be set in the file; 0 means half of Bounds.Catchup
 
-	CPUFraction   float64 // of a core; 0: not told, as for all limits
-	CPUCores      float64 // how fast that core is
+	CPUFraction   float64 // fraction of a core; 0 if not set, as for all limits
+	CPUCores      float64 // speed of that core
 	MemoryMB      float64
 	Descriptors   int
 	BandwidthMbps float64
 	DiskMB        float64
-	DataDir       string // empty: the machine has no disk
+	DataDir       string // empty if the machine has no disk
 
-	Heartbeat time.Duration // between two beats of a backend; 1 s if not told
-	Contracts []string      // which rules are in force
+	Heartbeat time.Duration // heartbeat interval of a backend; 1 s if not set
+	Contracts []string      // names of the rules in force
 	Tolerance Tolerance
 	Bounds    Bounds
 
-	AppAddr string // host:port of the backend on this machine; empty: there is none
-	Service string // that it runs
+	AppAddr string // host:port of the backend on this machine; empty if there is none
+	Service string // service of that backend
 }
 
-// Tolerance is what may be lost at one time.
+// Tolerance is the number of concurrent losses that the system must tolerate.
 type Tolerance struct{ Machines, Zones, Regions int }
 
-// Bounds holds the figures of the rules. One that the file doesn't give has the default that DefaultBounds tells.
+// Bounds holds the numbers used by the rules. Those missing from the file have the values of DefaultBounds.
 type Bounds struct {
-	SeedStaleness  time.Duration // how far the list of those who serve control is behind
-	AddressReuse   time.Duration // after which the address of an ended backend may belong to another service
-	Contact        time.Duration // how long callers go on to look for an answer
+	SeedStaleness  time.Duration // maximum age of the list of control endpoints
+	AddressReuse   time.Duration // after which the address of a stopped backend may be reused by another service
+	Contact        time.Duration // how long callers keep trying to get an answer
 	AckDeadline    time.Duration
-	Catchup        time.Duration // for which a machine counts as lost after its return
-	Drain          time.Duration // that a leaving backend goes on to serve
+	Catchup        time.Duration // for which a machine still counts as lost after its return
+	Drain          time.Duration // for which a draining backend continues to serve
 	Grace          time.Duration // from SIGTERM to SIGKILL
 	LossSlack      time.Duration
-	ConfigApply    time.Duration // in which an acknowledged item must be in force
+	ConfigApply    time.Duration // within which an acknowledged item must take effect
 	RollbackSlack  time.Duration
 	StretchMax     time.Duration
-	RetryRatio     float64 // requests sent to a second backend, for each first one
+	RetryRatio     float64 // retries per original request
 	RetryWindow    time.Duration
-	RetryAllowance float64       // such requests free of the ratio, in each window
-	DedupWindow    time.Duration // for which the answer of an operation is kept
+	RetryAllowance float64       // retries per window that do not count against the ratio
+	DedupWindow    time.Duration // for which the answer of an operation is stored
 	Recovery       time.Duration
 }
 
-// DefaultBounds are the figures for a file without any.
+// DefaultBounds returns the values that apply where the file sets none.
 func DefaultBounds() Bounds {
 	const s = time.Second
 	return Bounds{
@@ -103,7 +103,7 @@
 	}
 }
 
-// file is the settings file as the schema lets it pass.
+// file is the structure of a settings file that conforms to the schema.
 type file struct {
 	NodeName     string            `json:"node-name"`
 	Role         string            `json:"role"`
@@ -139,12 +139,12 @@
 	Service *string `json:"service"`
 }
 
-// Load reads and checks the settings file at path. An error is one line that names the file, the key, what was wanted there
-// and what was found.
+// Load reads and validates the settings file at path. Errors are a single line with the file, the key, the expected value and the
+// actual one.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, err // names the file
+		return nil, err // includes the path
 	}
 	s, err := Parse(raw)
 	if err != nil {
@@ -154,7 +154,7 @@
 	return s, nil
 }
 
-// Parse reads settings from the text of a file. Errors are as in Load, without the file.
+// Parse parses and validates the contents of a settings file. Errors are as in Load, without the file name.
 func Parse(raw []byte) (*Settings, error) {
 	var f file
 	if err := schema.YAML(settingsSchema, raw, &f); err != nil {
@@ -165,24 +165,24 @@
 		Serves: f.Serves, Zones: f.Zones, Listen: f.Listen, Ports: f.Ports, Seeds: f.Seeds,
 		Bootstrap: f.Bootstrap, QuorumMember: f.QuorumMember,
 		CPUFraction: f.Limits.CPUFraction, CPUCores: f.Limits.CPUCores, MemoryMB: f.Limits.MemoryMB, Descriptors: f.Limits.Descriptors,
-		BandwidthMbps: f.Limits.BandwidthMbps, DiskMB: f.Limits.DiskMB, DataDir: text(f.DataDir),
+		BandwidthMbps: f.Limits.BandwidthMbps, DiskMB: f.Limits.DiskMB, DataDir: stringOrEmpty(f.DataDir),
 		Heartbeat: time.Second, Contracts: f.Contracts,
 		Tolerance: Tolerance{f.Tolerance.Machines, f.Tolerance.Zones, f.Tolerance.Regions},
-		AppAddr:   text(f.AppAddr), Service: text(f.Service),
+		AppAddr:   stringOrEmpty(f.AppAddr), Service: stringOrEmpty(f.Service),
 	}
 	if f.Heartbeat != nil {
 		s.Heartbeat = seconds(*f.Heartbeat)
 	}
 	if s.Ports[1] < s.Ports[0] {
-		return nil, &schema.Fault{Path: []string{"ephemeral-ports"}, Want: "the last port not below the first", Got: fmt.Sprint(s.Ports[1], " after ", s.Ports[0])}
+		return nil, &schema.Violation{Path: []string{"ephemeral-ports"}, Expected: "the last port not below the first", Actual: fmt.Sprint(s.Ports[1], " after ", s.Ports[0])}
 	}
 	var err error
-	s.Bounds, err = bounds(f.Bounds)
+	s.Bounds, err = parseBounds(f.Bounds)
 	return s, err
 }
 
-// bounds reads name=value texts: a list of them, one line with commas, or nothing.
-func bounds(from any) (Bounds, error) {
+// parseBounds parses name=value pairs: a list of strings, one string separated by commas, or nil. Unknown names are ignored.
+func parseBounds(from any) (Bounds, error) {
 	b := DefaultBounds()
 	var texts []string
 	switch v := from.(type) {
@@ -190,7 +190,7 @@
 		texts = []string{v}
 	case []any:
 		for _, t := range v {
-			if t, ok := t.(string); ok { // the schema sees to that
+			if t, ok := t.(string); ok { // always true for data that passed the schema
 				texts = append(texts, t)
 			}
 		}
@@ -210,8 +210,8 @@
 			continue
 		}
 		x, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(x >= 0 && x <= most) {
-			return b, &schema.Fault{Path: []string{"bounds", name}, Want: "a number from 0 to 1000000", Got: strconv.Quote(value)}
+		if err != nil || !(x >= 0 && x <= maxNumber) {
+			return b, &schema.Violation{Path: []string{"bounds", name}, Expected: "a number from 0 to 1000000", Actual: strconv.Quote(value)}
 		}
 		if d != nil {
 			*d = seconds(x)
@@ -222,19 +222,18 @@
 	return b, nil
 }
 
-const most = 1e6 // seconds, and so on: what is beyond that is a mistake
+const maxNumber = 1e6 // largest plausible value, for example in seconds; anything above is a mistake
 
 func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
-func text(s *string) string {
+func stringOrEmpty(s *string) string {
 	if s == nil {
 		return ""
 	}
 	return *s
 }
 
-// Port is the address, as host:port, of port i on this machine, counted from 0 at the first of Ports. It is empty when i is
-// out of the range.
+// Port returns host:port of the i-th port of the Ports range on this machine, counted from 0. It is empty if i is out of range.
 func (s *Settings) Port(i int) string {
 	if i < 0 || i > s.Ports[1]-s.Ports[0] {
 		return ""
@@ -242,35 +241,35 @@
 	return net.JoinHostPort(s.IP, strconv.Itoa(s.Ports[0]+i))
 }
 
-// Watch tells whether a file has changed since it was asked last. It looks only when asked, and is for one goroutine.
+// Watch detects changes of a file by polling: it looks only when Changed is called. It is not safe for concurrent use.
 type Watch struct {
 	path string
 	info os.FileInfo
 	sum  [sha256.Size]byte
 }
 
-// NewWatch watches the file at path from its present content on. Made before the first Load, it misses no change. A file that
-// can't be read counts as empty.
+// NewWatch returns a Watch for the file at path, starting from its current content. If it is created before the first Load, no
+// change is missed. A file that cannot be read counts as empty.
 func NewWatch(path string) *Watch {
 	w := &Watch{path: path}
-	w.look()
+	w.read()
 	return w
 }
 
-// Changed reports whether the content of the file is another than at the last call, or at NewWatch before the first. A file
-// that can't be read is no change: it may be on its way. The content is read only if the file has another size, another time or
-// is another file.
+// Changed reports whether the content of the file has changed since the last call, or since NewWatch. A file that cannot be read
+// is not reported as changed, because it may be in the course of being replaced. The content is read only if the size, the
+// modification time or the file itself has changed.
 func (w *Watch) Changed() bool {
 	info, err := os.Stat(w.path)
 	if err != nil || w.info != nil && os.SameFile(info, w.info) && info.Size() == w.info.Size() && info.ModTime().Equal(w.info.ModTime()) {
 		return false
 	}
 	before := w.sum
-	return w.look() == nil && w.sum != before
+	return w.read() == nil && w.sum != before
 }
 
-// look takes the content as it is. What is written after the stat shows at the next one.
-func (w *Watch) look() error {
+// read records the current state of the file. A write after the stat is detected by the next stat.
+func (w *Watch) read() error {
 	info, err := os.Stat(w.path)
 	if err != nil {
 		return err
--- a/internal/settings/articles_test.go
+++ b/internal/settings/settings_test.go
@@ -67,7 +67,7 @@
 
 func TestLoad(t *testing.T) {
 	path := write(t, sample)
-	t.Setenv(Variable, path)
+	t.Setenv(PathVariable, path)
 	got, err := Load(Path())
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 	}
 }
 
-// A machine of the core has a disk and no backend; the bounds may stand on one line.
+// A core machine has a disk and no backend. The bounds may be given on one line.
 func TestCore(t *testing.T) {
 	text, _, _ := strings.Cut(sample, "bounds:")
 	text = strings.Replace(text, "data-directory: null", `data-directory: "/hold"`, 1)
@@ -156,13 +156,13 @@
 	step("written again with the same text", false)
 	put("b")
 	step("another text", true)
-	step("no other since", false)
+	step("unchanged since", false)
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	step("gone", false)
+	step("removed", false)
 	put("bc")
-	step("back with another text", true)
+	step("recreated with another text", true)
 }
 
 func BenchmarkLoad(b *testing.B) {
--- a/internal/simulation/mutants_test.go
+++ b/internal/simulation/mutants_test.go
@@ -99,7 +99,7 @@
 		{"a gate that does not notice that its callers have left", day("leavers"),
 			Flaw{Blind: func(addr string) bool { return !strings.HasSuffix(addr, ":"+portOut) }}, "GONE", "runs went on"},
 		{"a roll that does not grow", day("five"), Flaw{Settings: func(s *settings.Settings) { s.Tolerance.Machines = 1 }}, "WORLD", "in epoch 1"},
-		{"voters that are replaced after minutes", day("in-turn"), Flaw{Settings: func(s *settings.Settings) { s.VoterLost = 5 * time.Minute }}, "WORLD", "a removal"},
+		{"voters that are replaced after minutes", day("in-turn"), Flaw{Settings: func(s *settings.Settings) { s.VoterReplaceAfter = 5 * time.Minute }}, "WORLD", "a removal"},
 		{"a roll that counts machines alone", day("zone-lost"), Flaw{Settings: func(s *settings.Settings) {
 			s.Tolerance = settings.Tolerance{Machines: 1}
 		}}, "WORLD", "the loss of the zone"},
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -234,7 +234,7 @@
 func (w *World) settings(name, ip, zone string, boot bool) *settings.Settings {
 	s := &settings.Settings{NodeName: name, IP: ip, Zone: zone, Ports: [2]int{firstFree, lastFree}, Bootstrap: boot,
 		Listen: map[string]string{}, Heartbeat: 1300 * time.Millisecond, Bounds: settings.DefaultBounds(), MemoryMB: 200, Descriptors: 4000}
-	s.VoterLost = w.lost
+	s.VoterReplaceAfter = w.lost
 	for _, c := range w.core[:min(3, len(w.core))] { // as three are in a file; the roll grows by itself
 		s.Seeds = append(s.Seeds, net.JoinHostPort(c.m.IP, portControl))
 	}
--- a/internal/store/program.go
+++ b/internal/store/program.go
@@ -16,7 +16,7 @@
 const keyMargin = 30 * time.Second
 
 // Program is the store as a program.
-var Program = process.Program{Name: "purser", About: "The store of the mesh: keeps what must not be lost.",
+var Program = process.Program{Name: "purser", Description: "The store of the mesh: keeps what must not be lost.",
 	Start: func(s *settings.Settings, log func(event, text string)) (process.Running, error) {
 		return Launch(s, log, nil, nil)
 	}}
--- a/internal/store/purser.go
+++ b/internal/store/purser.go
@@ -643,7 +643,7 @@
 		b.report(c)
 		return nil
 	}
-	return errcode.New(errcode.NoCall, "kind %d", c.Kind)
+	return errcode.New(errcode.UnknownCall, "kind %d", c.Kind)
 }
 
 func with[T any](c rpc.Call, f func(rpc.Call, T) error) error {
@@ -660,7 +660,7 @@
 		return err
 	}
 	if b.seal.Shut() || b.taking {
-		return errcode.New(errcode.Gone, "epoch %d has ended here", epoch)
+		return errcode.New(errcode.NotFound, "epoch %d has ended here", epoch)
 	}
 	return nil
 }
@@ -669,13 +669,13 @@
 func (b *books) member(epoch uint64) error {
 	switch {
 	case epoch != b.roll.Epoch && b.roll.Epoch > 0: // whoever hears that learns who counts, or asks again soon
-		return errcode.New(errcode.Gone, "epoch %d, here %d", epoch, b.roll.Epoch)
+		return errcode.New(errcode.NotFound, "epoch %d, here %d", epoch, b.roll.Epoch)
 	case b.state == Repairing:
-		return errcode.New(errcode.Repairing, "")
+		return errcode.New(errcode.Recovering, "")
 	case b.state != Serving:
-		return errcode.New(errcode.CoreOut, "%s", b.state)
+		return errcode.New(errcode.NoQuorum, "%s", b.state)
 	case b.disk.Stalled() > stalledAfter:
-		return errcode.New(errcode.DiskOut, "")
+		return errcode.New(errcode.DiskUnavailable, "")
 	}
 	return nil
 }
@@ -697,7 +697,7 @@
 			if err == nil {
 				err = b.prepare(c, m)
 			} else {
-				err = errcode.New(errcode.DiskOut, "%w", err)
+				err = errcode.New(errcode.DiskUnavailable, "%w", err)
 			}
 			b.again(c, err)
 		})
@@ -722,7 +722,7 @@
 // reply answers once the disk has, from whatever goroutine.
 func reply(c rpc.Call, v any, err error) {
 	if err != nil {
-		c.Reply(nil, errcode.New(errcode.DiskOut, "%w", err))
+		c.Reply(nil, errcode.New(errcode.DiskUnavailable, "%w", err))
 		return
 	}
 	c.Reply(v, nil)
--- a/internal/store/purser_test.go
+++ b/internal/store/purser_test.go
@@ -191,7 +191,7 @@
 	if again.state != NoRoll {
 		t.Errorf("%s on an empty disk, epoch %d, incarnations %v", again.state, again.roll.Epoch, again.incs)
 	}
-	if r := again.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(r.err) != errcode.CoreOut {
+	if r := again.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(r.err) != errcode.NoQuorum {
 		t.Errorf("a claim there: %v", r.err)
 	}
 }
@@ -267,7 +267,7 @@
 	d.paper.sync(storage.ErrDisk)
 	d.paper.sync(nil)
 	d.catchUp()
-	if errcode.Of(first.err) != errcode.DiskOut || !again.grant(t).Given {
+	if errcode.Of(first.err) != errcode.DiskUnavailable || !again.grant(t).Given {
 		t.Fatalf("the first: %v, again: %v", first.err, again.err)
 	}
 	other := claim(2)
@@ -302,7 +302,7 @@
 	if got, _ := readClaim(d.paper.rows[tableClaims]["k"]); got != id(3) {
 		t.Errorf("%v on disk", got)
 	}
-	if errcode.Of(first.err) != errcode.DiskOut || !third.grant(t).Given {
+	if errcode.Of(first.err) != errcode.DiskUnavailable || !third.grant(t).Given {
 		t.Errorf("the first: %v, the third: %v", first.err, third.err)
 	}
 }
@@ -438,7 +438,7 @@
 	if r.n != 1 || r.err != nil || rpc.Decode(r.body, &w) != nil || w.State != string(NoDisk) {
 		t.Errorf("%d answers, %v, %+v", r.n, r.err, w)
 	}
-	if c := d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(c.err) != errcode.CoreOut {
+	if c := d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(c.err) != errcode.NoQuorum {
 		t.Errorf("a claim meanwhile: %v", c.err)
 	}
 	if len(work) != 1 {
@@ -479,7 +479,7 @@
 			if r.err == nil {
 				return answer == nil || rpc.Decode(r.body, answer) == nil
 			}
-			if failed++; errcode.Of(r.err) != errcode.DiskOut {
+			if failed++; errcode.Of(r.err) != errcode.DiskUnavailable {
 				t.Errorf("sync %d: %v", turn, r.err)
 			}
 			return false
@@ -561,7 +561,7 @@
 			messages.Accept:  messages.AcceptCall{B: configuration.Ballot{N: 1}, Epoch: 1},
 		} {
 			r := d.call(kind, v)
-			if stall > 0 && (r.n != 1 || errcode.Of(r.err) != errcode.DiskOut || len(d.paper.waits) > 0) {
+			if stall > 0 && (r.n != 1 || errcode.Of(r.err) != errcode.DiskUnavailable || len(d.paper.waits) > 0) {
 				t.Errorf("kind %d: %d answers, %v", kind, r.n, r.err)
 			}
 			if d.settle(); stall == 0 && (r.n != 1 || r.err != nil) {
@@ -597,7 +597,7 @@
 		d.settle()
 		again := claim(1, nil)
 		switch {
-		case damaged && (d.state != NoRoll || errcode.Of(again.err) != errcode.CoreOut):
+		case damaged && (d.state != NoRoll || errcode.Of(again.err) != errcode.NoQuorum):
 			t.Errorf("%s with a damaged disk, a claim: %v", d.state, again.err)
 		case !damaged && (d.state != Serving || d.ledger.Len() != 1 || !again.grant(t).Given):
 			t.Errorf("%s with %d keys", d.state, d.ledger.Len())
--- a/internal/store/register_test.go
+++ b/internal/store/register_test.go
@@ -70,7 +70,7 @@
 	}
 	r := d.call(messages.Turn, messages.TurnCall{Page: first, Epoch: 1})
 	d.paper.sync(storage.ErrDisk)
-	if d.settle(); errcode.Of(r.err) != errcode.DiskOut || d.acc.Accepted != at(2) || d.acc.CatchesUp() {
+	if d.settle(); errcode.Of(r.err) != errcode.DiskUnavailable || d.acc.Accepted != at(2) || d.acc.CatchesUp() {
 		t.Fatalf("a page that did not come to disk: %v, accepted %v", r.err, d.acc.Accepted)
 	}
 	for i, p := range []consensus.Page{first, consensus.PageOf(seven, at(7), at(5)), consensus.PageOf(nine, at(9), at(7))} {
--- a/internal/store/relief.go
+++ b/internal/store/relief.go
@@ -70,7 +70,7 @@
 		return err
 	}
 	if b.taking {
-		return errcode.New(errcode.Gone, "epoch %d has ended here", m.Epoch)
+		return errcode.New(errcode.NotFound, "epoch %d has ended here", m.Epoch)
 	}
 	if b.accepting {
 		b.queued = append(b.queued, func(b *books) { b.again(c, b.succeed(c, m)) })
@@ -131,7 +131,7 @@
 	}
 	at := r.Place(b.p.o.Addr)
 	if b.state == Repairing && b.mustering { // its repair ends first
-		done(errcode.New(errcode.Repairing, ""))
+		done(errcode.New(errcode.Recovering, ""))
 		return
 	}
 	next := b.state == Serving && b.roll.Epoch+1 == r.Epoch
@@ -175,14 +175,14 @@
 	e := reconfig.Estate{Vouch: b.vouch(), Promised: b.acc.Promised, Accepted: b.acc.Accepted, Chosen: r.chosen}
 	switch {
 	case b.state == Serving && b.roll.Epoch == m.Epoch && b.acc.CatchesUp(): // its books alone would not do
-		return errcode.New(errcode.Repairing, "")
+		return errcode.New(errcode.Recovering, "")
 	case b.state == Serving && b.roll.Epoch == m.Epoch:
 		e.Holds = true
 	case b.state == Serving && b.roll.Epoch+1 == m.Epoch && b.sealed:
 	case b.past != nil && b.past.Epoch+1 == m.Epoch && b.sealed:
 		e.Vouch = consensus.Vouch{By: b.past.Me, Incs: b.past.Incs}
 	default:
-		return errcode.New(errcode.Gone, "epoch %d, here %d", m.Epoch, b.roll.Epoch)
+		return errcode.New(errcode.NotFound, "epoch %d, here %d", m.Epoch, b.roll.Epoch)
 	}
 	h := messages.Handed{Estate: e, Former: b.inherited(), Items: r.items, Upto: r.upto, Base: r.base, Delta: r.delta}
 	if h.Upto == h.Base {
@@ -268,7 +268,7 @@
 		go func() {
 			for {
 				t := ask(a, "", configuration.Ballot{})
-				if t.err == nil || errcode.Of(t.err) != errcode.Gone || time.Now().After(end) {
+				if t.err == nil || errcode.Of(t.err) != errcode.NotFound || time.Now().After(end) {
 					ch <- t
 					return
 				}
@@ -294,7 +294,7 @@
 		}
 	}
 	if take == nil {
-		return nil, errcode.New(errcode.CoreOut, "%d hand over epoch %d", len(all), r.Epoch-1)
+		return nil, errcode.New(errcode.NoQuorum, "%d hand over epoch %d", len(all), r.Epoch-1)
 	}
 	for _, i := range take {
 		h := all[i].h
--- a/internal/store/relief_test.go
+++ b/internal/store/relief_test.go
@@ -40,10 +40,10 @@
 		}
 		return h, errcode.Of(r.err)
 	}
-	if _, k := hand(d); accept.n != 0 || k != errcode.Gone {
+	if _, k := hand(d); accept.n != 0 || k != errcode.NotFound {
 		t.Errorf("%d answers, handed over %v, before the seal is on disk", accept.n, k)
 	}
-	if r := d.call(messages.Claim, messages.ClaimCall{Key: "amid", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
+	if r := d.call(messages.Claim, messages.ClaimCall{Key: "amid", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.NotFound {
 		t.Errorf("a claim while the seal is on its way: %v", r.err)
 	}
 	d.settle()
@@ -57,13 +57,13 @@
 	again.open()
 	again.settle()
 	for name, d := range map[string]*desk{"sealed": d, "sealed and started again": again} {
-		if k := claim(d, "after"); k != errcode.Gone {
+		if k := claim(d, "after"); k != errcode.NotFound {
 			t.Errorf("%s: a claim: %v", name, k)
 		}
-		if r := d.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 9}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
+		if r := d.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 9}, Epoch: 1}); errcode.Of(r.err) != errcode.NotFound {
 			t.Errorf("%s: a promise: %v", name, r.err)
 		}
-		for of, want := range map[lease.Name]errcode.Kind{lease.Teach: errcode.Gone, lease.Roll: errcode.OK} {
+		for of, want := range map[lease.Name]errcode.Kind{lease.Teach: errcode.NotFound, lease.Roll: errcode.OK} {
 			if r := d.call(messages.Lease, messages.LeaseCall{Duty: of, By: 7, Epoch: 1}); errcode.Of(r.err) != want {
 				t.Errorf("%s: the duty %s: %v", name, of, r.err)
 			}
@@ -91,14 +91,14 @@
 		d.settle()
 		d.mustering = true // no test here waits for a repair
 		d.call(messages.Relieve, messages.RelieveCall{Roll: messages.Roll{Epoch: 2, Voters: c.next, Was: voters}})
-		if r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2}); errcode.Of(r.err) != errcode.Gone {
+		if r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2}); errcode.Of(r.err) != errcode.NotFound {
 			t.Errorf("%s: handed over before it is on disk: %v", c.name, r.err)
 		}
 		d.settle()
 		if r := d.call(messages.Handover, messages.HandoverCall{Epoch: 2}); d.state != c.want || r.err != nil {
 			t.Errorf("%s: %s, handed over: %v", c.name, d.state, r.err)
 		}
-		if r := d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
+		if r := d.call(messages.Claim, messages.ClaimCall{Key: "k", ID: idempotency.ID{Life: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.NotFound {
 			t.Errorf("%s: a claim of the old epoch: %v", c.name, r.err)
 		}
 	}
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -37,7 +37,7 @@
 func (b *books) muster(c rpc.Call, m messages.MusterCall) error {
 	b.p.Counts.Muster.Add(1)
 	if b.roll.Epoch == 0 {
-		return errcode.New(errcode.CoreOut, "%s", b.state)
+		return errcode.New(errcode.NoQuorum, "%s", b.state)
 	}
 	at := b.roll.Place(m.Addr)
 	if m.Inc == 0 || at < 0 || b.me < 0 {
@@ -45,14 +45,14 @@
 		return nil
 	}
 	if b.state != Serving {
-		return errcode.New(errcode.Repairing, "")
+		return errcode.New(errcode.Recovering, "")
 	}
 	if b.accepting {
 		b.queued = append(b.queued, func(b *books) { b.again(c, b.muster(c, m)) })
 		return nil
 	}
 	if b.incs[at] > m.Inc {
-		return errcode.New(errcode.Preempted, "incarnation %d, here %d", m.Inc, b.incs[at])
+		return errcode.New(errcode.HigherBallot, "incarnation %d, here %d", m.Inc, b.incs[at])
 	}
 	b.incs[at] = m.Inc
 	b.write([]storage.Put{b.putIncs()}, func(err error) {
@@ -62,7 +62,7 @@
 		}
 		b.p.later(func(b *books) {
 			if b.state != Serving { // its own disk was given up meanwhile
-				c.Reply(nil, errcode.New(errcode.Repairing, ""))
+				c.Reply(nil, errcode.New(errcode.Recovering, ""))
 				return
 			}
 			c.Reply(b.tell(m), nil)
