--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -155,8 +155,8 @@
 
 func (e *ValidationError) Error() string { return e.Subject + ": " + e.Reason }
 
-func invalid(where, format string, args ...any) error {
-	return &ValidationError{Subject: where, Reason: fmt.Sprintf(format, args...)}
+func invalid(subject, format string, args ...any) error {
+	return &ValidationError{Subject: subject, Reason: fmt.Sprintf(format, args...)}
 }
 
 // quoted returns s quoted for an error message, truncated to about 40 bytes.
--- a/internal/configuration/resources.go
+++ b/internal/configuration/resources.go
@@ -103,23 +103,23 @@
 	if f.MaxAttempts == nil {
 		f.MaxAttempts = new(float64)
 	}
-	where := i.Key.String()
+	subject := i.Key.String()
 	kind := slices.Index(routeKindNames[:], f.Kind)
 	switch {
 	case f.Host == "":
-		return nil, invalid(where, "no host")
+		return nil, invalid(subject, "no host")
 	case !strings.HasPrefix(f.Prefix, "/"):
-		return nil, invalid(where, "path-prefix %s does not start with a slash", quoted(f.Prefix))
+		return nil, invalid(subject, "path-prefix %s does not start with a slash", quoted(f.Prefix))
 	case kind < 0:
-		return nil, invalid(where, "%s is no route-kind", quoted(f.Kind))
+		return nil, invalid(subject, "%s is no route-kind", quoted(f.Kind))
 	case !(f.Deadline > 0 && f.Deadline <= maxNumber):
-		return nil, invalid(where, "deadline-s %v is not over 0", f.Deadline)
+		return nil, invalid(subject, "deadline-s %v is not over 0", f.Deadline)
 	case !(*f.Target >= 0 && *f.Target <= maxNumber):
-		return nil, invalid(where, "target-s %v is not 0 or more", *f.Target)
+		return nil, invalid(subject, "target-s %v is not 0 or more", *f.Target)
 	case !isWholeNumber(f.Priority, maxNumber):
-		return nil, invalid(where, "priority %v is no whole number, 0 or more", f.Priority)
+		return nil, invalid(subject, "priority %v is no whole number, 0 or more", f.Priority)
 	case !isWholeNumber(*f.MaxAttempts, maxNumber):
-		return nil, invalid(where, "max-attempts %v is no whole number, 0 or more", *f.MaxAttempts)
+		return nil, invalid(subject, "max-attempts %v is no whole number, 0 or more", *f.MaxAttempts)
 	}
 	r := &Route{
 		Name: i.Key.Name, Host: strings.ToLower(f.Host), Prefix: f.Prefix, Kind: RouteKind(kind), Deadline: seconds(f.Deadline), Target: seconds(*f.Target),
@@ -127,7 +127,7 @@
 	}
 	if len(f.Split) == 0 {
 		if f.Service == "" {
-			return nil, invalid(where, "neither service nor split")
+			return nil, invalid(subject, "neither service nor split")
 		}
 		r.Split = []Share{{Service: f.Service, Weight: 1}}
 		return r, nil
@@ -136,9 +136,9 @@
 	for _, s := range f.Split {
 		switch {
 		case s.Service == "":
-			return nil, invalid(where, "a share without a service")
+			return nil, invalid(subject, "a share without a service")
 		case !(s.Weight >= 0 && s.Weight <= maxNumber):
-			return nil, invalid(where, "weight %v of %s is not 0 or more", s.Weight, quoted(s.Service))
+			return nil, invalid(subject, "weight %v of %s is not 0 or more", s.Weight, quoted(s.Service))
 		case s.Weight != math.Trunc(s.Weight):
 			unit = 1e4 // weights are integers in a Share: fractions keep four decimal places
 		}
@@ -149,7 +149,7 @@
 		sum += w
 	}
 	if sum == 0 {
-		return nil, invalid(where, "the weights add up to 0")
+		return nil, invalid(subject, "the weights add up to 0")
 	}
 	return r, nil
 }
@@ -165,12 +165,12 @@
 	if err := decodeSpec(i, &f); err != nil {
 		return nil, err
 	}
-	where := i.Key.String()
+	subject := i.Key.String()
 	switch {
 	case !strings.HasPrefix(f.HealthPath, "/"):
-		return nil, invalid(where, "health-path %s does not start with a slash", quoted(f.HealthPath))
+		return nil, invalid(subject, "health-path %s does not start with a slash", quoted(f.HealthPath))
 	case !isWholeNumber(f.ConnectionLimit, 1<<30):
-		return nil, invalid(where, "connection-limit %v is no whole number, 0 or more", f.ConnectionLimit)
+		return nil, invalid(subject, "connection-limit %v is no whole number, 0 or more", f.ConnectionLimit)
 	}
 	return &Service{
 		Name: i.Key.Name, HealthPath: f.HealthPath, ConnectionLimit: int(f.ConnectionLimit), Protocol: f.Protocol, TLS: f.TLS, SelfDedup: f.SelfDedup,
@@ -188,16 +188,16 @@
 	if err := decodeSpec(i, &f); err != nil {
 		return d, err
 	}
-	where := i.Key.String()
+	subject := i.Key.String()
 	switch {
 	case !isWholeNumber(f.MaxHeaderBytes, 1<<30):
-		return d, invalid(where, "max-header-bytes %v is no whole number, 0 or more", f.MaxHeaderBytes)
+		return d, invalid(subject, "max-header-bytes %v is no whole number, 0 or more", f.MaxHeaderBytes)
 	case !isWholeNumber(f.MaxBodyBytes, 1<<40):
-		return d, invalid(where, "max-body-bytes %v is no whole number, 0 or more", f.MaxBodyBytes)
+		return d, invalid(subject, "max-body-bytes %v is no whole number, 0 or more", f.MaxBodyBytes)
 	case !(f.HeaderTimeout >= 0 && f.HeaderTimeout <= maxNumber):
-		return d, invalid(where, "header-timeout-s %v is not 0 or more", f.HeaderTimeout)
+		return d, invalid(subject, "header-timeout-s %v is not 0 or more", f.HeaderTimeout)
 	case !(f.IdleTimeout >= 0 && f.IdleTimeout <= maxNumber):
-		return d, invalid(where, "idle-timeout-s %v is not 0 or more", f.IdleTimeout)
+		return d, invalid(subject, "idle-timeout-s %v is not 0 or more", f.IdleTimeout)
 	}
 	return ClientLimits{
 		MaxHeaderBytes: int(f.MaxHeaderBytes), MaxBodyBytes: int64(f.MaxBodyBytes), HeaderTimeout: seconds(f.HeaderTimeout), IdleTimeout: seconds(f.IdleTimeout),
--- a/internal/membership/gossip_test.go
+++ b/internal/membership/gossip_test.go
@@ -139,7 +139,7 @@
 			return func() bool {
 				for _, x := range cl.nodes[:n] {
 					e := x.node.entries[nameOf(9)]
-					if x.up && (e.m.Addr != addrOf(at) || e.state != Alive) {
+					if x.up && (e.member.Addr != addrOf(at) || e.state != Alive) {
 						return false
 					}
 				}
@@ -171,7 +171,7 @@
 		cl.start(8)
 		cl.run(cl.now+3*time.Second, nil)
 		for _, x := range cl.nodes[:n] {
-			if e := x.node.entries[nameOf(8)]; x.up && e.m.Life != cl.nodes[8].node.Self().Life {
+			if e := x.node.entries[nameOf(8)]; x.up && e.member.Life != cl.nodes[8].node.Self().Life {
 				t.Errorf("seed %d: %s knows an old life", seed, nameOf(x.i))
 			}
 		}
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -262,7 +262,7 @@
 	node.seeds = node.seeds[:0]
 	for _, s := range seeds {
 		s = netip.AddrPortFrom(s.Addr().Unmap(), s.Port())
-		if s.IsValid() && s.Port() != 0 && s != node.self.m.Addr && !slices.Contains(node.seeds, s) && len(node.seeds) < 8 {
+		if s.IsValid() && s.Port() != 0 && s != node.self.member.Addr && !slices.Contains(node.seeds, s) && len(node.seeds) < 8 {
 			node.seeds = append(node.seeds, s)
 		}
 	}
@@ -273,7 +273,7 @@
 // should limit how often they change it, since each change is sent to the whole cluster. It returns an ErrMember if meta is
 // longer than MetaBytes.
 func (node *Node) SetMeta(now time.Duration, meta []byte) error {
-	m := node.self.m
+	m := node.self.member
 	if string(m.Meta) == string(meta) || node.left {
 		return nil
 	}
@@ -305,16 +305,16 @@
 	}
 	node.left = true
 	node.probe, node.sync, node.relays = nil, nil, nil
-	node.update(node.self, node.clock, node.self.m, Left, node.clock)
+	node.update(node.self, node.clock, node.self.member, Left, node.clock)
 	node.broadcast(node.self, "")
 	for _, e := range node.randomMembers(node.transmitLimit(), nil) {
-		node.enqueue(e.m.Addr, header{Kind: gossip}, e, node.self)
+		node.enqueue(e.member.Addr, header{Kind: gossip}, e, node.self)
 	}
 	return node.drain()
 }
 
 // Self returns this member as currently announced. Its generation and incarnation increase over time.
-func (node *Node) Self() Member { return node.self.m }
+func (node *Node) Self() Member { return node.self.member }
 
 // Members returns all known members by name, including this one, the dead and those that left.
 func (node *Node) Members() []Status {
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -20,30 +20,30 @@
 		return nil
 	}
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-	if m.Name == node.self.m.Name {
-		if m.Life != node.self.m.Life && node.keepsName(node.self, from) {
+	if m.Name == node.self.member.Name {
+		if m.Life != node.self.member.Life && node.keepsName(node.self, from) {
 			node.reportConflict(node.self, node.clock, Member{Name: m.Name, Life: m.Life, Generation: m.Generation, Incarnation: m.Incarnation, Addr: from})
-		} else if m.Life != node.self.m.Life && compareLives(m.Generation, m.Life, node.self.m.Generation, node.self.m.Life) > 0 {
+		} else if m.Life != node.self.member.Life && compareLives(m.Generation, m.Life, node.self.member.Generation, node.self.member.Life) > 0 {
 			node.requestGeneration(m.Generation + 1)
 		}
 		return node.drain()
 	}
 
-	// Suspicions and deaths reported by a sender that is unknown or not live here are ignored.
-	var newerHere []*entry
-	sendSelf := false // the sender needs this member's record
-	for _, accusing := range []bool{false, true} {
-		if accusing && !node.trusted(m) {
+	// Suspicions and deaths are processed in a second pass, and ignored if the sender is unknown or not live here.
+	var outdated []*entry // entries of which the sender has an older record
+	sendSelf := false     // the sender needs this member's record
+	for _, suspicions := range []bool{false, true} {
+		if suspicions && !node.trusted(m) {
 			break
 		}
-		for i := range m.News {
-			n := &m.News[i]
-			if n.Name == node.self.m.Name {
-				sendSelf = !accusing && node.receiveOwnRecord(n) || sendSelf
-			} else if (n.State == Suspect || n.State == Dead) != accusing {
+		for i := range m.Updates {
+			rec := &m.Updates[i]
+			if rec.Name == node.self.member.Name {
+				sendSelf = !suspicions && node.receiveOwnRecord(rec) || sendSelf
+			} else if (rec.State == Suspect || rec.State == Dead) != suspicions {
 				continue
-			} else if node.merge(node.clock, n, m.Name) {
-				newerHere = append(newerHere, node.entries[n.Name])
+			} else if node.merge(node.clock, rec, m.Name) {
+				outdated = append(outdated, node.entries[rec.Name])
 			}
 		}
 	}
@@ -55,7 +55,7 @@
 	if stale {
 		first = append(first, peer)
 	}
-	if peer != nil && m.Life == peer.m.Life {
+	if peer != nil && m.Life == peer.member.Life {
 		node.markHeard(peer, m.Kind == ack && m.Target == "")
 	}
 	switch {
@@ -80,14 +80,14 @@
 	case pingRequest:
 		node.receivePingRequest(m, from)
 	case nack:
-		if p := node.probe; p != nil && p.seq == m.Seq && m.Target == p.target.m.Name {
+		if p := node.probe; p != nil && p.seq == m.Seq && m.Target == p.target.member.Name {
 			p.nacks++
 		}
 	case syncRequest:
 		node.sendPage(m, from, peer)
 	case syncPage:
-		node.receivePage(m, from, len(newerHere) > 0)
-		first = append(first, newerHere...)
+		node.receivePage(m, from, len(outdated) > 0)
+		first = append(first, outdated...)
 	}
 	if !stale && len(first) > 0 {
 		node.enqueue(from, header{Kind: gossip}, peer, first...)
@@ -102,13 +102,13 @@
 	if e == nil {
 		return nil, true, false
 	}
-	switch compareLives(m.Generation, m.Life, e.m.Generation, e.m.Life) {
+	switch compareLives(m.Generation, m.Life, e.member.Generation, e.member.Life) {
 	case 1:
 		return e, true, false
 	case -1:
 		return e, false, true
 	}
-	if m.Incarnation > e.m.Incarnation && e.state != Left {
+	if m.Incarnation > e.member.Incarnation && e.state != Left {
 		return e, true, false
 	}
 	return e, false, e.state != Alive
@@ -117,7 +117,7 @@
 // trusted reports whether suspicions from a sender are accepted: it must be live here, in the same life.
 func (node *Node) trusted(m *incoming) bool {
 	e := node.entries[m.Name]
-	return e != nil && e.state.Live() && compareLives(m.Generation, m.Life, e.m.Generation, e.m.Life) == 0
+	return e != nil && e.state.Live() && compareLives(m.Generation, m.Life, e.member.Generation, e.member.Life) == 0
 }
 
 // markHeard records direct evidence that a member is alive.
@@ -137,7 +137,7 @@
 // receiveAck handles the answer to a probe of this member or to a relayed one.
 func (node *Node) receiveAck(m *incoming, from netip.AddrPort) {
 	if m.Target != "" {
-		if p := node.probe; p != nil && p.seq == m.Seq && p.target.m.Name == m.Target {
+		if p := node.probe; p != nil && p.seq == m.Seq && p.target.member.Name == m.Target {
 			node.markHeard(p.target, true)
 		}
 		return
@@ -168,7 +168,7 @@
 // receivePingRequest pings a target on behalf of another member.
 func (node *Node) receivePingRequest(m *incoming, from netip.AddrPort) {
 	to, ok := decodeAddr(m.TargetAddr)
-	if !ok || m.Target == "" || to.Port() == 0 || len(node.relays) >= maxRelays || to == node.self.m.Addr {
+	if !ok || m.Target == "" || to.Port() == 0 || len(node.relays) >= maxRelays || to == node.self.member.Addr {
 		return
 	}
 	l := relay{seq: node.nextSeq(), target: m.Target, requester: from, requestSeq: m.Seq, deadline: node.clock + node.options.AckTimeout}
@@ -211,7 +211,7 @@
 			continue
 		}
 		if size += len(e.encode(node.clock, "")); size > DatagramBytes && len(out) > 0 {
-			h.After = out[len(out)-1].m.Name
+			h.After = out[len(out)-1].member.Name
 			break
 		}
 		out = append(out, e)
@@ -235,26 +235,26 @@
 }
 
 // receiveOwnRecord handles a record of this member sent by another, and reports whether it must be answered with the current one.
-func (node *Node) receiveOwnRecord(n *record) bool {
-	m := node.self.m
-	if other, _ := n.member(); n.Life != m.Life && n.State.Live() && node.keepsName(node.self, other.Addr) {
+func (node *Node) receiveOwnRecord(rec *record) bool {
+	m := node.self.member
+	if other, _ := rec.member(); rec.Life != m.Life && rec.State.Live() && node.keepsName(node.self, other.Addr) {
 		node.reportConflict(node.self, node.clock, other)
 		return false
 	}
-	switch life := compareLives(n.Generation, n.Life, m.Generation, m.Life); {
-	case life > 0 || life == 0 && n.State == Left:
-		return node.requestGeneration(n.Generation + 1)
-	case life < 0 || n.Incarnation < m.Incarnation || n.Incarnation == m.Incarnation && n.State == Alive:
+	switch life := compareLives(rec.Generation, rec.Life, m.Generation, m.Life); {
+	case life > 0 || life == 0 && rec.State == Left:
+		return node.requestGeneration(rec.Generation + 1)
+	case life < 0 || rec.Incarnation < m.Incarnation || rec.Incarnation == m.Incarnation && rec.State == Alive:
 		return false
 	}
-	if n.Incarnation >= maxCounter {
+	if rec.Incarnation >= maxCounter {
 		return false
 	}
-	if n.State != Alive {
+	if rec.State != Alive {
 		node.counts.Refuted++
 		node.increaseSlowness(1)
 	}
-	m.Incarnation = n.Incarnation + 1
+	m.Incarnation = rec.Incarnation + 1
 	node.update(node.self, node.clock, m, Alive, node.self.since)
 	node.broadcast(node.self, "")
 	return true
@@ -275,7 +275,7 @@
 }
 
 func (node *Node) takeGeneration() {
-	m := node.self.m
+	m := node.self.member
 	if node.wantedGeneration > m.Generation {
 		m.Generation = node.wantedGeneration
 		node.counts.Claims++
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -34,7 +34,7 @@
 
 // entry is one known member.
 type entry struct {
-	m            Member
+	member       Member
 	state        State
 	since        time.Duration
 	lastHeard    time.Duration
@@ -57,7 +57,7 @@
 }
 
 func (e *entry) status() Status {
-	return Status{Member: e.m, State: e.state, Since: e.since, LastHeard: e.lastHeard, SuspectedBy: slices.Clone(e.suspectedBy)}
+	return Status{Member: e.member, State: e.state, Since: e.since, LastHeard: e.lastHeard, SuspectedBy: slices.Clone(e.suspectedBy)}
 }
 
 // compareLives orders two lives of a name, the newer one last.
@@ -99,7 +99,7 @@
 func (t *table) search(name string) (int, bool) {
 	part := bucketOf(name)
 	return slices.BinarySearchFunc(t.sorted, name, func(e *entry, name string) int {
-		return cmp.Or(cmp.Compare(e.bucket, part), strings.Compare(e.m.Name, name))
+		return cmp.Or(cmp.Compare(e.bucket, part), strings.Compare(e.member.Name, name))
 	})
 }
 
@@ -117,7 +117,7 @@
 		t.node.counts.Full++
 		return nil
 	}
-	e := &entry{m: Member{Name: m.Name}, lastHeard: beforeAllTime, lastConflict: beforeAllTime, bucket: bucketOf(m.Name)}
+	e := &entry{member: Member{Name: m.Name}, lastHeard: beforeAllTime, lastConflict: beforeAllTime, bucket: bucketOf(m.Name)}
 	t.entries[m.Name] = e
 	at, _ := t.search(m.Name)
 	t.sorted = slices.Insert(t.sorted, at, e)
@@ -143,7 +143,7 @@
 	}
 	t.digest ^= e.hash
 	t.bucketDigests[e.bucket] ^= e.hash
-	e.m, e.state, e.since, e.encoded = m, s, since, nil
+	e.member, e.state, e.since, e.encoded = m, s, since, nil
 	if was.State != s {
 		switch was.State {
 		case Suspect:
@@ -180,9 +180,9 @@
 	was := e.status()
 	t.ended = without(t.ended, e)
 	t.broadcasts = without(t.broadcasts, e)
-	delete(t.entries, e.m.Name)
+	delete(t.entries, e.member.Name)
 	t.sorted = without(t.sorted, e)
-	t.recordChange(Change{At: now, Before: was, After: Status{Member: e.m, Since: now, LastHeard: e.lastHeard}})
+	t.recordChange(Change{At: now, Before: was, After: Status{Member: e.member, Since: now, LastHeard: e.lastHeard}})
 }
 
 func without(es []*entry, e *entry) []*entry {
@@ -192,12 +192,12 @@
 	return es
 }
 
-// merge applies a record of another member, received from sender. Apart from the start time of a suspicion the result does not
-// depend on the order of records. It reports whether the record is older than what is known here.
-func (t *table) merge(now time.Duration, n *record, sender string) (older bool) {
-	m, _ := n.member()
-	age := time.Duration(n.Age) * time.Second
-	ended := n.State == Dead || n.State == Left
+// merge applies a record of another member, received from sender. The order of records affects only the start of a suspicion and
+// whether a member is first suspected or dead; see TestRecordOrder. It reports whether the record is older than what is known.
+func (t *table) merge(now time.Duration, rec *record, sender string) (older bool) {
+	m, _ := rec.member()
+	age := time.Duration(rec.Age) * time.Second
+	ended := rec.State == Dead || rec.State == Left
 	e := t.entries[m.Name]
 	if e == nil {
 		if ended && age >= t.node.options.RetainDead {
@@ -206,14 +206,14 @@
 		if e = t.add(now, m, Alive, now); e == nil {
 			return false
 		}
-		if n.State != Suspect {
-			t.update(e, now, m, n.State, now-age)
+		if rec.State != Suspect {
+			t.update(e, now, m, rec.State, now-age)
 		}
-		t.suspect(e, now, n, n.By)
-		t.broadcast(e, n.By)
+		t.suspect(e, now, rec, rec.By)
+		t.broadcast(e, rec.By)
 		return false
 	}
-	life := compareLives(m.Generation, m.Life, e.m.Generation, e.m.Life)
+	life := compareLives(m.Generation, m.Life, e.member.Generation, e.member.Life)
 	switch {
 	case life < 0:
 		return true
@@ -225,35 +225,35 @@
 	case life > 0:
 		t.update(e, now, m, Alive, now)
 		if ended {
-			t.update(e, now, m, n.State, now-age)
+			t.update(e, now, m, rec.State, now-age)
 		}
-		t.suspect(e, now, n, n.By)
-		t.broadcast(e, n.By)
+		t.suspect(e, now, rec, rec.By)
+		t.broadcast(e, rec.By)
 		return false
 	case e.state == Left:
-		if n.State != Left {
+		if rec.State != Left {
 			return true
 		}
-		if e.since = min(e.since, now-age); m.Incarnation > e.m.Incarnation {
+		if e.since = min(e.since, now-age); m.Incarnation > e.member.Incarnation {
 			t.update(e, now, m, Left, e.since)
 		}
-		return m.Incarnation < e.m.Incarnation
-	case n.State == Left:
+		return m.Incarnation < e.member.Incarnation
+	case rec.State == Left:
 		t.update(e, now, m, Left, now-age)
 		t.broadcast(e, "")
 		return false
-	case m.Incarnation < e.m.Incarnation:
+	case m.Incarnation < e.member.Incarnation:
 		return true
-	case m.Incarnation > e.m.Incarnation:
+	case m.Incarnation > e.member.Incarnation:
 		dead := e.state == Dead
 		switch {
-		case n.State != Dead:
+		case rec.State != Dead:
 			if dead {
 				t.node.inSync = false // a partition may have healed: others may have more records
 			}
 			t.update(e, now, m, Alive, now)
-			t.suspect(e, now, n, n.By)
-			t.broadcast(e, n.By)
+			t.suspect(e, now, rec, rec.By)
+			t.broadcast(e, rec.By)
 		case dead:
 			t.update(e, now, m, Dead, min(e.since, now-age))
 			t.broadcast(e, "")
@@ -263,13 +263,13 @@
 		}
 		return false
 	}
-	switch n.State {
+	switch rec.State {
 	case Suspect:
 		if e.state == Dead {
 			return true
 		}
-		if t.suspect(e, now, n, n.By) {
-			t.broadcast(e, n.By)
+		if t.suspect(e, now, rec, rec.By) {
+			t.broadcast(e, rec.By)
 		}
 	case Dead:
 		if e.state == Dead {
@@ -278,12 +278,12 @@
 		}
 		t.suspectReportedDead(e, now, sender)
 	}
-	return n.State == Alive && e.state != Alive
+	return rec.State == Alive && e.state != Alive
 }
 
 // keepsName reports whether a live member keeps its name against another life at address from; see Options.KeepLiveNames.
 func (t *table) keepsName(e *entry, from netip.AddrPort) bool {
-	return t.node.options.KeepLiveNames && e.state.Live() && e.m.Addr != from
+	return t.node.options.KeepLiveNames && e.state.Live() && e.member.Addr != from
 }
 
 // reportConflict records a Change about another process with the name of a live member, at most once per period.
@@ -296,16 +296,16 @@
 	t.recordChange(Change{At: now, Before: e.status(), After: e.status(), Conflict: &other})
 }
 
-// suspect adds the member by to those that suspect a live member, if n is a suspicion. It reports whether that is new.
-func (t *table) suspect(e *entry, now time.Duration, n *record, by string) bool {
-	if n.State != Suspect || !e.state.Live() || slices.Contains(e.suspectedBy, by) || len(e.suspectedBy) > t.node.options.Confirmations {
+// suspect adds the member by to those that suspect a live member, if rec is a suspicion. It reports whether that is new.
+func (t *table) suspect(e *entry, now time.Duration, rec *record, by string) bool {
+	if rec.State != Suspect || !e.state.Live() || slices.Contains(e.suspectedBy, by) || len(e.suspectedBy) > t.node.options.Confirmations {
 		return false
 	}
 	if e.state == Alive {
 		e.suspectedAt = now
 		e.suspectedBy, e.reportedDead = []string{by}, false
 		e.suspicionEnd = e.suspectedAt + t.suspicionTime(e)
-		t.update(e, now, e.m, Suspect, now)
+		t.update(e, now, e.member, Suspect, now)
 	} else {
 		e.suspectedBy = append(e.suspectedBy, by)
 		slices.Sort(e.suspectedBy)
@@ -356,7 +356,7 @@
 
 // broadcast queues an entry as a new update; by is the suspecting member, if any.
 func (t *table) broadcast(e *entry, by string) {
-	if t.entries[e.m.Name] != e {
+	if t.entries[e.member.Name] != e {
 		return
 	}
 	t.node.nextGossip = max(t.node.nextGossip, t.node.clock)
--- a/internal/membership/timers.go
+++ b/internal/membership/timers.go
@@ -172,7 +172,7 @@
 			node.broadcasts = nil
 		}
 		for _, e := range to {
-			node.enqueue(e.m.Addr, header{Kind: gossip}, e)
+			node.enqueue(e.member.Addr, header{Kind: gossip}, e)
 		}
 	}
 	return node.drain()
@@ -192,10 +192,10 @@
 	if p := node.probe; p != nil {
 		if p.requests == 0 && node.clock >= p.indirectAt && node.clock < p.deadline {
 			p.requests = 1 // the target is also pinged directly once more
-			node.enqueue(p.target.m.Addr, header{Kind: ping, Seq: p.seq}, p.target)
+			node.enqueue(p.target.member.Addr, header{Kind: ping, Seq: p.seq}, p.target)
 			for _, h := range node.randomMembers(node.options.IndirectProbes, p.target) {
 				p.requests++
-				node.enqueue(h.m.Addr, header{Kind: pingRequest, Seq: p.seq, Target: p.target.m.Name, TargetAddr: encodeAddr(p.target.m.Addr)}, h)
+				node.enqueue(h.member.Addr, header{Kind: pingRequest, Seq: p.seq, Target: p.target.member.Name, TargetAddr: encodeAddr(p.target.member.Addr)}, h)
 			}
 		}
 		if node.clock >= p.deadline {
@@ -223,7 +223,7 @@
 		}
 		if len(dead) > 0 {
 			e := dead[node.rand.Intn(len(dead))]
-			node.enqueue(e.m.Addr, header{Kind: ping, Seq: node.nextSeq()}, e)
+			node.enqueue(e.member.Addr, header{Kind: ping, Seq: node.nextSeq()}, e)
 		}
 	}
 	e := node.nextProbeTarget()
@@ -232,7 +232,7 @@
 	}
 	node.counts.Probes++
 	node.probe = &probe{target: e, seq: node.nextSeq(), indirectAt: node.clock + node.scaled(node.options.AckTimeout), deadline: node.nextProbe}
-	node.enqueue(e.m.Addr, header{Kind: ping, Seq: node.probe.seq}, e)
+	node.enqueue(e.member.Addr, header{Kind: ping, Seq: node.probe.seq}, e)
 }
 
 func (node *Node) nextSeq() uint32 {
@@ -247,12 +247,12 @@
 	if p.requests > 1 && p.nacks == 0 {
 		node.increaseSlowness(1) // no helper answered either: the fault may be on this side
 	}
-	if !p.target.state.Live() || node.entries[p.target.m.Name] != p.target {
+	if !p.target.state.Live() || node.entries[p.target.member.Name] != p.target {
 		return
 	}
 	node.counts.Unanswered++
-	if node.suspect(p.target, node.clock, &record{State: Suspect}, node.self.m.Name) {
-		node.broadcast(p.target, node.self.m.Name)
+	if node.suspect(p.target, node.clock, &record{State: Suspect}, node.self.member.Name) {
+		node.broadcast(p.target, node.self.member.Name)
 	}
 }
 
@@ -273,7 +273,7 @@
 		for node.probeIndex < len(node.probeOrder) {
 			e := node.probeOrder[node.probeIndex]
 			node.probeIndex++
-			if e.state.Live() && node.entries[e.m.Name] == e && (node.clock-e.lastHeard >= node.options.Period || node.idlePeriods >= deadProbePeriods) {
+			if e.state.Live() && node.entries[e.member.Name] == e && (node.clock-e.lastHeard >= node.options.Period || node.idlePeriods >= deadProbePeriods) {
 				node.idlePeriods = 0
 				return e
 			}
@@ -322,10 +322,10 @@
 		}
 		if node.clock-e.lastHeard < node.options.Period {
 			e.suspicionEnd = node.clock + node.options.Period
-			node.enqueue(e.m.Addr, header{Kind: ping, Seq: node.nextSeq()}, e)
+			node.enqueue(e.member.Addr, header{Kind: ping, Seq: node.nextSeq()}, e)
 			continue
 		}
-		node.update(e, node.clock, e.m, Dead, node.clock)
+		node.update(e, node.clock, e.member, Dead, node.clock)
 		node.broadcast(e, "")
 	}
 }
@@ -350,7 +350,7 @@
 
 func (node *Node) hasLiveMemberAt(a netip.AddrPort) bool {
 	for _, e := range node.entries {
-		if e.m.Addr == a && e.state.Live() {
+		if e.member.Addr == a && e.state.Live() {
 			return true
 		}
 	}
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -43,12 +43,12 @@
 
 type outgoing struct {
 	header
-	News []cbor.RawMessage `cbor:"14,keyasint,omitempty"`
+	Updates []cbor.RawMessage `cbor:"14,keyasint,omitempty"`
 }
 
 type incoming struct {
 	header
-	News []record `cbor:"14,keyasint,omitempty"`
+	Updates []record `cbor:"14,keyasint,omitempty"`
 }
 
 // record is one update about a member.
@@ -106,19 +106,19 @@
 		len(m.BucketDigests) != 0 && len(m.BucketDigests) != buckets*4 {
 		return nil, errDatagram
 	}
-	for i := range m.News {
-		n := &m.News[i]
-		if member, ok := n.member(); !ok || member.Check() != nil || n.State < Alive || n.State > Left || len(n.By) > NameBytes {
+	for i := range m.Updates {
+		rec := &m.Updates[i]
+		if member, ok := rec.member(); !ok || member.Check() != nil || rec.State < Alive || rec.State > Left || len(rec.By) > NameBytes {
 			return nil, errDatagram
 		}
 	}
 	return m, nil
 }
 
-func (n *record) member() (m Member, ok bool) {
-	addr, ok := decodeAddr(n.Addr)
-	return Member{Name: n.Name, Life: n.Life, Generation: n.Generation, Incarnation: n.Incarnation, Addr: addr, Zone: n.Zone,
-		Role: n.Role, Meta: n.Meta}, ok
+func (rec *record) member() (m Member, ok bool) {
+	addr, ok := decodeAddr(rec.Addr)
+	return Member{Name: rec.Name, Life: rec.Life, Generation: rec.Generation, Incarnation: rec.Incarnation, Addr: addr, Zone: rec.Zone,
+		Role: rec.Role, Meta: rec.Meta}, ok
 }
 
 func decodeAddr(raw []byte) (a netip.AddrPort, ok bool) {
@@ -141,18 +141,18 @@
 	if e.encoded != nil {
 		return e.encoded
 	}
-	n := record{Name: e.m.Name, Life: e.m.Life, Generation: e.m.Generation, Incarnation: e.m.Incarnation, State: e.state,
-		Addr: encodeAddr(e.m.Addr), Zone: e.m.Zone, Role: e.m.Role, Meta: e.m.Meta}
+	rec := record{Name: e.member.Name, Life: e.member.Life, Generation: e.member.Generation, Incarnation: e.member.Incarnation, State: e.state,
+		Addr: encodeAddr(e.member.Addr), Zone: e.member.Zone, Role: e.member.Role, Meta: e.member.Meta}
 	switch e.state {
 	case Suspect:
-		n.By = by
+		rec.By = by
 		if by == "" && len(e.suspectedBy) > 0 {
-			n.By = e.suspectedBy[0]
+			rec.By = e.suspectedBy[0]
 		}
 	case Dead, Left:
-		n.Age = uint32(min((now-e.since)/time.Second, 1<<31))
+		rec.Age = uint32(min((now-e.since)/time.Second, 1<<31))
 	}
-	raw := marshal(n)
+	raw := marshal(rec)
 	if e.queued && e.state == Alive {
 		e.encoded = raw
 	}
@@ -172,16 +172,16 @@
 func (node *Node) enqueue(to netip.AddrPort, h header, peer *entry, first ...*entry) {
 	m := outgoing{header: h}
 	m.Version = version
-	m.Name, m.Life = node.self.m.Name, node.self.m.Life
-	m.Generation, m.Incarnation, m.Digest = node.self.m.Generation, node.self.m.Incarnation, node.digest
+	m.Name, m.Life = node.self.member.Name, node.self.member.Life
+	m.Generation, m.Incarnation, m.Digest = node.self.member.Generation, node.self.member.Incarnation, node.digest
 	size := 72 + len(m.Name) + len(h.Target) + len(h.TargetAddr) + len(h.BucketDigests) + len(h.After) // with all numbers at their maximum length
 	add := func(e *entry, by string) bool {
 		raw := e.encode(node.clock, by)
-		if size+len(raw) > DatagramBytes || len(m.News) == 64 {
+		if size+len(raw) > DatagramBytes || len(m.Updates) == 64 {
 			return false
 		}
 		size += len(raw)
-		m.News = append(m.News, raw)
+		m.Updates = append(m.Updates, raw)
 		return true
 	}
 	done := make([]*entry, 0, 8)
