--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -181,7 +181,7 @@
 
 // ItemSize returns the approximate size of an item on disk and on the wire, in bytes.
 func ItemSize(i configuration.Item) int {
-	return 2*len(i.Key.Name) + len(i.Spec) + pastEntrySize*len(i.Past) + 48
+	return 2*len(i.Key.Name) + len(i.Spec) + pastEntrySize*len(i.PastVersions) + 48
 }
 
 const pastEntrySize = 19 // maximum bytes of one entry of Item.Past
--- a/internal/consensus/request.go
+++ b/internal/consensus/request.go
@@ -47,21 +47,21 @@
 	if last.Version <= r.KnownRefusal { // the usual case: the digest is not needed then
 		return false
 	}
-	sum := configuration.Sum(r.Items)
-	for _, t := range last.Past {
-		if t.Sum == sum && t.Version > r.KnownRefusal {
+	sum := configuration.DigestItems(r.Items)
+	for _, t := range last.PastVersions {
+		if t.Digest == sum && t.Version > r.KnownRefusal {
 			return true
 		}
 	}
-	n := len(last.Past)
-	return n == configuration.MaxPast && last.Past[n-1].Version > r.KnownRefusal+1
+	n := len(last.PastVersions)
+	return n == configuration.MaxPastVersions && last.PastVersions[n-1].Version > r.KnownRefusal+1
 }
 
 // refuse returns the outcome that adds the refusal of the request to base.
 func (r Request) refuse(base configuration.Set, b configuration.Ballot, why error) Outcome {
 	last, _ := base.Get(refusals)
-	last.Key, last.Ballot, last.Dropped, last.Version = refusals, b, true, last.Version+1
-	last, _ = last.Remember(configuration.Taken{Version: last.Version, Sum: configuration.Sum(r.Items)})
+	last.Key, last.Ballot, last.Deleted, last.Version = refusals, b, true, last.Version+1
+	last, _ = last.AddPastVersion(configuration.VersionDigest{Version: last.Version, Digest: configuration.DigestItems(r.Items)})
 	return Outcome{Next: base.With(last), Changes: []configuration.Item{last}, Verdict: Invalid, Err: why}
 }
 
@@ -75,7 +75,7 @@
 	}
 	err := valid(out.Next)
 	if err == nil && out.Superseded {
-		err = base.Never(r.Items)
+		err = base.CheckEverValid(r.Items)
 	}
 	switch {
 	case err != nil: // also if it was refused before, usually by an earlier round of this same copy that did not complete
@@ -94,29 +94,29 @@
 	for _, i := range items {
 		cur, ok := base.Get(i.Key)
 		next, changed := cur, false
-		older := i.Past
+		older := i.PastVersions
 		switch {
 		case !ok:
 			next, changed, older = i, true, nil
 		case i.Version > cur.Version:
-			past, _ := cur.Remember(cur.Taken())
+			past, _ := cur.AddPastVersion(cur.VersionDigest())
 			next, changed = i, true
-			next.Past = past.Past
+			next.PastVersions = past.PastVersions
 		case i.Version == cur.Version:
-			if !i.Same(cur) {
+			if !i.SameContent(cur) {
 				return refuse(Conflicting, i.Key)
 			}
 		default:
-			older = append([]configuration.Taken{i.Taken()}, older...)
+			older = append([]configuration.VersionDigest{i.VersionDigest()}, older...)
 		}
 		for _, t := range older {
-			switch cur.Knows(t) {
-			case configuration.Against:
+			switch cur.StatusOf(t) {
+			case configuration.VersionConflicts:
 				return refuse(Conflicting, i.Key)
-			case configuration.Overtime:
+			case configuration.VersionForgotten:
 				return refuse(Indeterminate, i.Key)
-			case configuration.Unheard:
-				if next, ok = next.Remember(t); !ok {
+			case configuration.VersionUnknown:
+				if next, ok = next.AddPastVersion(t); !ok {
 					return refuse(Indeterminate, i.Key)
 				}
 				out.Superseded = out.Superseded || t.Version < cur.Version
@@ -138,7 +138,7 @@
 	all, bare := 0, 0
 	for _, i := range items {
 		all += ItemSize(i)
-		i.Past = nil
+		i.PastVersions = nil
 		bare += ItemSize(i)
 	}
 	if all <= DeltaMax {
@@ -146,7 +146,7 @@
 	}
 	most := max(0, (DeltaMax-bare)/(pastEntrySize*len(items))-1)
 	for n := range items {
-		items[n] = items[n].Forget(most)
+		items[n] = items[n].TruncatePast(most)
 	}
 	return items
 }
@@ -155,7 +155,7 @@
 func FitsDelta(items []configuration.Item) bool {
 	size := 0
 	for _, i := range items {
-		i.Past = nil
+		i.PastVersions = nil
 		size += ItemSize(i) + pastEntrySize
 	}
 	return size <= DeltaMax
--- a/internal/console/json.go
+++ b/internal/console/json.go
@@ -132,7 +132,7 @@
 	return &ms
 }
 
-func ballotJSON(b configuration.Ballot) jsonBallot { return jsonBallot{b.N, b.By} }
+func ballotJSON(b configuration.Ballot) jsonBallot { return jsonBallot{b.N, b.Proposer} }
 
 func bookJSON(b messages.KeyCounts) jsonBook {
 	return jsonBook{b.InProgress, b.Done, b.Unknown, b.Void, b.Bytes}
--- a/internal/controlapi/controlapi.go
+++ b/internal/controlapi/controlapi.go
@@ -66,7 +66,7 @@
 func ParseHeartbeat(id string, body []byte) (Heartbeat, error) {
 	var parsed heartbeatBody
 	if err := json.Unmarshal(body, &parsed); err != nil {
-		return Heartbeat{}, errcode.New(errcode.Unreadable, "beat: %w", err)
+		return Heartbeat{}, errcode.New(errcode.InvalidRequest, "beat: %w", err)
 	}
 	heartbeat := Heartbeat{ID: id, Addr: parsed.Address, Service: parsed.Info.Service, Version: parsed.Info.Version, Zone: parsed.Info.Zone,
 		Capacity: parsed.Info.Capacity, Sequence: parsed.Status.Count}
@@ -76,15 +76,15 @@
 	case "draining":
 		heartbeat.State = backends.Draining
 	default:
-		return heartbeat, errcode.New(errcode.Unreadable, "beat: status.state: serving or draining wanted, got %.40q", parsed.Status.State)
+		return heartbeat, errcode.New(errcode.InvalidRequest, "beat: status.state: serving or draining wanted, got %.40q", parsed.Status.State)
 	}
 	switch {
 	case heartbeat.Service == "":
-		return heartbeat, errcode.New(errcode.Unreadable, "beat: node-info.service: a name wanted")
+		return heartbeat, errcode.New(errcode.InvalidRequest, "beat: node-info.service: a name wanted")
 	case heartbeat.Capacity < 0:
-		return heartbeat, errcode.New(errcode.Unreadable, "beat: node-info.capacity: 0 or more wanted, got %d", heartbeat.Capacity)
+		return heartbeat, errcode.New(errcode.InvalidRequest, "beat: node-info.capacity: 0 or more wanted, got %d", heartbeat.Capacity)
 	case !(parsed.Status.Warm >= 0 && parsed.Status.Warm < 1e6):
-		return heartbeat, errcode.New(errcode.Unreadable, "beat: status.warmup-left-s: seconds wanted, got %v", parsed.Status.Warm)
+		return heartbeat, errcode.New(errcode.InvalidRequest, "beat: status.warmup-left-s: seconds wanted, got %v", parsed.Status.Warm)
 	}
 	heartbeat.WarmupLeft = time.Duration(parsed.Status.Warm * float64(time.Second))
 	return heartbeat, nil
@@ -99,7 +99,7 @@
 			h.OnRejected(kind, err.Error())
 		}
 		answer := kind.Answer()
-		if answer.Again {
+		if answer.RetryAfter {
 			w.Header().Set("Retry-After", "0.2")
 		}
 		body, _ = json.Marshal(map[string]string{"error": err.Error()})
@@ -119,7 +119,7 @@
 func (h *Handler) dispatch(r *http.Request) ([]byte, error) {
 	segments := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
 	if len(segments) < 2 || segments[0] != "v1" {
-		return nil, errcode.New(errcode.NoCall, "%s", r.URL.Path)
+		return nil, errcode.New(errcode.UnknownCall, "%s", r.URL.Path)
 	}
 	switch {
 	case len(segments) == 2 && segments[1] == "readiness" && r.Method == http.MethodGet && h.Ready != nil:
@@ -145,19 +145,19 @@
 	case len(segments) == 2 && segments[1] == "configuration" && r.Method == http.MethodGet && h.ReadConfiguration != nil:
 		return h.ReadConfiguration(r.Context())
 	}
-	return nil, errcode.New(errcode.NoCall, "%s %s", r.Method, r.URL.Path)
+	return nil, errcode.New(errcode.UnknownCall, "%s %s", r.Method, r.URL.Path)
 }
 
 func readBody(r *http.Request, maxBytes int64) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxBytes))
 	if tooLong := (*http.MaxBytesError)(nil); errors.As(err, &tooLong) {
-		return nil, errcode.New(errcode.BodyTooLong, "over %d bytes", maxBytes)
+		return nil, errcode.New(errcode.BodyTooLarge, "over %d bytes", maxBytes)
 	}
 	if netErr := net.Error(nil); errors.As(err, &netErr) || errors.Is(err, io.ErrUnexpectedEOF) { // the body is incomplete, not malformed
-		return nil, errcode.New(errcode.TooSlow, "%w", err)
+		return nil, errcode.New(errcode.RequestTimeout, "%w", err)
 	}
 	if err != nil {
-		return nil, errcode.New(errcode.Unreadable, "%w", err)
+		return nil, errcode.New(errcode.InvalidRequest, "%w", err)
 	}
 	return body, nil
 }
--- a/internal/controlapi/controlapi_test.go
+++ b/internal/controlapi/controlapi_test.go
@@ -18,10 +18,10 @@
 	called := ""
 	all := &Handler{
 		Heartbeat: func(b Heartbeat) error { called = "beat " + b.ID; return nil },
-		Leave:     func(id string) error { called = "leave " + id; return errcode.New(errcode.Gone, "") },
+		Leave:     func(id string) error { called = "leave " + id; return errcode.New(errcode.NotFound, "") },
 		ChangeConfiguration: func(_ context.Context, b []byte) error {
 			called = "change " + string(b)
-			return errcode.New(errcode.Conflict, "")
+			return errcode.New(errcode.VersionConflict, "")
 		},
 		ReadConfiguration: func(context.Context) ([]byte, error) { called = "configure"; return []byte(`{"a":1}`), nil },
 		Ready:             func() error { called = "ready"; return errcode.New(errcode.NotReady, "") },
@@ -78,7 +78,7 @@
 		{`}}`, `}`, "beat"},
 	} {
 		_, err := ParseHeartbeat("i-1", []byte(strings.Replace(heartbeatJSON, c.old, c.new, 1)))
-		if errcode.Of(err) != errcode.Unreadable || !strings.Contains(err.Error(), c.mentions) || strings.Contains(err.Error(), "\n") || len(err.Error()) > 200 {
+		if errcode.Of(err) != errcode.InvalidRequest || !strings.Contains(err.Error(), c.mentions) || strings.Contains(err.Error(), "\n") || len(err.Error()) > 200 {
 			t.Errorf("%s for %s: %v", c.new, c.old, err)
 		}
 	}
--- a/internal/dataplane/address_reuse_test.go
+++ b/internal/dataplane/address_reuse_test.go
@@ -60,14 +60,14 @@
 		go func() { result <- send("i-1") }()
 		time.Sleep(time.Second / 2)
 		setOwner("i-2", 0)
-		want("a new instance that the proxy does not know yet", send("i-1"), errcode.TurnedAway)
+		want("a new instance that the proxy does not know yet", send("i-1"), errcode.Declined)
 		w.Inbound.Heartbeat(controlapi.Heartbeat{ID: "i-2", Service: "ledger", Capacity: 2, Sequence: 1, State: backends.Serving})
 		want("the request that was running", <-result, errcode.OK)
 		synctest.Wait()
 		if idle := w.Inbound.pool.IdleCount("i-1") + w.Inbound.pool.IdleCount("i-2"); idle != 0 {
 			t.Errorf("%d connections of the first instance are kept", idle)
 		}
-		want("a request for the first instance", send("i-1"), errcode.Elsewhere)
+		want("a request for the first instance", send("i-1"), errcode.BackendReplaced)
 		want("the second instance", send("i-2"), errcode.OK)
 		mu.Lock()
 		defer mu.Unlock()
--- a/internal/dataplane/admission.go
+++ b/internal/dataplane/admission.go
@@ -48,7 +48,7 @@
 // rejectQueued rejects all waiting requests. The caller holds ib.mu.
 func (ib *Inbound) rejectQueued() {
 	for len(ib.queue) > 0 {
-		heap.Pop(&ib.queue).(*waiter).ready <- errcode.Leaving
+		heap.Pop(&ib.queue).(*waiter).ready <- errcode.Draining
 	}
 }
 
@@ -121,13 +121,13 @@
 	switch {
 	case ib.withdrawn:
 		ib.mu.Unlock()
-		return errcode.Leaving
+		return errcode.Draining
 	case ib.backend.Instance != a.Instance || ib.backend.Service != a.Service:
 		ib.mu.Unlock()
-		return errcode.Elsewhere
+		return errcode.BackendReplaced
 	case ib.backend.State != backends.Serving:
 		ib.mu.Unlock()
-		return errcode.Leaving
+		return errcode.Draining
 	case ib.running < ib.runningLimit(a.Priority):
 		ib.startRunning(a.Priority)
 		ib.mu.Unlock()
@@ -135,7 +135,7 @@
 	case a.MaxQueueMs == 0 || ib.queueFull(a.Priority):
 		ib.reserve(a.Priority)
 		ib.mu.Unlock()
-		return errcode.Full
+		return errcode.Overloaded
 	}
 	ib.lastOrder++
 	w := &waiter{priority: a.Priority, order: ib.lastOrder, ready: make(chan errcode.Kind, 1)}
@@ -154,10 +154,10 @@
 	if w.index >= 0 {
 		heap.Remove(&ib.queue, w.index)
 		if ctx.Err() != nil {
-			return errcode.ClientLeft
+			return errcode.ClientDisconnected
 		}
 		ib.reserve(a.Priority)
-		return errcode.Full
+		return errcode.Overloaded
 	}
 	return <-w.ready // it was decided at the same moment
 }
@@ -175,7 +175,7 @@
 		return false
 	}
 	heap.Remove(&ib.queue, last.index)
-	last.ready <- errcode.Full
+	last.ready <- errcode.Overloaded
 	return true
 }
 
--- a/internal/dataplane/backend.go
+++ b/internal/dataplane/backend.go
@@ -57,7 +57,7 @@
 		ib.pool.Close(c) // the head was not sent completely, so nothing ran
 		if c.IdleSince().IsZero() || !time.Now().Before(deadline) || ctx.Err() != nil {
 			ib.Counts.Unreachable.Add(1)
-			return outcome{peerResponse: peerResponse{Code: errcode.Away}, err: err}
+			return outcome{peerResponse: peerResponse{Code: errcode.Unreachable}, err: err}
 		}
 	}
 	ib.Counts.Sent.Add(1)
@@ -67,7 +67,7 @@
 	}
 	if errors.Is(err, errClientBody) {
 		ib.pool.Close(c)
-		return outcome{peerResponse: peerResponse{Code: errcode.Broken, Sent: true}, err: err}
+		return outcome{peerResponse: peerResponse{Code: errcode.ConnectionLost, Sent: true}, err: err}
 	}
 	limited := &headLimitReader{r: c}
 	in := getReader(limited)
@@ -108,7 +108,7 @@
 		if !isTimeout(err) && ctx.Err() == nil {
 			ib.connectionRefused(a.Instance)
 		}
-		return nil, &outcome{peerResponse: peerResponse{Code: errcode.Away}, err: err}
+		return nil, &outcome{peerResponse: peerResponse{Code: errcode.Unreachable}, err: err}
 	}
 	return c, nil
 }
@@ -126,16 +126,16 @@
 // readResponse reads the response to a request. reusable: the connection can be reused, and may stay idle for idleFor.
 func (ib *Inbound) readResponse(c *links.Conn, in *bufio.Reader, limited *headLimitReader, a *peerRequest, ioDeadline time.Time) (o outcome, reusable bool, idleFor time.Duration) {
 	fail := func(err error) (outcome, bool, time.Duration) {
-		k := errcode.Broken
+		k := errcode.ConnectionLost
 		var ne net.Error
 		switch {
 		case isTimeout(err):
-			k = errcode.TimedOut
+			k = errcode.ResponseTimeout
 			ib.Counts.TimedOut.Add(1)
 		case errors.As(err, &ne), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 			ib.Counts.Broken.Add(1)
 		default:
-			k = errcode.Failed
+			k = errcode.InvalidResponse
 			ib.Counts.Failed.Add(1)
 		}
 		return outcome{peerResponse: peerResponse{Code: k, Sent: true}, err: err}, false, 0
@@ -193,7 +193,7 @@
 				reusable = false
 			}
 			ib.Counts.Declined.Add(1)
-			return outcome{peerResponse: peerResponse{Code: errcode.TurnedAway, Sent: true, Status: status}}, reusable, idleFor
+			return outcome{peerResponse: peerResponse{Code: errcode.Declined, Sent: true, Status: status}}, reusable, idleFor
 		}
 		if status/100 == 2 && (h.Get(HeaderServerSeal) == "" || h.Get("Content-Encoding") != "") {
 			return fail(fmt.Errorf("response with status %d lacks the backend's seal or is encoded", status))
--- a/internal/dataplane/backend_walk_test.go
+++ b/internal/dataplane/backend_walk_test.go
@@ -447,13 +447,13 @@
 			{"a fresh connection", -1, errcode.OK, 1},
 			{"nothing sent", 0, errcode.OK, 1},
 			{"a part of the head sent", 40, errcode.OK, 1},
-			{"the head sent", 200, errcode.Broken, 0},
-			{"a part of the head sent on a fresh connection", 40, errcode.Away, 0},
+			{"the head sent", 200, errcode.ConnectionLost, 0},
+			{"a part of the head sent on a fresh connection", 40, errcode.Unreachable, 0},
 			{"a fresh connection again", -1, errcode.OK, 1},
 		} {
 			was := ran
 			take = step.take
-			if o := do(strings.Repeat("x", 500)); o.Code != step.want || ran-was != step.runs || o.Code == errcode.Away && o.Sent {
+			if o := do(strings.Repeat("x", 500)); o.Code != step.want || ran-was != step.runs || o.Code == errcode.Unreachable && o.Sent {
 				t.Errorf("%s: %+v, %v; it ran %d times", step.name, o.peerResponse, o.err, ran-was)
 			}
 			if c := w.Inbound.pool.Get("i-1"); c != nil { // a retry under its id would use a fresh connection
--- a/internal/dataplane/balancer.go
+++ b/internal/dataplane/balancer.go
@@ -232,7 +232,7 @@
 		r.avoidUntil = now + r.avoidPause
 	case o.Code == errcode.OK && o.Status/100 == 2:
 		b.bucket.Refill(1)
-	case o.Code == errcode.Leaving, o.Code == errcode.Elsewhere, o.Code == errcode.Away:
+	case o.Code == errcode.Draining, o.Code == errcode.BackendReplaced, o.Code == errcode.Unreachable:
 		if r.Instance == c.instance { // its own update will follow soon
 			r.avoidUntil = now + maxAvoidPause
 		}
@@ -263,7 +263,7 @@
 		return 0, retryLimitReached
 	}
 	cost := retryCost
-	if lastError == errcode.TimedOut {
+	if lastError == errcode.ResponseTimeout {
 		cost = timeoutCost
 	}
 	if b.bucket.Tokens() < cost {
--- a/internal/dataplane/balancer_test.go
+++ b/internal/dataplane/balancer_test.go
@@ -40,7 +40,7 @@
 	for _, c := range []struct {
 		last errcode.Kind
 		want int
-	}{{errcode.Full, 100}, {errcode.Broken, 100}, {errcode.TimedOut, 50}} {
+	}{{errcode.Overloaded, 100}, {errcode.ConnectionLost, 100}, {errcode.ResponseTimeout, 50}} {
 		b, n := newTestBalancer(1), 0
 		for retryAllowed(b, 0, c.last) {
 			n++
@@ -50,7 +50,7 @@
 		}
 		failed := outcome{peerResponse: peerResponse{Status: 500}}
 		for i := range 5 {
-			if retryAllowed(b, 0, errcode.Full) {
+			if retryAllowed(b, 0, errcode.Overloaded) {
 				t.Errorf("a retry for %d tokens", i)
 			}
 			if !b.Pick(0, "s", "").ok {
@@ -60,7 +60,7 @@
 			b.RecordOutcome(0, picked, &failed)
 			b.RecordOutcome(0, picked, &servedOutcome)
 		}
-		if !retryAllowed(b, 0, errcode.Full) || retryAllowed(b, 0, errcode.Full) {
+		if !retryAllowed(b, 0, errcode.Overloaded) || retryAllowed(b, 0, errcode.Overloaded) {
 			t.Error("5 successes don't pay for exactly one retry")
 		}
 		for range 1000 {
@@ -72,20 +72,20 @@
 	}
 	b := newTestBalancer(1)
 	for retries, want := range []bool{true, true, true, true, true, false, false} {
-		if retryAllowed(b, retries, errcode.Full) != want {
+		if retryAllowed(b, retries, errcode.Overloaded) != want {
 			t.Errorf("retry %d: %v", retries+1, !want)
 		}
 	}
 	before := b.bucket.Tokens()
-	if _, reason := b.AllowRetry(0, longTargetRoute, "s", 0, errcode.Full, false, 0); reason == granted || b.bucket.Tokens() != before {
+	if _, reason := b.AllowRetry(0, longTargetRoute, "s", 0, errcode.Overloaded, false, 0); reason == granted || b.bucket.Tokens() != before {
 		t.Errorf("a retry with no time left: %v, %v tokens of %v", reason, b.bucket.Tokens(), before)
 	}
 	b.RetryAllowance, b.RetryRatio = 0, 0
 	b.retryBudgets = map[string]*retrybudget.Budget{}
-	if _, reason := b.AllowRetry(0, longTargetRoute, "s", 0, errcode.TurnedAway, true, time.Hour); reason == granted || b.bucket.Tokens() != before {
+	if _, reason := b.AllowRetry(0, longTargetRoute, "s", 0, errcode.Declined, true, time.Hour); reason == granted || b.bucket.Tokens() != before {
 		t.Error("a retry beyond the retry budget")
 	}
-	if _, reason := b.AllowRetry(0, longTargetRoute, "s", 0, errcode.Full, false, time.Hour); reason != granted {
+	if _, reason := b.AllowRetry(0, longTargetRoute, "s", 0, errcode.Overloaded, false, time.Hour); reason != granted {
 		t.Error("the retry budget applies to a request that never reached a backend")
 	}
 }
@@ -105,7 +105,7 @@
 			b := newTestBalancer(1)
 			shortest, longest := time.Hour, time.Duration(0)
 			for range 90 {
-				w, reason := b.AllowRetry(0, &configuration.Route{Target: c.target}, "s", retries, errcode.Full, false, time.Hour)
+				w, reason := b.AllowRetry(0, &configuration.Route{Target: c.target}, "s", retries, errcode.Overloaded, false, time.Hour)
 				if reason != granted {
 					t.Fatal("no retry")
 				}
@@ -140,7 +140,7 @@
 		}
 	}
 	b = newTestBalancer(2)
-	unreachable := outcome{peerResponse: peerResponse{Code: errcode.Away}, err: errcode.New(errcode.Away, "")}
+	unreachable := outcome{peerResponse: peerResponse{Code: errcode.Unreachable}, err: errcode.New(errcode.Unreachable, "")}
 	b.RecordOutcome(0, choice{node: "n0", instance: "i0"}, &unreachable)
 	for range 20 {
 		if c := b.Pick(minAvoidPause/2, "s", ""); c.node != "n1" {
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -77,7 +77,7 @@
 	lastClaim      atomic.Uint64
 	lastRelay      atomic.Pointer[string] // a proxy that recently claimed a key on behalf of this one
 	quorumOutUntil atomic.Int64           // nanoseconds since Started until which no quorum is expected to answer
-	configuration  atomic.Pointer[configuration.Chart]
+	configuration  atomic.Pointer[configuration.RoutingTable]
 
 	stopping atomic.Bool
 	mu       sync.Mutex
@@ -137,7 +137,7 @@
 }
 
 // Configure sets the configuration that routes the requests from now on.
-func (d *DataPlane) Configure(c *configuration.Chart) { d.configuration.Store(c) }
+func (d *DataPlane) Configure(c *configuration.RoutingTable) { d.configuration.Store(c) }
 
 // Configured reports whether there is a configuration.
 func (d *DataPlane) Configured() bool { return d.configuration.Load() != nil }
@@ -183,7 +183,7 @@
 func (d *DataPlane) PullFromPeer(addr string, call []byte, wait time.Duration) (updates []byte, err error) {
 	o := d.peers.do(context.Background(), addr, &peerRequest{Kind: pullForPeer, Length: int64(len(call))}, call, nil, time.Now().Add(wait))
 	if o.response == nil {
-		return nil, errcode.New(errcode.Away, "%s", addr)
+		return nil, errcode.New(errcode.Unreachable, "%s", addr)
 	}
 	if o.response.Stream == nil {
 		return o.response.Body, nil
--- a/internal/dataplane/idle_conn_test.go
+++ b/internal/dataplane/idle_conn_test.go
@@ -60,7 +60,7 @@
 	for _, i := range call.Items {
 		set, _ = set.Join(i)
 	}
-	w.Configure(set.Chart())
+	w.Configure(set.RoutingTable())
 }
 
 // testConn is a client connection for several requests.
--- a/internal/dataplane/inbound.go
+++ b/internal/dataplane/inbound.go
@@ -220,11 +220,11 @@
 	ib.Counts.QueueMicros.Add(queued.Microseconds())
 	if k != errcode.OK {
 		switch k {
-		case errcode.ClientLeft:
+		case errcode.ClientDisconnected:
 			ib.Counts.Abandoned.Add(1)
-		case errcode.Full:
+		case errcode.Overloaded:
 			ib.Counts.Full.Add(1)
-		case errcode.Elsewhere:
+		case errcode.BackendReplaced:
 			ib.Counts.WrongInstance.Add(1)
 		default:
 			ib.Counts.Leaving.Add(1)
@@ -234,7 +234,7 @@
 	remaining := time.Duration(a.RemainingMs)*time.Millisecond - queued
 	if remaining <= 0 {
 		ib.release(a.Priority)
-		return ib.withLoad(outcome{peerResponse: peerResponse{Code: errcode.Overdue}})
+		return ib.withLoad(outcome{peerResponse: peerResponse{Code: errcode.DeadlinePassed}})
 	}
 	if ctx.Err() != nil || a.abandoned != nil && a.abandoned() {
 		ib.release(a.Priority)
@@ -304,8 +304,8 @@
 // the inbound side.
 func (ib *Inbound) lookupOperation(a *peerRequest, own func(*peerRequest) outcome) outcome {
 	o := own(a)
-	if o.Code == errcode.Gone {
-		if stored := ib.lookupResponse(a); stored.Code != errcode.Gone {
+	if o.Code == errcode.NotFound {
+		if stored := ib.lookupResponse(a); stored.Code != errcode.NotFound {
 			return stored
 		}
 	}
@@ -316,13 +316,13 @@
 func operationOutcome(op idempotency.Operation[*Response], known bool, claim idempotency.ID) outcome {
 	switch {
 	case !known || op.ID != claim:
-		return outcome{peerResponse: peerResponse{Code: errcode.Gone}}
+		return outcome{peerResponse: peerResponse{Code: errcode.NotFound}}
 	case op.State == idempotency.Done:
 		return outcome{peerResponse: peerResponse{State: idempotency.Done}, response: op.Answer}
 	case op.State == idempotency.InProgress:
-		return outcome{peerResponse: peerResponse{Code: errcode.KeyAtWork, State: op.State}}
+		return outcome{peerResponse: peerResponse{Code: errcode.KeyInProgress, State: op.State}}
 	case op.State == idempotency.NotExecuted:
-		return outcome{peerResponse: peerResponse{Code: errcode.KeySplit, State: op.State}}
+		return outcome{peerResponse: peerResponse{Code: errcode.KeyContended, State: op.State}}
 	}
-	return outcome{peerResponse: peerResponse{Code: errcode.KeyUnknown, State: op.State}}
+	return outcome{peerResponse: peerResponse{Code: errcode.KeyOutcomeUnknown, State: op.State}}
 }
--- a/internal/dataplane/inbound_test.go
+++ b/internal/dataplane/inbound_test.go
@@ -66,13 +66,13 @@
 	request := func(id string, priority int, maxQueueMs uint32) *peerRequest {
 		return &peerRequest{Instance: id, Service: "ledger", Priority: priority, MaxQueueMs: maxQueueMs}
 	}
-	if k := ib.acquire(context.Background(), request("i-0", 0, 0)); k != errcode.Elsewhere {
+	if k := ib.acquire(context.Background(), request("i-0", 0, 0)); k != errcode.BackendReplaced {
 		t.Errorf("another instance: %v", k)
 	}
 	if k := ib.acquire(context.Background(), request("i-1", 0, 0)); k != errcode.OK {
 		t.Fatalf("the first request: %v", k)
 	}
-	if k := ib.acquire(context.Background(), request("i-1", 0, 0)); k != errcode.Full {
+	if k := ib.acquire(context.Background(), request("i-1", 0, 0)); k != errcode.Overloaded {
 		t.Errorf("a request that may not wait: %v", k)
 	}
 	got := make(chan errcode.Kind, 1)
@@ -101,7 +101,7 @@
 		}
 		end(id)
 		ib.release(1)
-		if k := <-got; k != errcode.Leaving {
+		if k := <-got; k != errcode.Draining {
 			t.Errorf("a request waiting when the backend left, way %d: %v", n, k)
 		}
 		if k := ib.acquire(context.Background(), request(id, 0, 0)); k == errcode.OK {
@@ -137,14 +137,14 @@
 		t.Fatalf("the first request: %v", k)
 	}
 	low := wait(2)
-	if k := ib.acquire(context.Background(), request(2)); k != errcode.Full {
+	if k := ib.acquire(context.Background(), request(2)); k != errcode.Overloaded {
 		t.Errorf("a request of the same priority as the last one: %v", k)
 	}
 	high := wait(1)
-	if k := <-low; k != errcode.Full {
+	if k := <-low; k != errcode.Overloaded {
 		t.Errorf("the last request when one of a higher priority arrived: %v", k)
 	}
-	if k := ib.acquire(context.Background(), request(2)); k != errcode.Full {
+	if k := ib.acquire(context.Background(), request(2)); k != errcode.Overloaded {
 		t.Errorf("a request of a lower priority: %v", k)
 	}
 	ib.release(2)
@@ -173,7 +173,7 @@
 			}
 		}
 		for range 9 {
-			if k := acquire(1); k != errcode.Full {
+			if k := acquire(1); k != errcode.Overloaded {
 				t.Fatalf("an eleventh request: %v", k)
 			}
 		}
@@ -183,7 +183,7 @@
 		for range 3 {
 			ib.release(2)
 		}
-		if a, b, c := acquire(2), acquire(1), acquire(0); a != errcode.Full || b != errcode.OK || c != errcode.OK {
+		if a, b, c := acquire(2), acquire(1), acquire(0); a != errcode.Overloaded || b != errcode.OK || c != errcode.OK {
 			t.Errorf("with 7 of 10 taken, priorities 2, 1, 0 get: %v, %v, %v", a, b, c)
 		}
 		time.Sleep(reservationHalfLife)
@@ -241,7 +241,7 @@
 // A client retries soon if it lost a place to others, and later after an outage, at most by the route's target.
 func TestRetryAfter(t *testing.T) {
 	r := &clientRequest{arrived: time.Now(), deadline: time.Now().Add(10 * time.Second), route: &configuration.Route{Target: 400 * time.Millisecond}}
-	soon, later := r.retryAfter(errcode.Full), r.retryAfter(errcode.CoreOut)
+	soon, later := r.retryAfter(errcode.Overloaded), r.retryAfter(errcode.NoQuorum)
 	if soon < 40*time.Millisecond || soon > 65*time.Millisecond || later < 400*time.Millisecond || later > 450*time.Millisecond {
 		t.Errorf("full: %v, outage with 10 s left: %v; want 40 to 65 ms, and the target and up to an eighth more", soon, later)
 	}
@@ -264,11 +264,11 @@
 		want  errcode.Kind
 	}{
 		{"done", idempotency.Operation[*Response]{ID: id, State: idempotency.Done, Answer: stored}, true, id, errcode.OK},
-		{"another claim", idempotency.Operation[*Response]{ID: id, State: idempotency.Done, Answer: stored}, true, other, errcode.Gone},
-		{"not known", idempotency.Operation[*Response]{}, false, id, errcode.Gone},
-		{"running", idempotency.Operation[*Response]{ID: id, State: idempotency.InProgress}, true, id, errcode.KeyAtWork},
-		{"unknown", idempotency.Operation[*Response]{ID: id, State: idempotency.Unknown}, true, id, errcode.KeyUnknown},
-		{"void", idempotency.Operation[*Response]{ID: id, State: idempotency.NotExecuted}, true, id, errcode.KeySplit},
+		{"another claim", idempotency.Operation[*Response]{ID: id, State: idempotency.Done, Answer: stored}, true, other, errcode.NotFound},
+		{"not known", idempotency.Operation[*Response]{}, false, id, errcode.NotFound},
+		{"running", idempotency.Operation[*Response]{ID: id, State: idempotency.InProgress}, true, id, errcode.KeyInProgress},
+		{"unknown", idempotency.Operation[*Response]{ID: id, State: idempotency.Unknown}, true, id, errcode.KeyOutcomeUnknown},
+		{"void", idempotency.Operation[*Response]{ID: id, State: idempotency.NotExecuted}, true, id, errcode.KeyContended},
 	} {
 		if o := operationOutcome(c.op, c.known, c.claim); o.Code != c.want || (o.response != nil) != (c.want == errcode.OK) {
 			t.Errorf("%s: %v, response %v", c.name, o.Code, o.response)
@@ -280,7 +280,7 @@
 		b.Begin(0, "k", id)
 		b.Finish("k", id, idempotency.NotExecuted, nil, 0, "")
 	})
-	if o := ib.lookupResponse(&peerRequest{Key: "k", Claim: id}); o.Code != errcode.Gone {
+	if o := ib.lookupResponse(&peerRequest{Key: "k", Claim: id}); o.Code != errcode.NotFound {
 		t.Errorf("a declined attempt: %v", o.Code)
 	}
 	replayed := stored.withAttemptID("second")
--- a/internal/dataplane/keyed.go
+++ b/internal/dataplane/keyed.go
@@ -26,7 +26,7 @@
 func (cr *clientRequest) processDeduplicated() (*Response, errcode.Kind) {
 	d := cr.dataPlane
 	if cr.key = cr.request.Header.Get(HeaderOperationKey); cr.key == "" || len(cr.key) > 512 {
-		return nil, errcode.Unreadable
+		return nil, errcode.InvalidRequest
 	}
 	id := idempotency.ID{Incarnation: d.options.Incarnation, N: d.lastClaim.Add(1), Addr: d.options.InboundAddr}
 	var known idempotency.Operation[*Response]
@@ -41,19 +41,19 @@
 	cr.claim = id
 	k, holder := cr.claimKey()
 	if k == errcode.OK && disconnect.PeerClosed(cr.ctx) {
-		k = errcode.ClientLeft
+		k = errcode.ClientDisconnected
 	}
 	switch k {
 	case errcode.OK:
-	case errcode.KeyAtWork: // another claim holds it
+	case errcode.KeyInProgress: // another claim holds it
 		d.Counts.ClaimsLost.Add(1)
 		lost := cr.claim // differs from id after a split vote
 		d.operations.Send(func(b *idempotency.Cache[*Response]) { b.Forget(cr.key, lost) })
 		return cr.replayFromHolder(holder)
-	case errcode.KeySplit: // the holder of a part of the votes may know more
+	case errcode.KeyContended: // the holder of a part of the votes may know more
 		cr.voidClaim()
 		if holder.Addr != "" {
-			if o := cr.lookupAt(holder.Addr, holder); o.Code == errcode.OK && o.response != nil || o.Code == errcode.KeyAtWork {
+			if o := cr.lookupAt(holder.Addr, holder); o.Code == errcode.OK && o.response != nil || o.Code == errcode.KeyInProgress {
 				return cr.replay(o)
 			} else if o.State == idempotency.NotExecuted {
 				cr.releaseAtVoters(holder)
@@ -118,20 +118,20 @@
 			return errcode.OK, holder
 		case idempotency.Lost:
 			cr.releaseAtVoters(cr.claim)
-			return errcode.KeyAtWork, holder
+			return errcode.KeyInProgress, holder
 		case idempotency.Split:
 			d.Counts.ClaimsSplit.Add(1)
 			cr.releaseAtVoters(cr.claim)
 			// The reported holder may have won with the vote of a voter that is silent now; if so, it knows.
 			switch o := cr.lookupAt(holder.Addr, holder); {
-			case o.Code == errcode.KeyAtWork:
+			case o.Code == errcode.KeyInProgress:
 			case o.State == idempotency.NotExecuted && o.Code != errcode.OK:
 				cr.releaseAtVoters(holder)
 			default:
-				return errcode.KeyAtWork, holder
+				return errcode.KeyInProgress, holder
 			}
 			if try+1 >= maxClaimAttempts || time.Now().After(end) || disconnect.PeerClosed(cr.ctx) {
-				return errcode.KeySplit, holder
+				return errcode.KeyContended, holder
 			}
 			time.Sleep(5*time.Millisecond + rand.N(20*time.Millisecond))
 			voided := cr.claim // void for good
@@ -143,7 +143,7 @@
 			continue
 		}
 		d.Counts.QuorumOut.Add(1)
-		return errcode.CoreOut, holder
+		return errcode.NoQuorum, holder
 	}
 }
 
@@ -235,7 +235,7 @@
 		d.options.Quorum.Broadcast(messages.Claim, func(int) []byte { return msg }, time.Until(end), func(reply quorum.Response) bool {
 			var grant idempotency.Grant
 			if reply.Err != nil || rpc.Decode(reply.Body, &grant) != nil {
-				if vote.AddMissing(); errcode.Of(reply.Err) == errcode.Gone {
+				if vote.AddMissing(); errcode.Of(reply.Err) == errcode.NotFound {
 					if epochGone++; epochGone == 1 {
 						d.options.Quorum.FetchVoterSet(reply.Voter, voterSet.Epoch)
 					}
@@ -258,9 +258,9 @@
 	o := cr.lookupAt(holder.Addr, holder)
 	if o.State == idempotency.NotExecuted && o.Code != errcode.OK { // it never ran and never will: the client may retry
 		cr.releaseAtVoters(holder)
-		return nil, errcode.KeySplit
+		return nil, errcode.KeyContended
 	}
-	if o.Code == errcode.Gone || o.Code == errcode.Away || o.Code == errcode.Broken || o.Code == errcode.TimedOut {
+	if o.Code == errcode.NotFound || o.Code == errcode.Unreachable || o.Code == errcode.ConnectionLost || o.Code == errcode.ResponseTimeout {
 		var addrs []string
 		cr.dataPlane.balancer.Do(func(b *Balancer) {
 			for _, r := range b.byNode {
@@ -276,7 +276,7 @@
 			go func() { ch <- cr.lookupAt(addr, holder) }()
 		}
 		for range addrs {
-			if x := <-ch; x.Code == errcode.OK && x.response != nil || x.Code == errcode.KeyAtWork {
+			if x := <-ch; x.Code == errcode.OK && x.response != nil || x.Code == errcode.KeyInProgress {
 				o = x
 				break
 			}
@@ -304,12 +304,12 @@
 	case o.Code == errcode.OK && o.response != nil:
 		cr.dataPlane.Counts.Replayed.Add(1)
 		return o.response.withAttemptID(cr.request.Header.Get(HeaderAttemptID)), errcode.OK
-	case o.Code == errcode.KeyAtWork:
-		return nil, errcode.KeyAtWork
-	case o.State == idempotency.NotExecuted && o.Code == errcode.KeySplit:
-		return nil, errcode.KeySplit
+	case o.Code == errcode.KeyInProgress:
+		return nil, errcode.KeyInProgress
+	case o.State == idempotency.NotExecuted && o.Code == errcode.KeyContended:
+		return nil, errcode.KeyContended
 	}
-	return nil, errcode.KeyUnknown
+	return nil, errcode.KeyOutcomeUnknown
 }
 
 // withAttemptID returns a copy of a response for a repeat of its request, which has an attempt id of its own.
--- a/internal/dataplane/outbound.go
+++ b/internal/dataplane/outbound.go
@@ -167,8 +167,8 @@
 	d.Counts.Requests.Add(1)
 	body, rest, k := c.readRequestBody(r, limits)
 	if k != errcode.OK {
-		d.recordRequest(&requestStats{kind: k, clientGone: k == errcode.Broken}, nil)
-		if k != errcode.Broken {
+		d.recordRequest(&requestStats{kind: k, clientGone: k == errcode.ConnectionLost}, nil)
+		if k != errcode.ConnectionLost {
 			d.Counts.Malformed.Add(1)
 			c.reject(d.limitError(k.Answer().Status, k.String()))
 		}
@@ -181,7 +181,7 @@
 		cr.bodyRest = &stallReader{c: c.Conn, r: rest}
 	}
 	var resp *Response
-	k = errcode.ClientLeft
+	k = errcode.ClientDisconnected
 	if !sock.Closed(c.Conn) { // it may have waited in the socket for longer than its client did
 		resp, k = cr.process()
 	}
@@ -203,12 +203,12 @@
 		switch {
 		case errors.Is(cr.err, http1.ErrTooLarge):
 			d.Counts.Malformed.Add(1)
-			cr.stats.kind = errcode.BodyTooLong
-			c.reject(errcode.BodyTooLong.Answer().Status, errcode.BodyTooLong.String())
+			cr.stats.kind = errcode.BodyTooLarge
+			c.reject(errcode.BodyTooLarge.Answer().Status, errcode.BodyTooLarge.String())
 		case errors.Is(cr.err, http1.ErrBody):
 			d.Counts.Malformed.Add(1)
-			cr.stats.kind = errcode.Unreadable
-			c.reject(errcode.Unreadable.Answer().Status, errcode.Unreadable.String())
+			cr.stats.kind = errcode.InvalidRequest
+			c.reject(errcode.InvalidRequest.Answer().Status, errcode.InvalidRequest.String())
 		default:
 			cr.stats.clientGone = true
 		}
@@ -239,7 +239,7 @@
 	if r.Expect && c.in.Buffered() == 0 {
 		c.SetWriteDeadline(time.Now().Add(stallTimeout))
 		if _, err := io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
-			return nil, nil, errcode.Broken
+			return nil, nil, errcode.ConnectionLost
 		}
 	}
 	b := http1.NewBody(c.in, r.Length, http1.Limits{Head: limits.MaxHeaderBytes, Body: limits.MaxBodyBytes})
@@ -254,13 +254,13 @@
 	body, complete, err := readBuffered(b, length)
 	switch {
 	case errors.Is(err, http1.ErrTooLarge):
-		return nil, nil, errcode.BodyTooLong
+		return nil, nil, errcode.BodyTooLarge
 	case errors.Is(err, http1.ErrBody):
-		return nil, nil, errcode.Unreadable
+		return nil, nil, errcode.InvalidRequest
 	case isTimeout(err):
-		return nil, nil, errcode.TooSlow
+		return nil, nil, errcode.RequestTimeout
 	case err != nil:
-		return nil, nil, errcode.Broken
+		return nil, nil, errcode.ConnectionLost
 	case !complete:
 		return body, b, errcode.OK
 	}
@@ -292,7 +292,7 @@
 	if id := cr.request.Header.Get(HeaderAttemptID); id != "" && validHeaderValue(id) {
 		head += HeaderAttemptID + ": " + id + "\r\n"
 	}
-	if answer.Again {
+	if answer.RetryAfter {
 		head += "Retry-After: " + strconv.FormatFloat(cr.retryAfter(k).Seconds(), 'f', 3, 64) + "\r\n"
 	}
 	return c.writeResponse(answer.Status, head, []byte(answer.Text+"\n"), closeAfter, cr.request.Method)
@@ -419,7 +419,7 @@
 
 // recordRequest counts a finished request.
 func (c *clientConn) recordRequest(cr *clientRequest) {
-	if cr.stats.kind == errcode.ClientLeft || disconnect.PeerClosed(cr.ctx) {
+	if cr.stats.kind == errcode.ClientDisconnected || disconnect.PeerClosed(cr.ctx) {
 		cr.stats.clientGone = true
 		c.dataPlane.Counts.ClientLeft.Add(1)
 	}
@@ -453,7 +453,7 @@
 	}
 	wait, spread := target/10, target/16
 	switch k {
-	case errcode.NotReady, errcode.NoBackend, errcode.CoreOut, errcode.Away, errcode.Repairing, errcode.DiskOut:
+	case errcode.NotReady, errcode.NoBackend, errcode.NoQuorum, errcode.Unreachable, errcode.Recovering, errcode.DiskUnavailable:
 		wait, spread = target/outageTargetDivisor, target/8
 		if remaining := time.Until(cr.deadline); cr.route != nil {
 			wait = min(max(wait, remaining/outageRemainingDivisor), target)
@@ -489,7 +489,7 @@
 	if s := cr.request.Header.Get(HeaderDeadlineRemaining); s != "" {
 		ms, err := strconv.ParseFloat(s, 64)
 		if err != nil || !(ms >= 0 && ms < 1e9) {
-			return nil, errcode.Unreadable
+			return nil, errcode.InvalidRequest
 		}
 		remaining = min(remaining, time.Duration(ms*float64(time.Millisecond)))
 	}
@@ -497,12 +497,12 @@
 	cr.stats.target = cr.route.Target
 	for _, name := range [...]string{HeaderAttemptID, HeaderDeadlineRemaining, HeaderOperationKey} {
 		if len(cr.request.Header[name]) > 1 { // the backend might use another one of them
-			return nil, errcode.Unreadable
+			return nil, errcode.InvalidRequest
 		}
 	}
 	untilDeadline := time.Until(cr.deadline)
 	if cr.stats.bodyRead = remaining - untilDeadline; untilDeadline <= 0 {
-		return nil, errcode.Overdue
+		return nil, errcode.DeadlinePassed
 	}
 	if cr.route.Kind == configuration.Deduplicated {
 		return cr.processDeduplicated()
@@ -545,13 +545,13 @@
 	var service, failedNode string
 	var c choice
 	sent := 0                  // attempts that may have reached a backend
-	k = errcode.Full           // of the last attempt
+	k = errcode.Overloaded     // of the last attempt
 	lastRunError := errcode.OK // of the last attempt that may have run; OK: none
 	var lastResponse *Response // a 5xx response of a backend, returned if no later attempt succeeds
 	started := time.Now()
 	for retries := 0; ; retries++ {
 		if disconnect.PeerClosed(cr.ctx) {
-			k = errcode.ClientLeft
+			k = errcode.ClientDisconnected
 			break
 		}
 		d.balancer.Do(func(b *Balancer) {
@@ -568,7 +568,7 @@
 		}
 		remaining := time.Until(cr.deadline)
 		if remaining <= time.Millisecond {
-			k = errcode.Overdue
+			k = errcode.DeadlinePassed
 			break
 		}
 		a.Instance, a.Service = c.instance, c.service
@@ -594,15 +594,15 @@
 				d.Counts.Served.Add(1)
 				return o.response, k, c.addr
 			}
-			lastResponse, lastRunError = o.response, errcode.Failed
-			k = errcode.Failed
+			lastResponse, lastRunError = o.response, errcode.InvalidResponse
+			k = errcode.InvalidResponse
 			cr.stats.lastFailure = causeBackend
 		} else if !k.NotRun() {
 			lastRunError, lastAddr = k, c.addr
 			if !cr.route.Kind.Repeatable() {
 				break
 			}
-		} else if k == errcode.Full {
+		} else if k == errcode.Overloaded {
 			d.Counts.AttemptsFull.Add(1)
 		}
 		if o.Code != errcode.OK {
--- a/internal/dataplane/peer.go
+++ b/internal/dataplane/peer.go
@@ -233,9 +233,9 @@
 
 // abandonedOutcome is the outcome of an attempt whose client left. sent: it may have run.
 func abandonedOutcome(sent bool) outcome {
-	k := errcode.ClientLeft
+	k := errcode.ClientDisconnected
 	if sent {
-		k = errcode.Broken
+		k = errcode.ConnectionLost
 	}
 	return outcome{peerResponse: peerResponse{Code: k, Sent: sent}, err: disconnect.ErrPeerClosed, canceled: true}
 }
@@ -281,7 +281,7 @@
 	}
 	if err != nil {
 		pc.pool.CloseIdle(addr)
-		return outcome{peerResponse: peerResponse{Code: errcode.Away}, err: err, transportFailed: true}
+		return outcome{peerResponse: peerResponse{Code: errcode.Unreachable}, err: err, transportFailed: true}
 	}
 	c.SetDeadline(deadline)
 	c.CloseOnDone(ctx)
@@ -302,7 +302,7 @@
 	if len(msg)-len(body)-4 > maxPeerHead { // the other side would reject it
 		putBuf(buf)
 		pc.pool.Release(c)
-		return outcome{peerResponse: peerResponse{Code: errcode.HeadTooLong}}
+		return outcome{peerResponse: peerResponse{Code: errcode.HeaderTooLarge}}
 	}
 	out := pc.pacer.Writer(c)
 	n, err := out.Write(msg)
@@ -315,15 +315,15 @@
 			if ctx.Err() == nil {
 				pc.pool.CloseIdle(addr)
 			}
-			return outcome{peerResponse: peerResponse{Code: errcode.Away}, err: err, transportFailed: true}
+			return outcome{peerResponse: peerResponse{Code: errcode.Unreachable}, err: err, transportFailed: true}
 		}
-		return outcome{peerResponse: peerResponse{Code: errcode.Broken, Sent: true}, err: err, transportFailed: true}
+		return outcome{peerResponse: peerResponse{Code: errcode.ConnectionLost, Sent: true}, err: err, transportFailed: true}
 	}
 	if stream != nil {
 		sock.SetQuiet(c.Conn, streamAckTimeout)
 		if err = sendChunks(c, out, stream); errors.Is(err, errClientBody) {
 			pc.pool.Close(c)
-			return outcome{peerResponse: peerResponse{Code: errcode.Broken, Sent: true}, err: err}
+			return outcome{peerResponse: peerResponse{Code: errcode.ConnectionLost, Sent: true}, err: err}
 		}
 		c.SetDeadline(deadline)
 		if err != nil { // the other side may have responded before it had read all
@@ -340,14 +340,14 @@
 	if err != nil {
 		putReader(in)
 		pc.pool.Close(c)
-		k := errcode.Broken
+		k := errcode.ConnectionLost
 		if isTimeout(err) {
-			k = errcode.TimedOut
+			k = errcode.ResponseTimeout
 			if time.Now().Before(deadline) { // the timeout of the connection itself, for unacknowledged bytes
-				k = errcode.Broken
+				k = errcode.ConnectionLost
 			}
 		}
-		if k == errcode.Broken && ctx.Err() == nil {
+		if k == errcode.ConnectionLost && ctx.Err() == nil {
 			pc.pool.CloseIdle(addr)
 		}
 		return outcome{peerResponse: peerResponse{Code: k, Sent: true}, err: err, transportFailed: true}
@@ -363,7 +363,7 @@
 	if err != nil {
 		putReader(in)
 		pc.pool.Close(c)
-		return outcome{peerResponse: peerResponse{Code: errcode.Broken, Sent: true, Status: head.Status}, err: err, transportFailed: true}
+		return outcome{peerResponse: peerResponse{Code: errcode.ConnectionLost, Sent: true, Status: head.Status}, err: err, transportFailed: true}
 	}
 	if o.response.Stream != nil && a.Kind != pullForPeer { // a pull is read completely before its deadline
 		c.SetDeadline(time.Time{})
--- a/internal/dataplane/peer_response_test.go
+++ b/internal/dataplane/peer_response_test.go
@@ -98,16 +98,16 @@
 			time.Sleep(time.Millisecond) // while as much is sent as there is room for
 			c.Close()
 		}
-		if o := do(100<<10, reset); !errors.Is(o.err, syscall.ECONNRESET) || o.Code != errcode.Away || o.Sent {
+		if o := do(100<<10, reset); !errors.Is(o.err, syscall.ECONNRESET) || o.Code != errcode.Unreachable || o.Sent {
 			t.Errorf("an interrupted request: %+v, %v", o.peerResponse, o.err)
 		}
-		if o := do(100<<10, func(net.Conn, *bufio.Reader) {}); !isTimeout(o.err) || o.Code != errcode.Away || o.Sent {
+		if o := do(100<<10, func(net.Conn, *bufio.Reader) {}); !isTimeout(o.err) || o.Code != errcode.Unreachable || o.Sent {
 			t.Errorf("a request that was not read in time: %+v, %v", o.peerResponse, o.err)
 		}
-		if o := do(10, reset); o.Code != errcode.Broken || !o.Sent {
+		if o := do(10, reset); o.Code != errcode.ConnectionLost || !o.Sent {
 			t.Errorf("a request that may have arrived: %+v, %v", o.peerResponse, o.err)
 		}
-		if o := do(10, func(c net.Conn, in *bufio.Reader) { readMessage(in, new(peerRequest)); c.Close() }); o.Code != errcode.Broken || !o.Sent {
+		if o := do(10, func(c net.Conn, in *bufio.Reader) { readMessage(in, new(peerRequest)); c.Close() }); o.Code != errcode.ConnectionLost || !o.Sent {
 			t.Errorf("a request that arrived: %+v, %v", o.peerResponse, o.err)
 		}
 	})
@@ -123,11 +123,11 @@
 			c, in := f.accept(t)
 			var a peerRequest
 			if readMessage(in, &a) == nil { // answered before its body was read, as by a proxy without a free place
-				writePeerResponse(c, c, outcome{peerResponse: peerResponse{Code: errcode.Full}})
+				writePeerResponse(c, c, outcome{peerResponse: peerResponse{Code: errcode.Overloaded}})
 			}
 		}()
 		o := f.client.do(context.Background(), f.addr, &peerRequest{Kind: runRequest, Length: unknownLength}, nil, strings.NewReader("short"), time.Now().Add(time.Second))
-		if o.Code != errcode.Full || f.client.pool.IdleCount(f.addr) != 0 {
+		if o.Code != errcode.Overloaded || f.client.pool.IdleCount(f.addr) != 0 {
 			t.Errorf("%+v, %v; %d kept", o.peerResponse, o.err, f.client.pool.IdleCount(f.addr))
 		}
 	})
@@ -154,10 +154,10 @@
 		do := func(kind uint8) outcome {
 			return h.do(context.Background(), "10.0.0.1:82", &peerRequest{Kind: kind, Instance: "i-1", Service: "ledger", RemainingMs: 1000}, nil, nil, time.Now().Add(time.Second))
 		}
-		if o := do(lookupKey); o.Code != errcode.Gone {
+		if o := do(lookupKey); o.Code != errcode.NotFound {
 			t.Fatalf("%+v, %v", o.peerResponse, o.err)
 		}
-		if o := do(runRequest); o.Code != errcode.Leaving || o.Sent || reads != 2 {
+		if o := do(runRequest); o.Code != errcode.Draining || o.Sent || reads != 2 {
 			t.Errorf("%+v, %v, after %d reads", o.peerResponse, o.err, reads)
 		}
 		time.Sleep(time.Second)
@@ -179,7 +179,7 @@
 		f := newRemotePeer(t)
 		defer f.end()
 		o := f.client.do(context.Background(), f.addr, &peerRequest{Kind: runRequest, Target: strings.Repeat("x", maxPeerHead)}, nil, nil, time.Now().Add(time.Second))
-		if o.Code != errcode.HeadTooLong || !o.Code.NotRun() || o.Sent {
+		if o.Code != errcode.HeaderTooLarge || !o.Code.NotRun() || o.Sent {
 			t.Errorf("%+v, %v", o.peerResponse, o.err)
 		}
 		w := newTestProxy(t, idempotentRoute, func(o io.Writer, r *http.Request) {
@@ -191,7 +191,7 @@
 		})
 		a := &peerRequest{Instance: "i-1", Service: "ledger", Method: "GET", Target: "/", ID: "A", RemainingMs: 1000, Header: []Field{{Name: HeaderAttemptID, Value: "A"}, {Name: "Host", Value: "h"}}}
 		o = w.Inbound.execute(context.Background(), a, nil, nil)
-		if o.Code != errcode.Failed || !errors.Is(o.err, errHeadTooLong) {
+		if o.Code != errcode.InvalidResponse || !errors.Is(o.err, errHeadTooLong) {
 			t.Errorf("%+v, %v", o.peerResponse, o.err)
 		}
 	})
--- a/internal/dataplane/peer_walk_test.go
+++ b/internal/dataplane/peer_walk_test.go
@@ -51,7 +51,7 @@
 
 func (h *receivedRequest) refuseAgain() bool { return h.respond(fullOutcome, h.request.Number) }
 
-var fullOutcome = outcome{peerResponse: peerResponse{Code: errcode.Full}}
+var fullOutcome = outcome{peerResponse: peerResponse{Code: errcode.Overloaded}}
 
 // peerActions are what may happen to a request at the other side. whole: it is read completely, and may run.
 var peerActions = []struct {
--- a/internal/dataplane/report.go
+++ b/internal/dataplane/report.go
@@ -19,7 +19,7 @@
 // handleReportCall handles calls that have nothing to do with requests.
 func (d *DataPlane) handleReportCall(a *peerRequest, body []byte) outcome {
 	if a.Kind != reportState || d.options.HandleReport == nil {
-		return outcome{peerResponse: peerResponse{Code: errcode.NoCall}}
+		return outcome{peerResponse: peerResponse{Code: errcode.UnknownCall}}
 	}
 	answer, err := d.options.HandleReport(body)
 	if err != nil {
@@ -82,7 +82,7 @@
 		if raw, err = rc.call(addr, rpc.Encode(call), deadline); err == nil {
 			return r, rpc.Decode(raw, &r)
 		}
-		if errcode.Of(err) != errcode.Broken {
+		if errcode.Of(err) != errcode.ConnectionLost {
 			break
 		}
 	}
@@ -92,7 +92,7 @@
 func (rc *ReportClient) call(addr string, body []byte, deadline time.Time) (raw []byte, err error) {
 	c, err := rc.peers.dial(context.Background(), addr, deadline)
 	if err != nil {
-		return nil, errcode.New(errcode.Away, "%w", err)
+		return nil, errcode.New(errcode.Unreachable, "%w", err)
 	}
 	c.SetDeadline(deadline)
 	in := getReader(c)
@@ -117,11 +117,11 @@
 		rc.peers.pool.CloseIdle(addr)
 		switch {
 		case isTimeout(err):
-			return nil, errcode.New(errcode.TimedOut, "%s", addr)
+			return nil, errcode.New(errcode.ResponseTimeout, "%s", addr)
 		case errcode.Of(err) == errcode.Malformed:
 			return nil, err
 		}
-		return nil, errcode.New(errcode.Broken, "%w", err)
+		return nil, errcode.New(errcode.ConnectionLost, "%w", err)
 	}
 	rc.peers.release(c, in, false)
 	return raw, nil
--- a/internal/dataplane/results_test.go
+++ b/internal/dataplane/results_test.go
@@ -39,9 +39,9 @@
 		"a 500":                                        {requestStats{status: 500, attempts: 2, took: 10}, resultFailed, causeBackend},
 		"a 500, and no retry budget":                   {requestStats{status: 500, attempts: 1, took: 10, denied: noRetryBudget}, resultFailed, causeRetryBudget},
 		"a truncated response":                         {requestStats{status: 200, attempts: 1, took: 10, truncated: true}, resultFailed, causeBroken},
-		"full, and no tokens":                          {requestStats{kind: errcode.Full, denied: noTokens}, resultRefused, causeTokens},
-		"full, and no time":                            {requestStats{kind: errcode.Full, denied: retryLimitReached}, resultRefused, causeFull},
-		"no client waits":                              {requestStats{kind: errcode.Broken, clientGone: true}, resultFailed, causeClientGone},
+		"full, and no tokens":                          {requestStats{kind: errcode.Overloaded, denied: noTokens}, resultRefused, causeTokens},
+		"full, and no time":                            {requestStats{kind: errcode.Overloaded, denied: retryLimitReached}, resultRefused, causeFull},
+		"no client waits":                              {requestStats{kind: errcode.ConnectionLost, clientGone: true}, resultFailed, causeClientGone},
 		"an unknown code":                              {requestStats{kind: 255}, resultFailed, causeOther},
 	} {
 		c.p.target = 100
@@ -49,7 +49,7 @@
 			t.Errorf("%s: %s %s, want %s %s", name, resultNames[e], causeNames[x], resultNames[c.e], causeNames[c.c])
 		}
 	}
-	for k := errcode.Unreadable; k <= errcode.CoreOut; k++ { // codes that end requests
+	for k := errcode.InvalidRequest; k <= errcode.NoQuorum; k++ { // codes that end requests
 		e, c := (&requestStats{kind: k}).classify()
 		if c == causeOther || (e == resultRefused) != k.NotRun() {
 			t.Errorf("%s: %s %s", k, resultNames[e], causeNames[c])
--- a/internal/membership/transport/transport.go
+++ b/internal/membership/transport/transport.go
@@ -39,7 +39,7 @@
 
 // Membership is one program's view of the members. Its methods are safe for concurrent use.
 type Membership struct {
-	gossip     *udp.Carriage
+	gossip     *udp.Runner
 	firstPort  int
 	gossipPort int
 	log        func(event, text string)
@@ -86,7 +86,7 @@
 		log("roster", "none: "+err.Error())
 		return nil
 	}
-	m.gossip = udp.Start(udp.Options{Conn: conn, OnChange: m.handleChanges, Roster: membership.Options{Self: self, Seeds: m.seeds(s),
+	m.gossip = udp.Start(udp.Options{Conn: conn, OnChange: m.handleChanges, Membership: membership.Options{Self: self, Seeds: m.seeds(s),
 		Rand: rand.New(rand.NewSource(int64(incarnation))), Period: ProbePeriod, MaxMembers: maxMembers}})
 	return m
 }
@@ -109,7 +109,7 @@
 		peers[addr] = updated
 	}
 	for _, c := range changes {
-		member := c.Is
+		member := c.After
 		if len(member.Meta) < 2 || len(member.Name) < 2 || member.Role != messages.RoleRegistry && member.Role != messages.RoleProxy {
 			continue // from another version with other metadata
 		}
@@ -135,7 +135,7 @@
 // logChange logs the new state of a member that was already known.
 func (m *Membership) logChange(c membership.Change, p *peer) {
 	event := ""
-	switch was, is := c.Was.State, c.Is.State; {
+	switch was, is := c.Before.State, c.After.State; {
 	case was == membership.Unknown || is == membership.Unknown || was == is:
 	case is == membership.Alive:
 		event = "back"
@@ -159,7 +159,7 @@
 	now := int64(time.Since(m.started))
 	p.lastContact.Store(now)
 	if reported := p.lastReported.Load(); now-reported >= int64(contactReportInterval) && p.lastReported.CompareAndSwap(reported, now) {
-		m.gossip.Heard(p.memberName)
+		m.gossip.ConfirmAlive(p.memberName)
 	}
 }
 
@@ -265,9 +265,9 @@
 		return
 	}
 	c := m.gossip.Counts()
-	r := c.Roster
+	r := c.Membership
 	for k, n := range map[string]uint64{"probes": r.Probes, "unanswered": r.Unanswered, "refuted": r.Refuted, "sent": r.Sent,
-		"sent_bytes": r.SentBytes, "received": r.Received, "refused": r.Refused, "pulls": r.Pulls, "late": r.Late, "dropped": c.Dropped} {
+		"sent_bytes": r.SentBytes, "received": r.Received, "refused": r.Malformed, "pulls": r.Pulls, "late": r.Late, "dropped": c.Dropped} {
 		out["roster_"+k] = int64(n)
 	}
 	out["roster_live"] = int64(m.gossip.Snapshot().Live)
--- a/internal/messages/messages.go
+++ b/internal/messages/messages.go
@@ -358,14 +358,14 @@
 	if r.Chosen = chosen; !call.Have.Less(chosen) {
 		return
 	}
-	from, since := configuration.After(call.Have), call.Have
+	from, since := configuration.CursorAfter(call.Have), call.Have
 	if call.Cursor != nil && call.Incarnation == r.Incarnation { // another incarnation may have sent another set
 		from, since = call.Cursor.Position, call.Cursor.Since
 	}
 	if since.IsZero() || since.Less(purged) {
 		r.Snapshot, from, since = true, configuration.Cursor{}, chosen
 	}
-	items, next := set.Part(from, since, remaining)
+	items, next := set.Page(from, since, remaining)
 	if r.Items = items; next != nil { // no ballot is complete before the last part
 		r.Cursor, r.Chosen = &Cursor{Position: *next, Since: since}, configuration.Ballot{}
 	}
--- a/internal/messages/report.go
+++ b/internal/messages/report.go
@@ -192,7 +192,7 @@
 		if i.Key.Kind == configuration.Refusals {
 			continue
 		}
-		out = append(out, ItemReport{Key: i.Key, Version: i.Version, Dropped: i.Dropped})
+		out = append(out, ItemReport{Key: i.Key, Version: i.Version, Dropped: i.Deleted})
 	}
 	return out
 }
--- a/internal/proxy/partialnews.go
+++ b/internal/proxy/partialnews.go
@@ -54,19 +54,19 @@
 // alone rejects older news. pruned is the highest ballot that a removed tombstone may have had.
 func applyItems(items configuration.Set, pruned configuration.Ballot, n messages.PullReply) (configuration.Set, configuration.Ballot) {
 	if n.Snapshot {
-		items, pruned = items.Moved(configuration.SetOf(n.Items...)), n.Chosen
+		items, pruned = items.UpdatedTo(configuration.SetOf(n.Items...)), n.Chosen
 	} else {
 		items = items.With(n.Items...)
 	}
 	var dropped []configuration.Key
 	for _, item := range n.Items {
-		if !item.Dropped {
+		if !item.Deleted {
 			continue
 		}
 		if pruned.Less(item.Ballot) {
 			pruned = item.Ballot
 		}
-		if now, _ := items.Get(item.Key); now.Dropped { // and not created again in a later part
+		if now, _ := items.Get(item.Key); now.Deleted { // and not created again in a later part
 			dropped = append(dropped, item.Key)
 		}
 	}
--- a/internal/proxy/partialnews_test.go
+++ b/internal/proxy/partialnews_test.go
@@ -22,15 +22,15 @@
 	spec := bytes.Repeat([]byte("x"), messages.MaxPartBytes/3) // a few items fill a message
 	release := strings.Repeat("x", messages.MaxPartBytes/7)    // and so do a few entries
 	history := func(t *rapid.T) {
-		ballot := func(n int) configuration.Ballot { return configuration.Ballot{N: uint64(n), By: uint32(n % 3)} }
+		ballot := func(n int) configuration.Ballot { return configuration.Ballot{N: uint64(n), Proposer: uint32(n % 3)} }
 		chosen := []configuration.Set{{}} // by ballot number
 		change := func(items int) {
 			var changes []configuration.Item
 			n := len(chosen)
 			for range items {
 				item := configuration.Item{Key: configuration.Key{Name: fmt.Sprint(rapid.IntRange(0, 7).Draw(t, "key"))}, Version: configuration.Version(n), Ballot: ballot(n),
-					Dropped: rapid.IntRange(0, 2).Draw(t, "dropped") == 0}
-				if !item.Dropped {
+					Deleted: rapid.IntRange(0, 2).Draw(t, "dropped") == 0}
+				if !item.Deleted {
 					item.Spec = spec
 				}
 				changes = append(changes, item)
@@ -85,7 +85,7 @@
 			}
 			var want []configuration.Item
 			for item := range chosen[to.chosen.N].All() {
-				if !item.Dropped {
+				if !item.Deleted {
 					want = append(want, item)
 				}
 			}
@@ -172,5 +172,5 @@
 }
 
 func newProxyState() proxyState {
-	return proxyState{items: configuration.Set{}.Charted(), table: backends.New(), sources: sources{}}
+	return proxyState{items: configuration.Set{}.WithRoutingTable(), table: backends.New(), sources: sources{}}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -73,7 +73,7 @@
 )
 
 // Program describes the proxy to package process.
-var Program = process.Program{Name: "tug", About: "The proxy of the mesh: carries the requests of one machine.", Last: true,
+var Program = process.Program{Name: "tug", Description: "The proxy of the mesh: carries the requests of one machine.", FinalCounters: true,
 	Start: func(s *settings.Settings, log func(event, text string)) (process.Running, error) {
 		return Start(s, log, nil)
 	}}
@@ -81,7 +81,7 @@
 // Start starts a proxy with the given settings. A nil network means the system's.
 func Start(s *settings.Settings, log func(event, text string), network sock.Net) (*Proxy, error) {
 	network = sock.On(network)
-	p := &Proxy{log: log, network: network, quorum: quorum.New(network), incarnation: process.Life(), table: backends.New(), sources: sources{}, avoidedSince: map[string]time.Time{}, items: configuration.Set{}.Charted(),
+	p := &Proxy{log: log, network: network, quorum: quorum.New(network), incarnation: process.RandomLife(), table: backends.New(), sources: sources{}, avoidedSince: map[string]time.Time{}, items: configuration.Set{}.WithRoutingTable(),
 		changed: make(chan struct{}, 1), done: make(chan struct{})}
 	p.settings.Store(s)
 	listen := func(addr string) (net.Listener, error) {
@@ -167,7 +167,7 @@
 	defer p.mu.Unlock()
 	switch {
 	case p.stopping.Load():
-		return errcode.New(errcode.Leaving, "")
+		return errcode.New(errcode.Draining, "")
 	case !p.dataPlane.Configured() || !p.complete:
 		return errcode.New(errcode.NotReady, "")
 	}
@@ -377,7 +377,7 @@
 				client.Go(messages.Pull, rpc.Encode(messages.PullCall{Self: &self, Relayed: relayed, Incarnation: call.Incarnation, Revision: messages.SkipBackends, Have: configuration.Ballot{N: 1 << 62}, RegistriesDigest: call.RegistriesDigest, Epoch: call.Epoch}), func([]byte, error) {})
 			case <-timer.C:
 				client.Cancel(id)
-				r.err = errcode.New(errcode.TimedOut, "")
+				r.err = errcode.New(errcode.ResponseTimeout, "")
 				break wait
 			case <-p.done:
 				timer.Stop()
@@ -522,7 +522,7 @@
 		p.log("roll", fmt.Sprintf("epoch %d, %d voters", n.VoterSet.Epoch, len(n.VoterSet.Voters)))
 	}
 	var merged []backends.Backend
-	var chart *configuration.Chart
+	var chart *configuration.RoutingTable
 	p.mu.Lock()
 	if len(n.Registries) > 0 {
 		p.registries = mergeRegistries(p.registries, n.Registries, n.FreshMs > staleAfterMs)
@@ -537,7 +537,7 @@
 	if p.chosen.Less(n.Chosen) && !seek { // the configuration in force never goes back
 		p.chosen = n.Chosen
 		p.items, p.prunedBallot = applyItems(p.items, p.prunedBallot, n)
-		chart = p.items.Chart()
+		chart = p.items.RoutingTable()
 	}
 	if n.FreshMs <= staleAfterMs && !n.Chosen.IsZero() {
 		p.complete = p.complete || !n.MoreBackends && !n.Partial
--- a/internal/proxy/start_test.go
+++ b/internal/proxy/start_test.go
@@ -22,7 +22,7 @@
 
 // routeSet returns a configuration of n routes, all of one change.
 func routeSet(n int) configuration.Set {
-	b := configuration.Ballot{N: 1, By: 1}
+	b := configuration.Ballot{N: 1, Proposer: 1}
 	items := []configuration.Item{{Key: configuration.Key{Kind: configuration.Services, Name: "cranes"}, Version: 1, Ballot: b, Spec: []byte(`{}`)}}
 	for i := range n {
 		items = append(items, configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: fmt.Sprintf("berth-%05d", i)}, Version: 1, Ballot: b,
@@ -118,7 +118,7 @@
 		for i, r := range registries {
 			m := s.Machine(fmt.Sprintf("10.1.0.%d", 2+i), "zone-1")
 			p := m.Start()
-			r.items, r.chosen = set, configuration.Ballot{N: 1, By: 1}
+			r.items, r.chosen = set, configuration.Ballot{N: 1, Proposer: 1}
 			r.onBreak = p.End
 			r.serve(t, p, net.JoinHostPort(m.IP, fmt.Sprint(7380+messages.RegistryPort)))
 			machines = append(machines, m)
@@ -126,7 +126,7 @@
 		}
 		first, _, p1 := startProxy(t, s, "10.1.0.10", "zone-1", "10.1.0.2:80", "10.1.0.3:80")
 		waitUntil(20*time.Second, func() bool { return first.ready() == nil })
-		if err := first.ready(); err != nil || first.items.Len() != routes+1 || len(first.items.Chart().Routes()) != routes {
+		if err := first.ready(); err != nil || first.items.Len() != routes+1 || len(first.items.RoutingTable().Routes()) != routes {
 			t.Fatalf("%v: %d items", err, first.items.Len())
 		}
 		for i, r := range registries {
@@ -148,7 +148,7 @@
 		if second.items.Len() != routes+1 || !second.dataPlane.Configured() {
 			t.Errorf("from another proxy: %d items in %d answers", second.items.Len(), second.proxyPulls.Load())
 		}
-		if r := second.items.Chart().Route("quay-77.example", "/b7777/x"); r == nil || r.Name != "berth-07777" {
+		if r := second.items.RoutingTable().Route("quay-77.example", "/b7777/x"); r == nil || r.Name != "berth-07777" {
 			t.Errorf("a route of a late part leads to %v", r)
 		}
 		p1.End()
@@ -178,7 +178,7 @@
 			for i := range 2 {
 				m := s.Machine(fmt.Sprintf("10.1.0.%d", 2+i), "zone-1")
 				p := m.Start()
-				r := &stubRegistry{incarnation: uint64(11 + i), items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}, table: backends.New(), onBreak: p.End}
+				r := &stubRegistry{incarnation: uint64(11 + i), items: routeSet(1), chosen: configuration.Ballot{N: 1, Proposer: 1}, table: backends.New(), onBreak: p.End}
 				for n := range backendCount {
 					r.table.Merge(backends.Backend{Node: fmt.Sprintf("n-%02d", n), Addr: "10.2.0.1:7", Zone: "zone-1", Version: 1, Release: release})
 				}
@@ -305,7 +305,7 @@
 // of all routes to a proxy that starts.
 func BenchmarkNews(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
-		set := routeSet(n).Charted()
+		set := routeSet(n).WithRoutingTable()
 		first, _ := set.Get(configuration.Key{Name: "berth-00000"})
 		transfer := func(b *testing.B, to *proxyState, ballot configuration.Ballot) (bytes int) {
 			for to.chosen.Less(ballot) {
@@ -328,9 +328,9 @@
 			}
 			return bytes
 		}
-		newState := func() *proxyState { return &proxyState{items: configuration.Set{}.Charted()} }
+		newState := func() *proxyState { return &proxyState{items: configuration.Set{}.WithRoutingTable()} }
 		b.Run(fmt.Sprint("change-", n), func(b *testing.B) {
-			to, bytes, ballot := newState(), 0, configuration.Ballot{N: 1, By: 1}
+			to, bytes, ballot := newState(), 0, configuration.Ballot{N: 1, Proposer: 1}
 			transfer(b, to, ballot)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -338,7 +338,7 @@
 				item := first
 				item.Version, item.Ballot = configuration.Version(ballot.N), ballot
 				set = set.With(item)
-				if bytes += transfer(b, to, ballot); set.Check() != nil || to.items.Chart().Route("quay-0.example", "/b0/") == nil {
+				if bytes += transfer(b, to, ballot); set.Check() != nil || to.items.RoutingTable().Route("quay-0.example", "/b0/") == nil {
 					b.Fatal("the change is not in force")
 				}
 			}
@@ -349,7 +349,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				to := newState()
-				if bytes = transfer(b, to, configuration.Ballot{N: 1 << 40, By: 1}); to.items.Len() != n+1 {
+				if bytes = transfer(b, to, configuration.Ballot{N: 1 << 40, Proposer: 1}); to.items.Len() != n+1 {
 					b.Fatal("items are missing")
 				}
 			}
@@ -365,7 +365,7 @@
 		s := network.New(1)
 		var cut atomic.Pointer[time.Time]
 		var late atomic.Int64 // pulls from the near registry more than 3 s after the cut
-		near, far := &stubRegistry{incarnation: 11, items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}}, &stubRegistry{incarnation: 12, items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}}
+		near, far := &stubRegistry{incarnation: 11, items: routeSet(1), chosen: configuration.Ballot{N: 1, Proposer: 1}}, &stubRegistry{incarnation: 12, items: routeSet(1), chosen: configuration.Ballot{N: 1, Proposer: 1}}
 		near.onPart = func(_ int64, n *messages.PullReply) {
 			if n.FreshMs = 400; cut.Load() != nil {
 				sinceCut := time.Since(*cut.Load())
@@ -392,7 +392,7 @@
 		}
 		now := time.Now()
 		cut.Store(&now)
-		far.choose(configuration.Ballot{N: 2, By: 1})
+		far.choose(configuration.Ballot{N: 2, Proposer: 1})
 		took := waitUntil(20*time.Second, func() bool { proxy.mu.Lock(); defer proxy.mu.Unlock(); return proxy.chosen.N == 2 })
 		if took > 1500*time.Millisecond {
 			t.Errorf("a change was in force after %v", took)
@@ -414,7 +414,7 @@
 func TestPullFromCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := network.New(1)
-		r := &stubRegistry{incarnation: 11, items: routeSet(1), chosen: configuration.Ballot{N: 1, By: 1}}
+		r := &stubRegistry{incarnation: 11, items: routeSet(1), chosen: configuration.Ballot{N: 1, Proposer: 1}}
 		machine := s.Machine("10.1.0.2", "zone-1")
 		registry := machine.Start()
 		r.serve(t, registry, net.JoinHostPort(machine.IP, fmt.Sprint(7380+messages.RegistryPort)))
--- a/internal/quorum/client.go
+++ b/internal/quorum/client.go
@@ -145,10 +145,10 @@
 	clients := c.clients
 	c.mu.Unlock()
 	if len(clients) == 0 {
-		return errcode.New(errcode.CoreOut, "nobody known that counts")
+		return errcode.New(errcode.NoQuorum, "nobody known that counts")
 	}
 	if wait <= 0 {
-		return errcode.New(errcode.CoreOut, "no time is left")
+		return errcode.New(errcode.NoQuorum, "no time is left")
 	}
 	responses := make(chan Response, len(clients))
 	pending := map[int]uint32{} // call IDs by voter
@@ -174,8 +174,8 @@
 			for i, id := range pending {
 				clients[i].Cancel(id)
 			}
-			return errcode.New(errcode.CoreOut, "no majority within %v%s", wait.Round(time.Millisecond), why)
+			return errcode.New(errcode.NoQuorum, "no majority within %v%s", wait.Round(time.Millisecond), why)
 		}
 	}
-	return errcode.New(errcode.CoreOut, "no majority%s", why)
+	return errcode.New(errcode.NoQuorum, "no majority%s", why)
 }
--- a/internal/registry/contact_test.go
+++ b/internal/registry/contact_test.go
@@ -165,17 +165,17 @@
 		defer reg.owner.Stop()
 		items := []configuration.Item{{Key: configuration.Key{Kind: configuration.Services, Name: "s"}, Version: 1, Spec: []byte("{}")}}
 		begun := time.Now()
-		if k := errcode.Of(reg.propose(ctx, consensus.Request{Items: items})); k != errcode.CoreOut {
+		if k := errcode.Of(reg.propose(ctx, consensus.Request{Items: items})); k != errcode.NoQuorum {
 			t.Error("call whose caller has gone:", k)
 		}
 		if took := time.Since(begun); took > 10*time.Millisecond {
 			t.Error("it held the round slot for", took)
 		}
-		if err := reg.runRound(t.Context(), consensus.Request{Items: items}, time.Now().Add(-20*time.Second)); errcode.Of(err) != errcode.CoreOut {
+		if err := reg.runRound(t.Context(), consensus.Request{Items: items}, time.Now().Add(-20*time.Second)); errcode.Of(err) != errcode.NoQuorum {
 			t.Error("call from before a suspension:", err)
 		}
 		sleeps = true
-		if k := errcode.Of(reg.propose(t.Context(), consensus.Request{})); k != errcode.CoreOut {
+		if k := errcode.Of(reg.propose(t.Context(), consensus.Request{})); k != errcode.NoQuorum {
 			t.Error("read with answers from before a suspension:", k)
 		}
 		for _, v := range all {
@@ -210,7 +210,7 @@
 				}
 			})
 			begun := time.Now()
-			if k := errcode.Of(reg.propose(t.Context(), consensus.Request{})); k != errcode.CoreOut {
+			if k := errcode.Of(reg.propose(t.Context(), consensus.Request{})); k != errcode.NoQuorum {
 				t.Errorf("%s: %v", c.name, k)
 			}
 			if took := time.Since(begun); (took > 0) != c.held {
--- a/internal/registry/pages_test.go
+++ b/internal/registry/pages_test.go
@@ -25,13 +25,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := network.New(1)
 		p := s.Machine("10.0.0.1", "north").Start()
-		service := configuration.Item{Key: configuration.Key{Kind: configuration.Services, Name: "s"}, Version: 1, Ballot: configuration.Ballot{N: 1, By: 9}, Spec: []byte("{}")}
+		service := configuration.Item{Key: configuration.Key{Kind: configuration.Services, Name: "s"}, Version: 1, Ballot: configuration.Ballot{N: 1, Proposer: 9}, Spec: []byte("{}")}
 		value := configuration.SetOf(service)
-		last := configuration.Ballot{N: 3001, By: 9}
+		last := configuration.Ballot{N: 3001, Proposer: 9}
 		for n := range uint64(3000) {
 			spec := fmt.Sprintf(`{"host":"h","path-prefix":"/%d/%s/","route-kind":"idempotent","deadline-s":1,"target-s":1,"service":"s","max-attempts":1}`, n, strings.Repeat("x", 900))
 			value = value.With(configuration.Item{Key: configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint("r", n)}, Version: 1,
-				Ballot: configuration.Ballot{N: n + 2, By: 9}, Spec: []byte(spec)})
+				Ballot: configuration.Ballot{N: n + 2, Proposer: 9}, Spec: []byte(spec)})
 		}
 		reg, voters, end := newRegistryWithVoters(t, p, func(v *testVoter) {
 			if v.index < 2 {
@@ -45,7 +45,7 @@
 			i.Version, i.Ballot = version, configuration.Ballot{}
 			return reg.propose(t.Context(), consensus.Request{Items: []configuration.Item{i}})
 		}
-		if err := change(2); errcode.Of(err) != errcode.CoreOut || !strings.Contains(err.Error(), "not read yet") {
+		if err := change(2); errcode.Of(err) != errcode.NoQuorum || !strings.Contains(err.Error(), "not read yet") {
 			t.Errorf("without a value: %v", err)
 		}
 		reg.owner.Do(func(st *state) {
@@ -108,7 +108,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := network.New(1)
 		p := s.Machine("10.0.0.1", "north").Start()
-		service := configuration.Item{Key: configuration.Key{Kind: configuration.Services, Name: "s"}, Version: 1, Ballot: configuration.Ballot{N: 1, By: 9}, Spec: []byte("{}")}
+		service := configuration.Item{Key: configuration.Key{Kind: configuration.Services, Name: "s"}, Version: 1, Ballot: configuration.Ballot{N: 1, Proposer: 9}, Spec: []byte("{}")}
 		large := func(name string, b configuration.Ballot) (items []configuration.Item) {
 			for n := range 700 {
 				spec := fmt.Sprintf(`{"host":"h","path-prefix":"/%s/%d/%s/","route-kind":"idempotent","deadline-s":1,"target-s":1,"service":"s","max-attempts":1}`, name, n, strings.Repeat("x", 900))
@@ -116,7 +116,7 @@
 			}
 			return items
 		}
-		one, two := service.Ballot, configuration.Ballot{N: 2, By: 9}
+		one, two := service.Ballot, configuration.Ballot{N: 2, Proposer: 9}
 		reg, voters, end := newRegistryWithVoters(t, p, func(v *testVoter) {
 			v.acceptor.Accept(one, []configuration.Item{service})
 			v.acceptor.Learn(one)
--- a/internal/registry/program.go
+++ b/internal/registry/program.go
@@ -16,7 +16,7 @@
 )
 
 // Program describes the registry to package process.
-var Program = process.Program{Name: "harbourmaster", About: "The registry of the mesh: knows nodes and backends, takes the operator's calls.",
+var Program = process.Program{Name: "harbourmaster", Description: "The registry of the mesh: knows nodes and backends, takes the operator's calls.",
 	Start: func(s *settings.Settings, log func(event, text string)) (process.Running, error) {
 		return Launch(s, log, nil)
 	}}
@@ -47,11 +47,11 @@
 	if err != nil {
 		return r, err
 	}
-	incarnation := process.Life()
+	incarnation := process.RandomLife()
 	r.membership = transport.Start(s, messages.RoleRegistry, messages.RegistryGossipPort, messages.RegistryPort, incarnation, network, log)
 	r.Registry = Start(Options{Membership: r.membership, Self: messages.Registry{Name: s.NodeName, Addr: s.Port(messages.RegistryPort), Zone: s.Zone},
 		StoreAddr: s.Port(messages.StorePort), FirstPort: s.Ports[0], Incarnation: incarnation, ControlListener: control, CallListener: calls, Net: network, Log: log,
-		LostAfter: cmp.Or(s.VoterLost, max(s.Bounds.Catchup/2, minLostAfter)), ToleratedLosses: max(s.Tolerance.Machines, s.Tolerance.Zones, s.Tolerance.Regions),
+		LostAfter: cmp.Or(s.VoterReplaceAfter, max(s.Bounds.Catchup/2, minLostAfter)), ToleratedLosses: max(s.Tolerance.Machines, s.Tolerance.Zones, s.Tolerance.Regions),
 		Tolerance: reconfig.Tolerance{Zones: s.Tolerance.Zones, Regions: s.Tolerance.Regions, RegionOf: s.Zones},
 		Seeds:     func() []string { return r.settings.Load().Seeds }})
 	return r, nil
--- a/internal/registry/refusal_test.go
+++ b/internal/registry/refusal_test.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return consensus.ApplyItems(s, c.Items, configuration.Ballot{N: n, By: 9}).Next, c.Items
+	return consensus.ApplyItems(s, c.Items, configuration.Ballot{N: n, Proposer: 9}).Next, c.Items
 }
 
 func serviceText(name string) string {
@@ -86,7 +86,7 @@
 	all, order := applyCall(t, more, 7, routeText("r1", "late"))
 	runWithTestVoters(t, [3][]configuration.Set{{base, all}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
 		voters[0].silent = true
-		if k := errcode.Of(reg.propose(t.Context(), consensus.NewRequest(order, configuration.Set{}))); k != errcode.Invalid {
+		if k := errcode.Of(reg.propose(t.Context(), consensus.NewRequest(order, configuration.Set{}))); k != errcode.InvalidConfiguration {
 			t.Errorf("while no voter reports its service: %v", k)
 		}
 		voters[0].silent, voters[1].silent = false, true
@@ -113,8 +113,8 @@
 			what  string
 			order consensus.Request
 			want  errcode.Kind
-		}{{"a copy", consensus.NewRequest(order, base), errcode.Invalid}, {"its service", consensus.NewRequest(late, base), errcode.OK},
-			{"the copy that waited", waiting, errcode.Unsure}} {
+		}{{"a copy", consensus.NewRequest(order, base), errcode.InvalidConfiguration}, {"its service", consensus.NewRequest(late, base), errcode.OK},
+			{"the copy that waited", waiting, errcode.OutcomeUnknown}} {
 			if k := errcode.Of(reg.propose(t.Context(), step.order)); k != step.want {
 				t.Errorf("%s: %v, want %v", step.what, k, step.want)
 			}
@@ -158,13 +158,13 @@
 		return items
 	}
 	history := call(1)[0]
-	for v := configuration.Version(2); v <= configuration.MaxPast+1; v++ {
-		history, _ = history.Remember(history.Taken())
+	for v := configuration.Version(2); v <= configuration.MaxPastVersions+1; v++ {
+		history, _ = history.AddPastVersion(history.VersionDigest())
 		history.Version = v
 	}
 	all := call(history.Version)
 	for i := range all {
-		all[i].Past, all[i].Ballot = history.Past, configuration.Ballot{N: 1, By: 9}
+		all[i].PastVersions, all[i].Ballot = history.PastVersions, configuration.Ballot{N: 1, Proposer: 9}
 	}
 	base := configuration.SetOf(all...)
 	runWithTestVoters(t, [3][]configuration.Set{{base}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
@@ -172,7 +172,7 @@
 		for _, c := range []struct {
 			version configuration.Version
 			want    errcode.Kind
-		}{{last, errcode.OK}, {last - 1, errcode.OK}, {1, errcode.Unsure}, {last - 17, errcode.OK}, {last - 18, errcode.Unsure}} {
+		}{{last, errcode.OK}, {last - 1, errcode.OK}, {1, errcode.OutcomeUnknown}, {last - 17, errcode.OK}, {last - 18, errcode.OutcomeUnknown}} {
 			if k := errcode.Of(reg.propose(t.Context(), consensus.NewRequest(call(c.version), base))); k != c.want {
 				t.Errorf("%s: %v, want %v", c.version, k, c.want)
 			}
@@ -190,10 +190,10 @@
 	base, _ := applyCall(t, configuration.Set{}, 5, serviceText("s"))
 	_, items := applyCall(t, base, 6, routeText("r1", "late"))
 	order := consensus.NewRequest(items, base)
-	left := order.Apply(base, configuration.Ballot{N: 6, By: 9}, configuration.Set.Check).Next
+	left := order.Apply(base, configuration.Ballot{N: 6, Proposer: 9}, configuration.Set.Check).Next
 	runWithTestVoters(t, [3][]configuration.Set{{base, left}, {base}, {base}}, func(t *testing.T, reg *Registry, voters []*testVoter) {
 		voters[1].silent = true
-		if k := errcode.Of(reg.propose(t.Context(), order)); k != errcode.Invalid {
+		if k := errcode.Of(reg.propose(t.Context(), order)); k != errcode.InvalidConfiguration {
 			t.Errorf("%v", k)
 		}
 	})
@@ -205,7 +205,7 @@
 	base, _ := applyCall(t, configuration.Set{}, 5, serviceText("s"))
 	_, order := applyCall(t, base, 6, routeText("r1", "s"))
 	for what, begin := range map[string]func(v *testVoter){
-		"they have promised a higher ballot": func(v *testVoter) { v.acceptor.Prepare(configuration.Ballot{N: 50, By: 9}) },
+		"they have promised a higher ballot": func(v *testVoter) { v.acceptor.Prepare(configuration.Ballot{N: 50, Proposer: 9}) },
 		"they promise one before the accept": func(v *testVoter) { v.overtakes = 1 },
 	} {
 		t.Run(what, func(t *testing.T) {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -127,7 +127,7 @@
 func Start(o Options) *Registry {
 	reg := &Registry{options: o, quorum: quorum.New(o.Net), closed: make(chan struct{}), roundSlot: make(chan struct{}, 1), voterChangeSlot: make(chan struct{}, 1)}
 	st := &state{registry: reg, backends: backends.New(), registries: map[string]messages.Registry{}, registryLostSince: map[string]time.Time{},
-		pulls: map[string]chan struct{}{}, entriesReceived: map[string]bool{}, pullers: map[*pullWaiter]struct{}{}, started: time.Now(), leases: map[lease.Name]*lease.Lease{}, chosenSet: configuration.Set{}.Charted()}
+		pulls: map[string]chan struct{}{}, entriesReceived: map[string]bool{}, pullers: map[*pullWaiter]struct{}{}, started: time.Now(), leases: map[lease.Name]*lease.Lease{}, chosenSet: configuration.Set{}.WithRoutingTable()}
 	st.putRegistry(o.Self)
 	reg.owner = rpc.StartOwner(st, 1024)
 	reg.api = &controlapi.Handler{ChangeConfiguration: reg.handleChange, ReadConfiguration: reg.readConfiguration,
@@ -567,7 +567,7 @@
 			c.Reply(known, nil)
 		})
 	default:
-		c.Reply(nil, errcode.New(errcode.NoCall, "kind %d", c.Kind))
+		c.Reply(nil, errcode.New(errcode.UnknownCall, "kind %d", c.Kind))
 	}
 }
 
@@ -605,7 +605,7 @@
 func (st *state) buildReply(request messages.PullCall) messages.PullReply {
 	reply := messages.PullReply{Incarnation: st.registry.options.Incarnation, FreshMs: st.majorityContactMs(), RegistriesDigest: st.registriesDigest, Partial: !st.complete}
 	reply.Fill(request, st.backends, st.chosenBallot, st.chosenSet, configuration.Ballot{})
-	reply.Items = configuration.Plain(reply.Items)
+	reply.Items = configuration.PublicItems(reply.Items)
 	if r := st.registry.quorum.VoterSet(); r.Epoch > request.Epoch {
 		reply.VoterSet = &r
 	}
@@ -911,7 +911,7 @@
 		call.Epoch = reg.quorum.VoterSet().Epoch
 		var reply messages.PullReply
 		if err := client.Call(messages.Pull, call, &reply, pullHold+callTimeout); err != nil {
-			if errcode.Of(err) == errcode.Away {
+			if errcode.Of(err) == errcode.Unreachable {
 				reg.owner.Do(func(st *state) { st.markEntriesReceived(addr) })
 			}
 			wait := 250 * time.Millisecond
@@ -959,13 +959,13 @@
 	reg.Counts.Changes.Add(1)
 	call, err := configuration.DecodeCall(body)
 	if err != nil {
-		return errcode.New(errcode.Invalid, "%w", err)
+		return errcode.New(errcode.InvalidConfiguration, "%w", err)
 	}
 	if err := call.Check(); err != nil {
-		return errcode.New(errcode.Invalid, "%w", err)
+		return errcode.New(errcode.InvalidConfiguration, "%w", err)
 	}
 	if !consensus.FitsDelta(call.Items) {
-		return errcode.New(errcode.BodyTooLong, "%d items, which are over %d bytes", len(call.Items), consensus.DeltaMax)
+		return errcode.New(errcode.BodyTooLarge, "%d items, which are over %d bytes", len(call.Items), consensus.DeltaMax)
 	}
 	var o consensus.Request
 	reg.owner.Do(func(st *state) { o = consensus.NewRequest(call.Items, st.chosenSet) })
@@ -996,7 +996,7 @@
 func (reg *Registry) propose(ctx context.Context, order consensus.Request) error {
 	end := time.Now().Add(changeTimeout)
 	if !reg.acquireRound(end) {
-		return errcode.New(errcode.Preempted, "by other calls here")
+		return errcode.New(errcode.HigherBallot, "by other calls here")
 	}
 	defer func() { <-reg.roundSlot }()
 	for {
@@ -1007,7 +1007,7 @@
 		if err == errCutOff {
 			return err
 		}
-		if k := errcode.Of(err); k != errcode.Preempted && k != errcode.CoreOut {
+		if k := errcode.Of(err); k != errcode.HigherBallot && k != errcode.NoQuorum {
 			return err
 		}
 		reg.Counts.Preempted.Add(1)
@@ -1043,16 +1043,16 @@
 	voterSet := reg.quorum.VoterSet()
 	n := len(voterSet.Voters)
 	if n == 0 {
-		return errcode.New(errcode.CoreOut, "nobody known that counts")
+		return errcode.New(errcode.NoQuorum, "nobody known that counts")
 	}
 	if time.Until(end) < minRoundTime {
-		return errcode.New(errcode.CoreOut, "no time is left")
+		return errcode.New(errcode.NoQuorum, "no time is left")
 	}
 	var servingAgeMs uint32
 	var ballot configuration.Ballot
 	round := consensus.Round{Voters: n}
 	reg.owner.Do(func(st *state) {
-		ballot = configuration.Ballot{N: st.highestBallot.N + 1, By: uint32(reg.options.Incarnation)}
+		ballot = configuration.Ballot{N: st.highestBallot.N + 1, Proposer: uint32(reg.options.Incarnation)}
 		st.observeBallot(ballot)
 		round.HeldBallot, round.HeldValue = st.chosenBallot, st.chosenSet
 		servingAgeMs = majorityAgeMs(st.servingAt)
@@ -1086,9 +1086,9 @@
 	switch {
 	case ok:
 	case round.NoBaseReason != "":
-		return errcode.New(errcode.CoreOut, "%s", round.NoBaseReason)
+		return errcode.New(errcode.NoQuorum, "%s", round.NoBaseReason)
 	case ballot.Less(round.HighestSeen):
-		return errcode.New(errcode.Preempted, "")
+		return errcode.New(errcode.HigherBallot, "")
 	default:
 		return quorumError(err)
 	}
@@ -1118,7 +1118,7 @@
 		return err
 	}
 	if leftoverFirst {
-		return errcode.New(errcode.Preempted, "by what was left")
+		return errcode.New(errcode.HigherBallot, "by what was left")
 	}
 	return verdictError(outcome)
 }
@@ -1127,11 +1127,11 @@
 func verdictError(o consensus.Outcome) error {
 	switch o.Verdict {
 	case consensus.Conflicting:
-		return errcode.New(errcode.Conflict, "%s", o.Key)
+		return errcode.New(errcode.VersionConflict, "%s", o.Key)
 	case consensus.Invalid:
-		return errcode.New(errcode.Invalid, "%w", o.Err)
+		return errcode.New(errcode.InvalidConfiguration, "%w", o.Err)
 	case consensus.Indeterminate:
-		return errcode.New(errcode.Unsure, "%s", o.Key)
+		return errcode.New(errcode.OutcomeUnknown, "%s", o.Key)
 	}
 	return nil
 }
@@ -1144,9 +1144,9 @@
 // maxLateness is how long after its end the result of a round still counts.
 const maxLateness = 100 * time.Millisecond
 
-var errCutOff = errcode.New(errcode.CoreOut, "no majority heard for 3 s")
+var errCutOff = errcode.New(errcode.NoQuorum, "no majority heard for 3 s")
 
-var errAbandoned = errcode.New(errcode.CoreOut, "its time is over, or its caller has gone")
+var errAbandoned = errcode.New(errcode.NoQuorum, "its time is over, or its caller has gone")
 
 // minRoundTime is the least remaining time for which a round is started.
 const minRoundTime = 10 * time.Millisecond
@@ -1164,7 +1164,7 @@
 // addFailure counts a voter that failed with an error, and reports whether the phase cannot succeed.
 func (p *phase) addFailure(err error) bool {
 	p.failures++
-	if errcode.Of(err) == errcode.Gone {
+	if errcode.Of(err) == errcode.NotFound {
 		p.epochsEnded++
 	}
 	return p.cannotSucceed()
@@ -1180,7 +1180,7 @@
 
 func quorumError(err error) error {
 	if err == nil {
-		return errcode.New(errcode.CoreOut, "the epoch has ended")
+		return errcode.New(errcode.NoQuorum, "the epoch has ended")
 	}
 	return err
 }
@@ -1231,7 +1231,7 @@
 		})
 	}
 	if n-len(lagging) < consensus.Majority(n) {
-		return errcode.New(errcode.CoreOut, "%d of %d catch up", len(lagging), n)
+		return errcode.New(errcode.NoQuorum, "%d of %d catch up", len(lagging), n)
 	}
 	var origins []consensus.Origin
 	var highest configuration.Ballot
@@ -1256,10 +1256,10 @@
 	if !accepted {
 		if ballot.Less(highest) {
 			reg.owner.Do(func(st *state) { st.observeBallot(highest) })
-			return errcode.New(errcode.Preempted, "")
+			return errcode.New(errcode.HigherBallot, "")
 		}
 		if err == nil && ph.rejections > 0 {
-			return errcode.New(errcode.Preempted, "by what a member lacks")
+			return errcode.New(errcode.HigherBallot, "by what a member lacks")
 		}
 		return quorumError(err)
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -108,7 +108,7 @@
 	case c.Kind == messages.Accept && rpc.Decode(c.Body, &a) == nil:
 		if v.overtakes > 0 {
 			v.overtakes--
-			v.acceptor.Prepare(configuration.Ballot{N: a.B.N + 10, By: 9})
+			v.acceptor.Prepare(configuration.Ballot{N: a.B.N + 10, Proposer: 9})
 		}
 		accepted := v.acceptor.CanAccept(a.B, a.Base)
 		if accepted {
@@ -134,7 +134,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := network.New(1)
 		p := s.Machine("10.0.0.1", "north").Start()
-		ballotOf := func(n uint64) configuration.Ballot { return configuration.Ballot{N: n, By: 9} }
+		ballotOf := func(n uint64) configuration.Ballot { return configuration.Ballot{N: n, Proposer: 9} }
 		call := func(n uint64, text string) (items []configuration.Item) {
 			c, err := configuration.DecodeCall([]byte(`{"upsert":{"resources":[` + text + `]}}`))
 			if err != nil {
@@ -178,7 +178,7 @@
 		}
 		reg.quorum.Update(voterSet)
 		voters[0].silent = true
-		if k := errcode.Of(reg.propose(t.Context(), consensus.NewRequest(ours, configuration.Set{}))); k != errcode.Invalid {
+		if k := errcode.Of(reg.propose(t.Context(), consensus.NewRequest(ours, configuration.Set{}))); k != errcode.InvalidConfiguration {
 			t.Errorf("with the other call: %v", k)
 		}
 		voters[0].silent, voters[1].silent = false, true
--- a/internal/registry/voters.go
+++ b/internal/registry/voters.go
@@ -297,19 +297,19 @@
 		joins := voterSet.IndexOf(v.Addr) < 0
 		switch {
 		case t.err != nil && joins:
-			return next, errcode.New(errcode.Away, "%s", v.Addr)
+			return next, errcode.New(errcode.Unreachable, "%s", v.Addr)
 		case t.err != nil:
 		case t.r.Epoch > voterSet.Epoch:
-			return next, errcode.New(errcode.Preempted, "epoch %d is over", voterSet.Epoch)
+			return next, errcode.New(errcode.HigherBallot, "epoch %d is over", voterSet.Epoch)
 		case joins && t.r.State != "apart":
-			return next, errcode.New(errcode.Away, "%s: %s", v.Addr, t.r.State)
+			return next, errcode.New(errcode.Unreachable, "%s: %s", v.Addr, t.r.State)
 		case joins || t.r.State == "serving": // otherwise it recovers its disk in the new epoch
 			ready++
 			v.Disk = t.r.Disk
 		}
 	}
 	if ready < consensus.Majority(len(voters)) {
-		return next, errcode.New(errcode.CoreOut, "%d of the %d voters are well", ready, len(voters))
+		return next, errcode.New(errcode.NoQuorum, "%d of the %d voters are well", ready, len(voters))
 	}
 	return next, nil
 }
@@ -319,7 +319,7 @@
 func (reg *Registry) changeVoters(voterSet messages.VoterSet, voters []messages.Voter) (next messages.VoterSet, active int, err error) {
 	var proposed messages.VoterSet
 	if len(voterSet.Voters) == 0 {
-		return voterSet, 0, errcode.New(errcode.CoreOut, "nobody known that counts")
+		return voterSet, 0, errcode.New(errcode.NoQuorum, "nobody known that counts")
 	}
 	if voters != nil {
 		if proposed, err = reg.prepareVoterSet(voterSet, voters, false); err != nil {
@@ -333,12 +333,12 @@
 			reg.Counts.VoterChanges.Add(1)
 			active = reg.announceVoterSet(next)
 			if voters != nil && !next.SameVoters(proposed) {
-				return next, active, errcode.New(errcode.Preempted, "another change was under way")
+				return next, active, errcode.New(errcode.HigherBallot, "another change was under way")
 			}
 			return next, active, nil
 		case reg.quorum.VoterSet().Epoch != voterSet.Epoch:
-			return reg.quorum.VoterSet(), 0, errcode.New(errcode.Preempted, "another change came first")
-		case errcode.Of(err) != errcode.Preempted && errcode.Of(err) != errcode.CoreOut, time.Now().After(end):
+			return reg.quorum.VoterSet(), 0, errcode.New(errcode.HigherBallot, "another change came first")
+		case errcode.Of(err) != errcode.HigherBallot && errcode.Of(err) != errcode.NoQuorum, time.Now().After(end):
 			return voterSet, 0, err
 		}
 		if !reg.sleep(10*time.Millisecond + rand.N(150*time.Millisecond)) {
@@ -352,13 +352,13 @@
 	n := len(voterSet.Voters)
 	var ballot configuration.Ballot
 	reg.owner.Do(func(st *state) {
-		st.highestVoterBallot = configuration.Ballot{N: st.highestVoterBallot.N + 1, By: uint32(reg.options.Incarnation)}
+		st.highestVoterBallot = configuration.Ballot{N: st.highestVoterBallot.N + 1, Proposer: uint32(reg.options.Incarnation)}
 		ballot = st.highestVoterBallot
 	})
 	round := reconfig.Round{Voters: n}
 	gather := func(call messages.ProposeVotersCall, handle func(reconfig.Answer) bool) error {
 		if reg.quorum.VoterSet().Epoch != voterSet.Epoch {
-			return errcode.New(errcode.Gone, "epoch %d", voterSet.Epoch)
+			return errcode.New(errcode.NotFound, "epoch %d", voterSet.Epoch)
 		}
 		request := rpc.Encode(call)
 		return reg.quorum.Broadcast(messages.ProposeVoters, func(int) []byte { return request }, phaseTimeout, func(resp quorum.Response) bool {
@@ -381,11 +381,11 @@
 	}()
 	switch {
 	case !ok && ballot.Less(round.HighestSeen):
-		return next, errcode.New(errcode.Preempted, "")
+		return next, errcode.New(errcode.HigherBallot, "")
 	case !ok:
 		return next, err
 	case !bound && proposed.Epoch == 0:
-		return next, errcode.New(errcode.Gone, "nothing to finish")
+		return next, errcode.New(errcode.NotFound, "nothing to finish")
 	case !bound:
 		next = proposed
 	}
@@ -398,7 +398,7 @@
 	case chosen:
 		return next, nil
 	case ballot.Less(round.HighestSeen):
-		return next, errcode.New(errcode.Preempted, "")
+		return next, errcode.New(errcode.HigherBallot, "")
 	}
 	return next, quorumError(err)
 }
@@ -467,7 +467,7 @@
 			reply := messages.ChangeVotersReply{Previous: voterSet, VoterSet: voterSet}
 			voters, err := requestedVoters(voterSet, known, call)
 			if servingAgeMs > maxContactAgeMs { // don't refuse a request based on outdated state
-				err = errcode.New(errcode.CoreOut, "no majority was heard for %d ms", servingAgeMs)
+				err = errcode.New(errcode.NoQuorum, "no majority was heard for %d ms", servingAgeMs)
 			}
 			switch {
 			case err != nil:
@@ -479,7 +479,7 @@
 					reply.VoterSet, reply.Active, err = reg.changeVoters(voterSet, voters)
 					<-reg.voterChangeSlot
 				default:
-					err = errcode.New(errcode.Preempted, "another change is under way")
+					err = errcode.New(errcode.HigherBallot, "another change is under way")
 				}
 				reg.options.Log("roll", "operator request: "+resultText(err))
 			}
@@ -503,7 +503,7 @@
 				return v, nil
 			}
 		}
-		return messages.Voter{}, errcode.New(errcode.Invalid, "%q is no node with a purser that is known here", name)
+		return messages.Voter{}, errcode.New(errcode.InvalidConfiguration, "%q is no node with a purser that is known here", name)
 	}
 	var voters []messages.Voter
 	for _, n := range call.Voters {
@@ -523,7 +523,7 @@
 		}
 		at := slices.IndexFunc(voters, func(v messages.Voter) bool { return v.Addr == old.Addr })
 		if at < 0 {
-			return nil, errcode.New(errcode.Invalid, "%s does not count", x[0])
+			return nil, errcode.New(errcode.InvalidConfiguration, "%s does not count", x[0])
 		}
 		if voters[at], err = find(x[1]); err != nil {
 			return nil, err
@@ -531,14 +531,14 @@
 	}
 	for i, v := range voters {
 		if slices.ContainsFunc(voters[:i], func(o messages.Voter) bool { return o.Addr == v.Addr }) {
-			return nil, errcode.New(errcode.Invalid, "%s comes twice", v.Addr)
+			return nil, errcode.New(errcode.InvalidConfiguration, "%s comes twice", v.Addr)
 		}
 	}
 	switch {
 	case len(voters)%2 == 0:
-		return nil, errcode.New(errcode.Invalid, "%d voters: an odd number is wanted", len(voters))
+		return nil, errcode.New(errcode.InvalidConfiguration, "%d voters: an odd number is wanted", len(voters))
 	case (messages.VoterSet{Epoch: voterSet.Epoch, Voters: voters}).SameVoters(voterSet):
-		return nil, errcode.New(errcode.Invalid, "that is the roll in force")
+		return nil, errcode.New(errcode.InvalidConfiguration, "that is the roll in force")
 	}
 	return voters, nil
 }
--- a/internal/rpc/callscripts_test.go
+++ b/internal/rpc/callscripts_test.go
@@ -53,7 +53,7 @@
 		}
 		return true
 	}},
-	{"answered with an error", func(call *receivedCall) bool { return call.write(framed(call.id, call.kind, errcode.Gone, nil)) }},
+	{"answered with an error", func(call *receivedCall) bool { return call.write(framed(call.id, call.kind, errcode.NotFound, nil)) }},
 	{"answered twice", func(call *receivedCall) bool { return call.write(call.answer(), call.answer()) }},
 	{"answered late", func(call *receivedCall) bool {
 		go func() { time.Sleep(2 * callWait); call.write(call.answer()) }()
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -330,7 +330,7 @@
 	switch {
 	case c.closed, len(c.waiting)-c.cancelled >= maxPendingCalls, c.l == nil && !c.dialing && now.Before(c.noDialBefore):
 		c.mu.Unlock()
-		go done(nil, errcode.New(errcode.Away, "%s", c.addr))
+		go done(nil, errcode.New(errcode.Unreachable, "%s", c.addr))
 		return 0
 	}
 	for c.nextID++; c.nextID == 0 || c.waiting[c.nextID] != nil; c.nextID++ { // IDs wrap around: skip those whose answer may still arrive
@@ -392,7 +392,7 @@
 		return Decode(r.body, answer)
 	case <-timer.C:
 		c.Cancel(id)
-		return errcode.New(errcode.TimedOut, "%s", c.addr)
+		return errcode.New(errcode.ResponseTimeout, "%s", c.addr)
 	}
 }
 
@@ -420,7 +420,7 @@
 		}
 		c.backoff = min(max(minBackoff, 2*c.backoff), maxBackoff)
 		c.noDialBefore = time.Now().Add(c.backoff)
-		c.failAll(errcode.New(errcode.Away, "%s", c.addr))
+		c.failAll(errcode.New(errcode.Unreachable, "%s", c.addr))
 		return
 	}
 	c.backoff = 0
@@ -464,7 +464,7 @@
 	l.end()
 	c.mu.Lock()
 	c.l = nil
-	c.failAll(errcode.New(errcode.Broken, "%s", c.addr))
+	c.failAll(errcode.New(errcode.ConnectionLost, "%s", c.addr))
 }
 
 // failAll fails all waiting calls. The caller holds c.mu; failAll unlocks it.
--- a/internal/store/reconfig.go
+++ b/internal/store/reconfig.go
@@ -72,7 +72,7 @@
 		return err
 	}
 	if s.takingOver {
-		return errcode.New(errcode.Gone, "epoch %d has ended here", m.Epoch)
+		return errcode.New(errcode.NotFound, "epoch %d has ended here", m.Epoch)
 	}
 	if s.registerBusy {
 		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.replyError(c, s.voteSuccessor(c, m)) })
@@ -133,7 +133,7 @@
 	}
 	index := r.IndexOf(s.srv.opts.Addr)
 	if s.state == Repairing && s.recovering { // the repair has to end first
-		done(errcode.New(errcode.Repairing, ""))
+		done(errcode.New(errcode.Recovering, ""))
 		return
 	}
 	successor := s.state == Serving && s.voterSet.Epoch+1 == r.Epoch
@@ -177,14 +177,14 @@
 	e := reconfig.Handover{Origin: s.vouch(), Promised: s.acceptor.Promised, Accepted: s.acceptor.Accepted, Chosen: r.chosen}
 	switch {
 	case s.state == Serving && s.voterSet.Epoch == m.Epoch && s.acceptor.CatchingUp(): // its state alone is incomplete
-		return errcode.New(errcode.Repairing, "")
+		return errcode.New(errcode.Recovering, "")
 	case s.state == Serving && s.voterSet.Epoch == m.Epoch:
 		e.Active = true
 	case s.state == Serving && s.voterSet.Epoch+1 == m.Epoch && s.sealDurable:
 	case s.formerEpoch != nil && s.formerEpoch.Epoch+1 == m.Epoch && s.sealDurable:
 		e.Origin = consensus.Origin{Voter: s.formerEpoch.Index, Incarnations: s.formerEpoch.Incarnations}
 	default:
-		return errcode.New(errcode.Gone, "epoch %d, here %d", m.Epoch, s.voterSet.Epoch)
+		return errcode.New(errcode.NotFound, "epoch %d, here %d", m.Epoch, s.voterSet.Epoch)
 	}
 	h := messages.HandoverReply{Handover: e, Inherited: s.valueInherited(), Items: r.items, UpTo: r.upto, Base: r.base, Delta: r.delta}
 	if h.UpTo == h.Base {
@@ -270,7 +270,7 @@
 		go func() {
 			for {
 				t := ask(a, "", configuration.Ballot{})
-				if t.err == nil || errcode.Of(t.err) != errcode.Gone || time.Now().After(end) {
+				if t.err == nil || errcode.Of(t.err) != errcode.NotFound || time.Now().After(end) {
 					ch <- t
 					return
 				}
@@ -296,7 +296,7 @@
 		}
 	}
 	if take == nil {
-		return nil, errcode.New(errcode.CoreOut, "only %d voters handed over the state of epoch %d", len(all), r.Epoch-1)
+		return nil, errcode.New(errcode.NoQuorum, "only %d voters handed over the state of epoch %d", len(all), r.Epoch-1)
 	}
 	for _, i := range take {
 		h := all[i].h
--- a/internal/store/reconfig_test.go
+++ b/internal/store/reconfig_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(k)
 	}
 	next := messages.VoterSet{Epoch: 2, Voters: voters, Previous: voters}
-	accept := voter.call(messages.ProposeVoters, messages.ProposeVotersCall{Epoch: 1, B: configuration.Ballot{N: 1, By: 1}, Next: &next})
+	accept := voter.call(messages.ProposeVoters, messages.ProposeVotersCall{Epoch: 1, B: configuration.Ballot{N: 1, Proposer: 1}, Next: &next})
 	hand := func(voter *testVoter) (h messages.HandoverReply, k errcode.Kind) {
 		r := voter.call(messages.Handover, messages.HandoverCall{Epoch: 2})
 		if r.err == nil {
@@ -40,10 +40,10 @@
 		}
 		return h, errcode.Of(r.err)
 	}
-	if _, k := hand(voter); accept.count != 0 || k != errcode.Gone {
+	if _, k := hand(voter); accept.count != 0 || k != errcode.NotFound {
 		t.Errorf("%d answers, handed over %v, before the seal is on disk", accept.count, k)
 	}
-	if r := voter.call(messages.Claim, messages.ClaimCall{Key: "amid", ID: idempotency.ID{Incarnation: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
+	if r := voter.call(messages.Claim, messages.ClaimCall{Key: "amid", ID: idempotency.ID{Incarnation: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.NotFound {
 		t.Errorf("a claim while the seal is being written: %v", r.err)
 	}
 	voter.settle()
@@ -57,13 +57,13 @@
 	again.openDisk()
 	again.settle()
 	for name, voter := range map[string]*testVoter{"sealed": voter, "sealed and restarted": again} {
-		if k := claim(voter, "after"); k != errcode.Gone {
+		if k := claim(voter, "after"); k != errcode.NotFound {
 			t.Errorf("%s: a claim: %v", name, k)
 		}
-		if r := voter.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 9}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
+		if r := voter.call(messages.Prepare, messages.PrepareCall{B: configuration.Ballot{N: 9}, Epoch: 1}); errcode.Of(r.err) != errcode.NotFound {
 			t.Errorf("%s: a promise: %v", name, r.err)
 		}
-		for of, want := range map[lease.Name]errcode.Kind{lease.CatchUp: errcode.Gone, lease.VoterChange: errcode.OK} {
+		for of, want := range map[lease.Name]errcode.Kind{lease.CatchUp: errcode.NotFound, lease.VoterChange: errcode.OK} {
 			if r := voter.call(messages.Lease, messages.LeaseCall{Name: of, Holder: 7, Epoch: 1}); errcode.Of(r.err) != want {
 				t.Errorf("%s: the lease %s: %v", name, of, r.err)
 			}
@@ -91,14 +91,14 @@
 		voter.settle()
 		voter.recovering = true // no test here needs a repair to run
 		voter.call(messages.AdoptVoters, messages.AdoptVotersCall{VoterSet: messages.VoterSet{Epoch: 2, Voters: c.next, Previous: voters}})
-		if r := voter.call(messages.Handover, messages.HandoverCall{Epoch: 2}); errcode.Of(r.err) != errcode.Gone {
+		if r := voter.call(messages.Handover, messages.HandoverCall{Epoch: 2}); errcode.Of(r.err) != errcode.NotFound {
 			t.Errorf("%s: handed over before it is on disk: %v", c.name, r.err)
 		}
 		voter.settle()
 		if r := voter.call(messages.Handover, messages.HandoverCall{Epoch: 2}); voter.state != c.want || r.err != nil {
 			t.Errorf("%s: %s, handed over: %v", c.name, voter.state, r.err)
 		}
-		if r := voter.call(messages.Claim, messages.ClaimCall{Key: "k", ID: idempotency.ID{Incarnation: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.Gone {
+		if r := voter.call(messages.Claim, messages.ClaimCall{Key: "k", ID: idempotency.ID{Incarnation: 1, N: 1}, Epoch: 1}); errcode.Of(r.err) != errcode.NotFound {
 			t.Errorf("%s: a claim of the old epoch: %v", c.name, r.err)
 		}
 	}
--- a/internal/store/register_test.go
+++ b/internal/store/register_test.go
@@ -70,7 +70,7 @@
 	}
 	r := voter.call(messages.SendPage, messages.SendPageCall{Page: first, Epoch: 1})
 	voter.fake.sync(storage.ErrDisk)
-	if voter.settle(); errcode.Of(r.err) != errcode.DiskOut || voter.acceptor.Accepted != ballotOf(2) || voter.acceptor.CatchingUp() {
+	if voter.settle(); errcode.Of(r.err) != errcode.DiskUnavailable || voter.acceptor.Accepted != ballotOf(2) || voter.acceptor.CatchingUp() {
 		t.Fatalf("a page that was not written: %v, accepted %v", r.err, voter.acceptor.Accepted)
 	}
 	for i, p := range []consensus.Page{first, consensus.NewPage(seven, ballotOf(7), ballotOf(5)), consensus.NewPage(nine, ballotOf(9), ballotOf(7))} {
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -37,7 +37,7 @@
 func (s *voterState) serveRecovery(c rpc.Call, m messages.RecoverCall) error {
 	s.srv.Counts.Recoveries.Add(1)
 	if s.voterSet.Epoch == 0 {
-		return errcode.New(errcode.CoreOut, "%s", s.state)
+		return errcode.New(errcode.NoQuorum, "%s", s.state)
 	}
 	member := s.voterSet.IndexOf(m.Addr)
 	if m.Incarnation == 0 || member < 0 || s.index < 0 {
@@ -45,14 +45,14 @@
 		return nil
 	}
 	if s.state != Serving {
-		return errcode.New(errcode.Repairing, "")
+		return errcode.New(errcode.Recovering, "")
 	}
 	if s.registerBusy {
 		s.queuedCalls = append(s.queuedCalls, func(s *voterState) { s.replyError(c, s.serveRecovery(c, m)) })
 		return nil
 	}
 	if s.incarnations[member] > m.Incarnation {
-		return errcode.New(errcode.Preempted, "incarnation %d, here %d", m.Incarnation, s.incarnations[member])
+		return errcode.New(errcode.HigherBallot, "incarnation %d, here %d", m.Incarnation, s.incarnations[member])
 	}
 	s.incarnations[member] = m.Incarnation
 	s.write([]storage.Put{s.putIncarnations()}, func(err error) {
@@ -62,7 +62,7 @@
 		}
 		s.srv.enqueue(func(s *voterState) {
 			if s.state != Serving { // this member's own disk was given up meanwhile
-				c.Reply(nil, errcode.New(errcode.Repairing, ""))
+				c.Reply(nil, errcode.New(errcode.Recovering, ""))
 				return
 			}
 			c.Reply(s.recoveryReply(m), nil)
--- a/internal/store/server.go
+++ b/internal/store/server.go
@@ -646,7 +646,7 @@
 		s.report(c)
 		return nil
 	}
-	return errcode.New(errcode.NoCall, "kind %d", c.Kind)
+	return errcode.New(errcode.UnknownCall, "kind %d", c.Kind)
 }
 
 // decodeCall decodes the body of a call for its handler.
@@ -664,7 +664,7 @@
 		return err
 	}
 	if s.seal.Sealed() || s.takingOver {
-		return errcode.New(errcode.Gone, "epoch %d has ended here", epoch)
+		return errcode.New(errcode.NotFound, "epoch %d has ended here", epoch)
 	}
 	return nil
 }
@@ -673,13 +673,13 @@
 func (s *voterState) requireMember(epoch uint64) error {
 	switch {
 	case epoch != s.voterSet.Epoch && s.voterSet.Epoch > 0: // the caller then fetches the voter set, or retries soon
-		return errcode.New(errcode.Gone, "epoch %d, here %d", epoch, s.voterSet.Epoch)
+		return errcode.New(errcode.NotFound, "epoch %d, here %d", epoch, s.voterSet.Epoch)
 	case s.state == Repairing:
-		return errcode.New(errcode.Repairing, "")
+		return errcode.New(errcode.Recovering, "")
 	case s.state != Serving:
-		return errcode.New(errcode.CoreOut, "%s", s.state)
+		return errcode.New(errcode.NoQuorum, "%s", s.state)
 	case s.disk.Stalled() > stalledAfter:
-		return errcode.New(errcode.DiskOut, "")
+		return errcode.New(errcode.DiskUnavailable, "")
 	}
 	return nil
 }
@@ -701,7 +701,7 @@
 			if err == nil {
 				err = s.prepare(c, m)
 			} else {
-				err = errcode.New(errcode.DiskOut, "%w", err)
+				err = errcode.New(errcode.DiskUnavailable, "%w", err)
 			}
 			s.replyError(c, err)
 		})
@@ -727,7 +727,7 @@
 // reply answers a call once its write has ended. It may be called from any goroutine.
 func reply(c rpc.Call, v any, err error) {
 	if err != nil {
-		c.Reply(nil, errcode.New(errcode.DiskOut, "%w", err))
+		c.Reply(nil, errcode.New(errcode.DiskUnavailable, "%w", err))
 		return
 	}
 	c.Reply(v, nil)
--- a/internal/store/server_test.go
+++ b/internal/store/server_test.go
@@ -191,7 +191,7 @@
 	if again.state != NoVoterSet {
 		t.Errorf("%s on an empty disk, epoch %d, incarnations %v", again.state, again.voterSet.Epoch, again.incarnations)
 	}
-	if r := again.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(r.err) != errcode.CoreOut {
+	if r := again.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(r.err) != errcode.NoQuorum {
 		t.Errorf("a claim on it: %v", r.err)
 	}
 }
@@ -267,7 +267,7 @@
 	voter.fake.sync(storage.ErrDisk)
 	voter.fake.sync(nil)
 	voter.runQueue()
-	if errcode.Of(first.err) != errcode.DiskOut || !again.grant(t).Granted {
+	if errcode.Of(first.err) != errcode.DiskUnavailable || !again.grant(t).Granted {
 		t.Fatalf("the first: %v, again: %v", first.err, again.err)
 	}
 	other := claim(2)
@@ -303,7 +303,7 @@
 	if got, _ := readClaim(voter.fake.rows[tableClaims]["k"]); got != id(3) {
 		t.Errorf("%v on disk", got)
 	}
-	if errcode.Of(first.err) != errcode.DiskOut || !third.grant(t).Granted {
+	if errcode.Of(first.err) != errcode.DiskUnavailable || !third.grant(t).Granted {
 		t.Errorf("the first: %v, the third: %v", first.err, third.err)
 	}
 }
@@ -439,7 +439,7 @@
 	if r.count != 1 || r.err != nil || rpc.Decode(r.body, &w) != nil || w.State != string(NoDisk) {
 		t.Errorf("%d answers, %v, %+v", r.count, r.err, w)
 	}
-	if c := voter.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(c.err) != errcode.CoreOut {
+	if c := voter.call(messages.Claim, messages.ClaimCall{Key: "k", ID: id(1), Epoch: 1}); errcode.Of(c.err) != errcode.NoQuorum {
 		t.Errorf("a claim while the disk was being opened: %v", c.err)
 	}
 	if len(work) != 1 {
@@ -480,7 +480,7 @@
 			if r.err == nil {
 				return answer == nil || rpc.Decode(r.body, answer) == nil
 			}
-			if failed++; errcode.Of(r.err) != errcode.DiskOut {
+			if failed++; errcode.Of(r.err) != errcode.DiskUnavailable {
 				t.Errorf("sync %d: %v", turn, r.err)
 			}
 			return false
@@ -562,7 +562,7 @@
 			messages.Accept:  messages.AcceptCall{B: configuration.Ballot{N: 1}, Epoch: 1},
 		} {
 			r := voter.call(kind, v)
-			if stall > 0 && (r.count != 1 || errcode.Of(r.err) != errcode.DiskOut || len(voter.fake.pending) > 0) {
+			if stall > 0 && (r.count != 1 || errcode.Of(r.err) != errcode.DiskUnavailable || len(voter.fake.pending) > 0) {
 				t.Errorf("kind %d: %d answers, %v", kind, r.count, r.err)
 			}
 			if voter.settle(); stall == 0 && (r.count != 1 || r.err != nil) {
@@ -598,7 +598,7 @@
 		voter.settle()
 		again := claim(1, nil)
 		switch {
-		case damaged && (voter.state != NoVoterSet || errcode.Of(again.err) != errcode.CoreOut):
+		case damaged && (voter.state != NoVoterSet || errcode.Of(again.err) != errcode.NoQuorum):
 			t.Errorf("%s with a damaged disk, a claim: %v", voter.state, again.err)
 		case !damaged && (voter.state != Serving || voter.claims.Len() != 1 || !again.grant(t).Granted):
 			t.Errorf("%s with %d keys", voter.state, voter.claims.Len())
