--- a/internal/modelcheck/race.go
+++ b/internal/modelcheck/race.go
@@ -2,5 +2,5 @@
 
 package modelcheck
 
-// Slow reports whether the race detector is on. It makes a walk ten times as long and has nothing to find there.
-const Slow = true
+// RaceEnabled reports whether the race detector is on. It makes a walk ten times as long and has nothing to find there.
+const RaceEnabled = true
