--- a/internal/storage/db.go
+++ b/internal/storage/db.go
@@ -568,7 +568,7 @@
 	case err != nil && (db.lastErr == nil || db.lastErr.Error() != err.Error()):
 		db.opts.Log(fmt.Sprintf("%s: %v", db.path, err))
 	case err == nil && db.lastErr != nil:
-		db.opts.Log(fmt.Sprintf("%s: writes succeed again", db.path))
+		db.opts.Log(fmt.Sprintf("%s: written again", db.path))
 	}
 	db.lastErr = err
 }
--- a/internal/store/server.go
+++ b/internal/store/server.go
@@ -311,7 +311,7 @@
 	case s.voterSet.Epoch > 0:
 		s.locate()
 		if read.newerMark != (messages.Mark{}) {
-			s.srv.opts.Log("disk", fmt.Sprintf("older copy: this mark was reported from a later state of the disk: %+v", read.newerMark))
+			s.srv.opts.Log("disk", fmt.Sprintf("older than what was told from it: %+v", read.newerMark))
 			s.incarnations[s.index] = 0
 			s.write([]storage.Put{s.putIncarnations()}, func(error) {}) // if this fails, the old copy is detected again
 		}
